--- a/crates/route/benches/decisions.rs
+++ b/crates/route/benches/decisions.rs
@@ -1,5 +1,5 @@
-//! Time of one decision over sizes up to the plan: 48,000 adapters, 600
-//! engines.
+//! Time of one routing or scheduling decision, by size of the fleet. The largest size is
+//! the one that the system is designed for: 48,000 adapters and 600 engines.
 
 use std::hint::black_box;
 
@@ -15,10 +15,10 @@
 /// Adapter slots of an engine.
 const SLOTS: u32 = 8;
 
-/// Places of an engine: so many that no choice of the run fills one.
-const PLACES: u32 = 100_000_000;
+/// Concurrent requests of an engine: so many that no benchmark fills one.
+const CONCURRENCY: u32 = 100_000_000;
 
-/// Adapters and engines: today's, and the plan's in steps.
+/// Numbers of adapters and engines.
 const SIZES: [(u32, u32); 4] = [(3_000, 12), (12_000, 150), (24_000, 300), (48_000, 600)];
 
 fn key(adapter: u32) -> AdapterKey {
@@ -40,8 +40,8 @@
     }
 }
 
-/// A router that knows `adapters` and `engines`, each engine full; the first
-/// adapters are held.
+/// Returns a router with `adapters` adapters and `engines` engines whose slots are all
+/// full; the adapters with the lowest numbers are resident.
 fn router(adapters: u32, engines: u32) -> Router {
     let mut router = Router::new(ZoneNo(0), 1);
     for adapter in (0..adapters).map(AdapterNo) {
@@ -55,7 +55,7 @@
             zone: ZoneNo(no % 4),
             hash: stable_hash(&[&no.to_le_bytes()]),
             incarnation: Incarnation(1),
-            batch: PLACES,
+            batch: CONCURRENCY,
             slots: SLOTS,
         };
         router.note(Time::ZERO, News::Target(target));
@@ -104,7 +104,7 @@
             target: TargetNo(0),
             incarnation: Incarnation(1),
             slots: SLOTS,
-            batch: PLACES,
+            batch: CONCURRENCY,
             ordering: Ordering::Full,
         };
         let owned = Input::Owned {
--- a/crates/route/src/ask.rs
+++ b/crates/route/src/ask.rs
@@ -1,9 +1,9 @@
-//! What a request asks of routing, and what routing answers.
+//! Input and result of choosing a target for a request.
 
 use base::{AdapterKey, BrandNo, Class, TargetNo, Time, Tokens};
 
 base::value! {
-    /// A pool's number within one node; numbered from zero without holes.
+    /// A pool's number within one node: dense, starting from zero.
     #[derive(Default)]
     pub struct PoolNo(pub u32);
 
@@ -11,30 +11,32 @@
     #[derive(Default)]
     pub struct ZoneNo(pub u32);
 
-    /// What one request needs, by numbers.
+    /// The properties of a request that routing and scheduling depend on.
     pub struct Ask {
-        /// Targets among which it may run.
+        /// The pool whose targets may run the request.
         pub pool: PoolNo,
-        /// The adapter version it is meant for; none for a plain service.
+        /// The adapter version that the request is pinned to; `None` for a plain service,
+        /// which has no adapters.
         pub key: Option<AdapterKey>,
-        /// Whose request it is.
+        /// The brand that the request is counted for.
         pub brand: BrandNo,
-        /// How urgent it is.
+        /// How urgent the request is.
         pub class: Class,
-        /// Hash of the head of its prompt; zero when there is none.
+        /// Hash of the beginning of the prompt, to find an engine that has it in its
+        /// prefix cache; zero when there is none.
         pub prefix: u64,
-        /// Most tokens of its answer.
+        /// Upper limit of the answer's length.
         pub tokens: Tokens,
-        /// When its answer must have begun; for batch work, have ended.
+        /// When the answer must have begun; for batch requests, when it must have ended.
         pub deadline: Time,
     }
 
-    /// Where a request is to run.
+    /// The target chosen for a request.
     pub struct Choice {
         /// The target.
         pub target: TargetNo,
-        /// Whether it holds the adapter as far as the directory knows; always
-        /// true for a plain service.
+        /// Whether the adapter is resident on the target as far as the directory knows;
+        /// always true for a plain service.
         pub resident: bool,
     }
 }
--- a/crates/route/src/draw.rs
+++ b/crates/route/src/draw.rs
@@ -1,17 +1,16 @@
-//! Seeded draws.
+//! A seeded random number generator.
 
-/// A small generator of random numbers (SplitMix64), so that the same seed
-/// and inputs give the same choices.
+/// SplitMix64: the same seed and inputs give the same choices.
 #[derive(Clone, Debug)]
-pub(crate) struct Draw(u64);
+pub(crate) struct Rng(u64);
 
-impl Draw {
+impl Rng {
     pub(crate) fn new(seed: u64) -> Self {
-        Draw(seed)
+        Rng(seed)
     }
 
-    /// Draws a number from zero to below one.
-    pub(crate) fn part(&mut self) -> f64 {
+    /// Returns the next number, uniform in `0.0..1.0`.
+    pub(crate) fn next_f64(&mut self) -> f64 {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mut z = self.0;
         z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/crates/route/src/lib.rs
+++ b/crates/route/src/lib.rs
@@ -1,10 +1,11 @@
-//! Which engine runs a request, and who waits.
+//! Routing and scheduling: which engine runs a request, and which requests wait.
 //!
-//! [`Router`] is the entry instance's side: it knows which targets exist, what
-//! they hold and how busy they are, and chooses one for each request.
-//! [`Scheduler`] is the owner's side: it queues requests before the engines that
-//! this instance owns, shares them between classes and brands, and orders
-//! loads. Both take time as an argument and draw from a seed.
+//! [`Router`] runs on every entry instance: it keeps a directory of the targets, the
+//! adapters resident on them and their load, and chooses a target for each request.
+//! [`Scheduler`] runs on the instance that owns an engine: it queues requests for the
+//! engines that this instance owns, divides their capacity between classes and brands,
+//! and orders loads and unloads. Both are deterministic: time is an argument, and random
+//! numbers come from a seed.
 
 mod ask;
 mod draw;
--- a/crates/route/src/news.rs
+++ b/crates/route/src/news.rs
@@ -1,4 +1,4 @@
-//! What keeps an entry instance's directory up to date.
+//! Updates of an entry instance's directory.
 
 use std::time::Duration;
 
@@ -9,45 +9,45 @@
 /// One change of what the router knows.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum News {
-    /// An adapter exists; `hash` is the stable hash of its name.
+    /// An adapter exists.
     Adapter {
-        /// Its number.
+        /// Number of the adapter.
         adapter: AdapterNo,
-        /// Equal on every node, so that all choose the same home engines.
+        /// Stable hash of the adapter's name: equal on every node, so that all nodes rank
+        /// the adapter's home engines alike.
         hash: StableHash,
     },
-    /// A target is live. Told again with another incarnation, it has
-    /// restarted: what it held and what it reported before is forgotten.
+    /// A target is live. Another incarnation than before means that the target has
+    /// restarted: its resident adapters and earlier reports are forgotten.
     Target(Target),
-    /// A target is leaving: it gets nothing new.
+    /// A target is leaving: it gets no new requests.
     Leaving(TargetNo),
-    /// A target can't be reached from here (`false`) or can again (`true`).
+    /// A target became unreachable from this instance (`false`) or reachable again
+    /// (`true`).
     Reachable(TargetNo, bool),
     /// A target is gone.
     Removed(TargetNo),
-    /// An owner's account of what its engine holds.
+    /// An owner published the resident adapters and load of its engine.
     Residents(Residents),
-    /// An engine's own report of load.
+    /// An engine reported its load.
     Report(Report),
-    /// An attempt was sent to the target.
+    /// This instance sent an attempt to the target.
     Started(TargetNo),
-    /// The first token or the head of the answer came, so long after the
-    /// attempt was sent.
+    /// The answer began, with its first token or its head, this long after the attempt was
+    /// sent.
     Began(TargetNo, Duration),
-    /// An attempt ended; `ok` is false when the target failed, true when it
-    /// answered or the caller left.
+    /// An attempt of this instance ended.
     Ended {
-        /// Where.
+        /// The target that the attempt was sent to.
         target: TargetNo,
-        /// Whether the target did its part.
+        /// False when the target failed; true when it answered or the caller left.
         ok: bool,
     },
-    /// The text in force now names version `new` of the adapter instead of
-    /// `old`.
+    /// The text in force now names version `new` of an adapter instead of `old`.
     Rolled {
-        /// What requests were pinned to so far.
+        /// The version that requests were pinned to until now.
         old: AdapterKey,
-        /// What they are to be pinned to once it is loaded somewhere.
+        /// The version to pin requests to once it is resident somewhere.
         new: AdapterKey,
     },
 }
@@ -55,58 +55,61 @@
 base::value! {
     /// A live target.
     pub struct Target {
-        /// Its number.
+        /// Number of the target.
         pub target: TargetNo,
         /// The pool whose requests it runs.
         pub pool: PoolNo,
-        /// Where it is.
+        /// The availability zone that it is in.
         pub zone: ZoneNo,
         /// Stable hash of its name.
         pub hash: StableHash,
-        /// Tells its lives apart.
+        /// Changes with each restart.
         pub incarnation: Incarnation,
-        /// Requests that it runs at once.
+        /// Requests that it runs concurrently at most.
         pub batch: u32,
-        /// Adapters that it holds at once; zero for a plain service.
+        /// Adapters that can be resident at once; zero for a plain service.
         pub slots: u32,
     }
 }
 
-/// What an owner says about its engine; see `wire::call::Residents`.
+/// Resident adapters and load of an engine, as published by its owner; see
+/// `wire::call::Residents`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Residents {
     /// The engine.
     pub target: TargetNo,
-    /// The owner's fencing number; news with a lower one is dropped.
+    /// The owner's fencing number; updates with a lower one than seen before are dropped.
     pub fence: Fence,
-    /// Whether `added` is everything rather than a change.
+    /// Whether `added` is the full list of resident adapters rather than a delta.
     pub whole: bool,
-    /// Newly resident.
+    /// Adapters that became resident.
     pub added: Vec<AdapterKey>,
-    /// No longer resident.
+    /// Adapters that are no longer resident.
     pub removed: Vec<AdapterKey>,
-    /// Critical and live requests admitted and not ended.
+    /// Critical and live requests that the owner has admitted and that have not ended.
     pub running: u32,
-    /// Batch requests admitted and not ended; they wait or give way.
+    /// Batch requests that the owner has admitted and that have not ended. They wait for
+    /// urgent requests or are preempted by them.
     pub queued: u32,
-    /// Thousandths of a live use a second that the next load there would
-    /// evict; zero with a free slot.
+    /// Usage rate of the adapter that the next load on the engine would evict, in
+    /// thousandths of a live request a second; zero while a slot is free.
     pub worth: u32,
 }
 
-/// An engine's report of its load.
+/// An engine's report of its own load.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Report {
     /// The engine.
     pub target: TargetNo,
-    /// The life it speaks of.
+    /// The incarnation that sent the report.
     pub incarnation: Incarnation,
-    /// When its figures were taken: the time of asking less the stated age.
+    /// When the figures were taken: the time at which the report was requested, less the
+    /// age that the engine states.
     pub taken: Time,
-    /// Requests in the batch.
+    /// Requests in the engine's running batch.
     pub running: u32,
     /// Requests queued inside the engine.
     pub waiting: u32,
-    /// Hashes of prompt heads that entered its prefix cache.
+    /// Hashes of prompt beginnings that entered the engine's prefix cache.
     pub cached: Vec<u64>,
 }
--- a/crates/route/src/retry.rs
+++ b/crates/route/src/retry.rs
@@ -1,53 +1,53 @@
-//! Limits on repeating: a budget per target and a cap on attempts.
+//! Limits on retries: a budget per target and a maximum number of attempts per request.
 
 use base::TargetNo;
 
-/// Attempts of one request at most, the first included: the third repeats
-/// little that two did not find out.
+/// Most attempts of one request, the first included: after two failures a third attempt
+/// seldom succeeds, and more of them would only add load.
 const ATTEMPTS_MAX: u8 = 3;
 
-/// Credit that one first attempt earns, in thousandths of a repeat: one
-/// repeat for ten requests.
-const EARNED: u32 = 100;
+/// Credit earned by one first attempt, in thousandths of a retry: one retry for ten
+/// requests.
+const CREDIT_PER_ATTEMPT: u32 = 100;
 
-/// Price of one repeat, in thousandths.
-const PRICE: u32 = 1_000;
+/// Credit used by one retry, in thousandths of a retry.
+const CREDIT_PER_RETRY: u32 = 1_000;
 
-/// Most credit kept per target, in thousandths: ten repeats at once.
+/// Most credit kept per target, in thousandths of a retry: ten retries at once.
 const CREDIT_MAX: u32 = 10_000;
 
-/// Repeats allowed per target that failed, earned by first attempts there.
+/// Retries allowed after failures of each target, earned by first attempts there.
 ///
-/// Guards against repeats that multiply the load of a failing target: each
-/// failure calls for another attempt, which fails too. Past the budget a
-/// failure is passed to the caller instead.
+/// Guards against retries that multiply the load while a target is failing: each failure
+/// causes another attempt, which fails as well. Once the budget is used up, a failure is
+/// returned to the caller instead.
 #[derive(Clone, Debug, Default)]
 pub struct RetryBudget {
     credit: Vec<Option<u32>>,
 }
 
 impl RetryBudget {
-    /// Makes a budget with every target's credit full.
+    /// Creates a budget in which every target has full credit.
     #[must_use]
     pub fn new() -> Self {
         RetryBudget::default()
     }
 
-    /// Notes a first attempt at `target`.
+    /// Adds the credit of one first attempt at `target`.
     pub fn earn(&mut self, target: TargetNo) {
         let credit = self.credit(target);
-        *credit = CREDIT_MAX.min(*credit + EARNED);
+        *credit = CREDIT_MAX.min(*credit + CREDIT_PER_ATTEMPT);
     }
 
-    /// Returns whether an attempt that failed at `target` may be repeated
-    /// elsewhere, and pays for it.
+    /// Returns whether an attempt that failed at `target` may be retried elsewhere, and
+    /// takes the retry out of the budget if so.
     pub fn spend(&mut self, target: TargetNo) -> bool {
         let credit = self.credit(target);
-        if *credit < PRICE {
+        if *credit < CREDIT_PER_RETRY {
             base::hit!(retry_budget_spent);
             return false;
         }
-        *credit -= PRICE;
+        *credit -= CREDIT_PER_RETRY;
         true
     }
 
@@ -65,7 +65,7 @@
 pub struct Attempts(u8);
 
 impl Attempts {
-    /// Counts one more attempt, or returns false when none is left.
+    /// Counts one more attempt, or returns false when no attempt is left.
     pub fn another(&mut self) -> bool {
         if self.0 >= ATTEMPTS_MAX {
             base::hit!(attempts_capped);
--- a/crates/route/src/router.rs
+++ b/crates/route/src/router.rs
@@ -1,4 +1,4 @@
-//! The entry's choice of a target.
+//! The entry instance's choice of a target for each request.
 
 mod explain;
 mod known;
@@ -11,83 +11,85 @@
 
 use crate::{
     Ask, Choice, News, PoolNo, Report, Residents, Target, ZoneNo,
-    draw::Draw,
-    router::{known::Known, prefixes::Prefixes},
+    rng::Rng,
+    router::{known::TargetState, prefixes::Prefixes},
 };
 
 pub use self::explain::{Candidate, Explanation, Standing};
 
-/// Load up to which requests are gathered on the adapter's first engine: a
-/// fuller batch generates more tokens a second.
-const PACK: f32 = 0.9;
+/// Load below which a holder takes more requests. The fullest holder below it is
+/// preferred: an engine generates more tokens a second with a fuller batch.
+const PACK_LOAD: f32 = 0.9;
 
-/// Thousandths of a use a second that a full engine makes up for among homes:
-/// a request adds less to a step that has others in it.
-const FULL_WORTH: f32 = 20.0;
+/// Weight of an engine's load against its eviction cost when home engines are compared: a
+/// fully loaded engine is worth this many thousandths of a use a second, because a
+/// request added to a batch that runs anyway costs less.
+const HOME_LOAD_WEIGHT: f32 = 20.0;
 
-/// Load that being in the same zone makes up for among holders with room.
-const NEAR_WORTH: f32 = 0.05;
+/// Bonus, as load, of holders in this instance's zone among those below [`PACK_LOAD`].
+const SAME_ZONE_BONUS: f32 = 0.05;
 
-/// Load of all holders from which a request goes to an engine that has to
-/// load the adapter first; above one, because a load costs more than a short
-/// queue.
-const SPREAD: f32 = 1.1;
+/// Load of the best holder from which a request may go to an engine that must load the
+/// adapter first. Above one, because a load costs more than a short queue.
+const SPREAD_LOAD: f32 = 1.1;
 
-/// The same for batch work, which can wait and should not eat the store's
-/// budget.
-const SPREAD_BATCH: f32 = 4.0;
+/// [`SPREAD_LOAD`] for batch requests, which can wait and should not use up the weight
+/// store's budget.
+const SPREAD_LOAD_BATCH: f32 = 4.0;
 
-/// Demand here, in requests a second, from which an adapter gets a further
-/// copy already at [`PACK`].
+/// Requests a second, seen by this instance, from which an adapter gets a further copy
+/// already at [`PACK_LOAD`].
 const HOT_RATE: f32 = 0.5;
 
-/// Load by which a target of another zone must be better to be chosen.
-const ZONE_WORTH: f32 = 0.25;
+/// Load difference that justifies a target of another zone, or a load on another engine
+/// instead of the least loaded holder.
+const SWITCH_MARGIN: f32 = 0.25;
 
-/// How long requests stay with the version before while the new one is
-/// loaded; short, since an accepted text is in force within seconds.
-const ROLL_GRACE: Duration = Duration::from_secs(2);
+/// How long requests are pinned to the previous version while the new one is loaded.
+/// Short, since an accepted text must be in force within seconds.
+const OLD_VERSION_GRACE: Duration = Duration::from_secs(2);
 
-/// First homes that are weighed against each other for a load.
-const HOMES: usize = 4;
+/// Number of highest-ranked home engines that are compared for a load.
+const HOME_CANDIDATES: usize = 4;
 
-/// Longest wait hinted at when no target can be used.
-const RETRY_SECS: f64 = 2.0;
+/// Mean of `Retry-After`, in seconds, when no target can be used.
+const RETRY_AFTER_SECS: f64 = 2.0;
 
 /// An entry instance's directory of targets and its choice among them.
 #[derive(Clone, Debug)]
 pub struct Router {
     zone: ZoneNo,
-    targets: Vec<Option<Known>>,
+    targets: Vec<Option<TargetState>>,
     pools: Vec<Vec<Member>>,
-    /// Stable hashes of adapters' names, by number.
+    /// Stable hashes of adapters' names, indexed by adapter number.
     adapters: Vec<StableHash>,
     demand: Demand,
-    /// Engines that hold an adapter, first home first.
+    /// Engines that have the adapter version resident, by descending home rank.
     holders: BTreeMap<AdapterKey, Vec<TargetNo>>,
     prefixes: Prefixes,
-    rolls: BTreeMap<AdapterNo, Roll>,
-    /// Seconds to the first token, smoothed over all targets.
-    begin: f32,
-    draw: Draw,
+    upgrades: BTreeMap<AdapterNo, Upgrade>,
+    /// Seconds to the first token: moving average over all targets.
+    first_token: f32,
+    rng: Rng,
 }
 
-/// A target in its pool's list.
+/// An entry of a pool's list of targets.
 #[derive(Clone, Copy, Debug)]
 struct Member {
     hash: StableHash,
     target: TargetNo,
 }
 
-/// A version on its way.
+/// A change of an adapter's version, until the new version is resident.
 #[derive(Clone, Copy, Debug)]
-struct Roll {
+struct Upgrade {
     old: Version,
     at: Time,
 }
 
 impl Router {
-    /// Makes a router for an instance in `zone`; `seed` breaks ties.
+    /// Creates a router for an instance in `zone`; `seed` is used to break ties and to
+    /// spread `Retry-After`.
     #[must_use]
     pub fn new(zone: ZoneNo, seed: u64) -> Self {
         Router {
@@ -98,40 +100,40 @@
             demand: Demand::new(),
             holders: BTreeMap::new(),
             prefixes: Prefixes::new(),
-            rolls: BTreeMap::new(),
-            begin: 0.0,
-            draw: Draw::new(seed),
+            upgrades: BTreeMap::new(),
+            first_token: 0.0,
+            rng: Rng::new(seed),
         }
     }
 
-    /// Takes in one change.
+    /// Applies one update.
     pub fn note(&mut self, now: Time, news: News) {
         match news {
             News::Adapter { adapter, hash } => self.adapter(adapter, hash),
             News::Target(target) => self.target(now, target),
-            News::Leaving(target) => self.with(target, |known| known.leaving = true),
-            News::Reachable(target, yes) => self.with(target, |known| known.reachable = yes),
+            News::Leaving(target) => self.update_target(target, |state| state.leaving = true),
+            News::Reachable(target, yes) => self.update_target(target, |state| state.reachable = yes),
             News::Removed(target) => self.removed(target),
             News::Residents(news) => self.residents(&news),
             News::Report(report) => self.report(&report),
-            News::Started(target) => self.with(target, |known| known.own += 1),
+            News::Started(target) => self.update_target(target, |state| state.in_flight += 1),
             News::Began(target, after) => self.began(target, after),
-            News::Ended { target, ok } => self.with(target, |known| known.ended(now, ok)),
+            News::Ended { target, ok } => self.update_target(target, |state| state.ended(now, ok)),
             News::Rolled { old, new } => {
-                let roll = Roll {
+                let upgrade = Upgrade {
                     old: old.version,
                     at: now,
                 };
-                self.rolls.insert(new.adapter, roll);
+                self.upgrades.insert(new.adapter, upgrade);
             }
         }
     }
 
-    /// Chooses the target for one attempt, passing over those in `avoid`.
+    /// Chooses the target for one attempt, leaving out those in `avoid`.
     ///
     /// # Errors
     ///
-    /// Fails as `not run` when no target of the pool can take it.
+    /// Fails as `not run` when no target of the pool can take the request.
     pub fn choose(&mut self, now: Time, ask: &Ask, avoid: &[TargetNo]) -> Result<Choice, Failure> {
         let Some(key) = ask.key else {
             return self.choose_plain(now, ask.pool, avoid);
@@ -141,33 +143,32 @@
             return Err(self.unavailable());
         };
         self.prefixes.note(now, ask.prefix, target);
-        self.with(target, |known| known.chosen(ask.class));
+        self.update_target(target, |state| state.count_chosen(ask.class));
         let resident = self
-            .known(target)
+            .state(target)
             .is_some_and(|k| k.residents.contains(&key));
         Ok(Choice { target, resident })
     }
 
-    /// Returns the version to pin a new request to: `newest`, or during a
-    /// roll the version before it, until the newest is loaded somewhere.
+    /// Returns the version to pin a new request to: `newest`, or, shortly after a version
+    /// change, the previous version until the newest one is resident somewhere.
     ///
-    /// Guards against a gap at each roll: sent at once to the new version,
-    /// every request would wait for the same load, which shows as a stall of
-    /// a hot adapter.
+    /// Guards against a stall of busy adapters at each version change: if all requests
+    /// went to the new version at once, they would all wait for the same load.
     #[must_use]
     pub fn pin(&self, now: Time, adapter: AdapterNo, newest: Version) -> Version {
-        let Some(roll) = self.rolls.get(&adapter) else {
+        let Some(upgrade) = self.upgrades.get(&adapter) else {
             return newest;
         };
         let held = |version| self.holders.contains_key(&AdapterKey { adapter, version });
-        if held(newest) || !held(roll.old) || now.since(roll.at) >= ROLL_GRACE {
+        if held(newest) || !held(upgrade.old) || now.since(upgrade.at) >= OLD_VERSION_GRACE {
             return newest;
         }
         base::hit!(pinned_to_old_version);
-        roll.old
+        upgrade.old
     }
 
-    /// Returns the engine for a request that is meant for `key`.
+    /// Returns the engine for a request that is pinned to `key`.
     fn pick(&self, now: Time, ask: &Ask, key: AdapterKey, avoid: &[TargetNo]) -> Option<TargetNo> {
         let holder = self.best_holder(now, ask, key, avoid);
         let limit = self.spread_limit(now, ask.class, key);
@@ -175,7 +176,7 @@
             Some((target, load)) if load < limit => Some(target),
             _ => match (self.best_home(now, ask, key, avoid), holder) {
                 (Some((home, at)), Some((target, load)))
-                    if at + ZONE_WORTH > load || home == target =>
+                    if at + SWITCH_MARGIN > load || home == target =>
                 {
                     Some(target)
                 }
@@ -186,7 +187,7 @@
         }
     }
 
-    /// Returns the holder to send to and its load.
+    /// Returns the preferred holder and its load.
     fn best_holder(
         &self,
         now: Time,
@@ -199,16 +200,16 @@
         let mut packed: Option<(f32, TargetNo, f32)> = None;
         let mut least: Option<(TargetNo, f32)> = None;
         for target in holders.iter().filter(|t| !avoid.contains(t)) {
-            let Some(known) = self.known(*target).filter(|k| k.usable() && !k.is_out(now)) else {
+            let Some(state) = self.state(*target).filter(|k| k.usable() && !k.is_ejected(now)) else {
                 continue;
             };
-            let load = known.load(now, ask.class, self.begin);
-            if load < PACK && cached == Some(*target) {
+            let load = state.load(now, ask.class, self.first_token);
+            if load < PACK_LOAD && cached == Some(*target) {
                 return Some((*target, load));
             }
-            let near = known.target.zone == self.zone;
-            let fullness = load + if near { NEAR_WORTH } else { 0.0 };
-            if load < PACK && packed.is_none_or(|(best, _, _)| fullness > best) {
+            let near = state.target.zone == self.zone;
+            let fullness = load + if near { SAME_ZONE_BONUS } else { 0.0 };
+            if load < PACK_LOAD && packed.is_none_or(|(best, _, _)| fullness > best) {
                 packed = Some((fullness, *target, load));
             }
             if least.is_none_or(|(_, best)| load < best) {
@@ -218,19 +219,21 @@
         packed.map(|(_, target, load)| (target, load)).or(least)
     }
 
-    /// Load of the best holder from which another engine may load.
+    /// Returns the load of the best holder from which another engine may load the
+    /// adapter.
     fn spread_limit(&self, now: Time, class: Class, key: AdapterKey) -> f32 {
         if class == Class::Batch {
-            return SPREAD_BATCH;
+            return SPREAD_LOAD_BATCH;
         }
         match self.demand.get(key.adapter).quick(now) >= HOT_RATE {
-            true => PACK,
-            false => SPREAD,
+            true => PACK_LOAD,
+            false => SPREAD_LOAD,
         }
     }
 
-    /// Returns the engine to load on and its load: of the first homes by
-    /// rendezvous hashing, the one where least is evicted.
+    /// Returns the engine to load the adapter on, and that engine's load: among the
+    /// highest-ranked home engines by rendezvous hashing, the one with the least cost of
+    /// eviction and load.
     fn best_home(
         &self,
         now: Time,
@@ -240,48 +243,47 @@
     ) -> Option<(TargetNo, f32)> {
         let pool = self.pools.get(ask.pool.0 as usize)?;
         let hash = self.hash(key.adapter);
-        let mut homes: [(u64, Option<TargetNo>); HOMES] = [(0, None); HOMES];
+        let mut homes: [(u64, Option<TargetNo>); HOME_CANDIDATES] = [(0, None); HOME_CANDIDATES];
         let mut spare: Option<(u64, TargetNo)> = None;
         for member in pool {
             let rank = place::home_rank(hash, member.hash);
-            if rank < homes[HOMES - 1].0 || avoid.contains(&member.target) {
+            if rank < homes[HOME_CANDIDATES - 1].0 || avoid.contains(&member.target) {
                 continue;
             }
-            let Some(known) = self.known(member.target).filter(|k| k.usable()) else {
+            let Some(state) = self.state(member.target).filter(|k| k.usable()) else {
                 continue;
             };
-            if known.is_out(now) || known.load(now, ask.class, self.begin) >= 1.0 {
+            if state.is_ejected(now) || state.load(now, ask.class, self.first_token) >= 1.0 {
                 spare = spare.max(Some((rank, member.target)));
                 continue;
             }
-            homes[HOMES - 1] = (rank, Some(member.target));
+            homes[HOME_CANDIDATES - 1] = (rank, Some(member.target));
             homes.sort_unstable_by(|a, b| b.cmp(a));
         }
         let homes = homes.iter().filter_map(|(_, target)| *target);
         let costs = homes.filter_map(|target| {
-            let known = self.known(target)?;
-            let load = known.load(now, ask.class, self.begin);
-            Some((known.worth as f32 - FULL_WORTH * load, target, load))
+            let state = self.state(target)?;
+            let load = state.load(now, ask.class, self.first_token);
+            Some((state.worth as f32 - HOME_LOAD_WEIGHT * load, target, load))
         });
         let best = costs.min_by(|a, b| a.0.total_cmp(&b.0));
-        // Where every home is full or left out, the first one that can be
-        // reached takes it: never are all ejected at once.
+        // If every engine is full or ejected, the highest-ranked one that is reachable
+        // takes the request: not all engines may be ejected at once.
         best.map(|(_, target, load)| (target, load)).or_else(|| {
             let (_, target) = spare?;
-            base::hit!(never_all_out);
-            Some((target, self.known(target)?.load(now, ask.class, self.begin)))
+            base::hit!(all_ejected_fallback);
+            Some((target, self.state(target)?.load(now, ask.class, self.first_token)))
         })
     }
 
-    /// Chooses the least loaded target, one of the own zone unless another is
-    /// clearly better.
+    /// Chooses the least loaded target of a plain service.
     fn choose_plain(
         &mut self,
         now: Time,
         pool: PoolNo,
         avoid: &[TargetNo],
     ) -> Result<Choice, Failure> {
-        let first = self.draw.part();
+        let first = self.rng.next_f64();
         match self.least_loaded(now, pool, avoid, first) {
             Some(target) => Ok(Choice {
                 target,
@@ -291,8 +293,9 @@
         }
     }
 
-    /// Returns the least loaded target, one of the own zone unless another is
-    /// clearly better; `first`, below one, says where the search begins.
+    /// Returns the least loaded target, preferring this instance's zone unless another is
+    /// clearly better. `first`, below one, is the point of the list at which the search
+    /// begins; it decides among equally loaded targets.
     fn least_loaded(
         &self,
         now: Time,
@@ -308,16 +311,16 @@
         let mut best: Option<(bool, f32, TargetNo)> = None;
         for i in 0..members.len() {
             let target = members[(start + i) % members.len()].target;
-            let Some(known) = self.known(target).filter(|k| k.usable()) else {
+            let Some(state) = self.state(target).filter(|k| k.usable()) else {
                 continue;
             };
             if avoid.contains(&target) {
                 continue;
             }
-            let far = known.target.zone != self.zone;
+            let far = state.target.zone != self.zone;
             let load =
-                known.load(now, Class::Critical, self.begin) + if far { ZONE_WORTH } else { 0.0 };
-            let cost = (known.is_out(now), load, target);
+                state.load(now, Class::Critical, self.first_token) + if far { SWITCH_MARGIN } else { 0.0 };
+            let cost = (state.is_ejected(now), load, target);
             if best.is_none_or(|b| (cost.0, cost.1) < (b.0, b.1)) {
                 best = Some(cost);
             }
@@ -326,7 +329,7 @@
     }
 
     fn unavailable(&mut self) -> Failure {
-        let wait = RETRY_SECS * (0.5 + self.draw.part());
+        let wait = RETRY_AFTER_SECS * (0.5 + self.rng.next_f64());
         Failure::not_run(Refusal::Unavailable).retry_after(Duration::from_secs_f64(wait))
     }
 
@@ -349,8 +352,8 @@
         if self.targets.len() <= i {
             self.targets.resize(i + 1, None);
         }
-        let Some(known) = &mut self.targets[i] else {
-            self.targets[i] = Some(Known::new(now, target));
+        let Some(state) = &mut self.targets[i] else {
+            self.targets[i] = Some(TargetState::new(now, target));
             let pool = target.pool.0 as usize;
             if self.pools.len() <= pool {
                 self.pools.resize(pool + 1, Vec::new());
@@ -361,15 +364,15 @@
             });
             return;
         };
-        if known.target.incarnation == target.incarnation {
-            known.target = target;
-            known.leaving = false;
+        if state.target.incarnation == target.incarnation {
+            state.target = target;
+            state.leaving = false;
             return;
         }
-        let held = std::mem::take(&mut known.residents);
-        known.restarted(now, target);
+        let held = std::mem::take(&mut state.residents);
+        state.restarted(now, target);
         for key in held {
-            self.drop_holder(key, target.target);
+            self.remove_holder(key, target.target);
         }
         self.prefixes.forget(target.target);
     }
@@ -378,36 +381,36 @@
         let Some(slot) = self.targets.get_mut(target.0 as usize) else {
             return;
         };
-        let Some(known) = slot.take() else {
+        let Some(state) = slot.take() else {
             return;
         };
-        for key in known.residents {
-            self.drop_holder(key, target);
+        for key in state.residents {
+            self.remove_holder(key, target);
         }
-        self.pools[known.target.pool.0 as usize].retain(|m| m.target != target);
+        self.pools[state.target.pool.0 as usize].retain(|m| m.target != target);
         self.prefixes.forget(target);
     }
 
     fn residents(&mut self, news: &Residents) {
-        let Some(known) = self.known_mut(news.target) else {
+        let Some(state) = self.state_mut(news.target) else {
             return;
         };
-        if news.fence < known.fence {
+        if news.fence < state.fence {
             base::hit!(old_owner_ignored);
             return;
         }
-        known.fence = news.fence;
-        known.told_by_owner(news.running, news.queued, news.worth);
+        state.fence = news.fence;
+        state.owner_reported(news.running, news.queued, news.worth);
         if news.whole {
-            for key in std::mem::take(&mut known.residents) {
-                self.drop_holder(key, news.target);
+            for key in std::mem::take(&mut state.residents) {
+                self.remove_holder(key, news.target);
             }
         }
         for key in &news.removed {
-            if let Some(known) = self.known_mut(news.target) {
-                known.residents.retain(|k| k != key);
+            if let Some(state) = self.state_mut(news.target) {
+                state.residents.retain(|k| k != key);
             }
-            self.drop_holder(*key, news.target);
+            self.remove_holder(*key, news.target);
         }
         for key in &news.added {
             self.add_holder(*key, news.target);
@@ -415,25 +418,25 @@
     }
 
     fn add_holder(&mut self, key: AdapterKey, target: TargetNo) {
-        let Some(known) = self.known_mut(target) else {
+        let Some(state) = self.state_mut(target) else {
             return;
         };
-        if known.residents.contains(&key) {
+        if state.residents.contains(&key) {
             return;
         }
-        known.residents.push(key);
+        state.residents.push(key);
         let hash = self.hash(key.adapter);
         let targets = &self.targets;
         let rank = |t: &TargetNo| {
-            let known = targets.get(t.0 as usize).and_then(Option::as_ref);
-            std::cmp::Reverse(known.map_or(0, |k| place::home_rank(hash, k.target.hash)))
+            let state = targets.get(t.0 as usize).and_then(Option::as_ref);
+            std::cmp::Reverse(state.map_or(0, |k| place::home_rank(hash, k.target.hash)))
         };
         let holders = self.holders.entry(key).or_default();
         holders.push(target);
         holders.sort_by_key(rank);
     }
 
-    fn drop_holder(&mut self, key: AdapterKey, target: TargetNo) {
+    fn remove_holder(&mut self, key: AdapterKey, target: TargetNo) {
         let Some(holders) = self.holders.get_mut(&key) else {
             return;
         };
@@ -443,40 +446,40 @@
         }
     }
 
-    /// Takes in an engine's report.
+    /// Applies an engine's report.
     ///
-    /// Guards against reports from before a restart, which arrive late: they
-    /// name a load and a cache that are gone.
+    /// Guards against late reports from before a restart: the load and the cached prompts
+    /// that they name are gone.
     fn report(&mut self, report: &Report) {
-        let Some(known) = self.known_mut(report.target) else {
+        let Some(state) = self.state_mut(report.target) else {
             return;
         };
-        if known.target.incarnation != report.incarnation {
+        if state.target.incarnation != report.incarnation {
             base::hit!(report_before_restart);
             return;
         }
-        known.reported(report.taken, report.running + report.waiting);
+        state.reported(report.taken, report.running + report.waiting);
         for prefix in &report.cached {
             self.prefixes.note(report.taken, *prefix, report.target);
         }
     }
 
     fn began(&mut self, target: TargetNo, after: Duration) {
-        self.begin += 0.02 * (after.as_secs_f32() - self.begin);
-        self.with(target, |known| known.began(after));
+        self.first_token += 0.02 * (after.as_secs_f32() - self.first_token);
+        self.update_target(target, |state| state.began(after));
     }
 
-    fn with(&mut self, target: TargetNo, change: impl FnOnce(&mut Known)) {
-        if let Some(known) = self.known_mut(target) {
-            change(known);
+    fn update_target(&mut self, target: TargetNo, change: impl FnOnce(&mut TargetState)) {
+        if let Some(state) = self.state_mut(target) {
+            change(state);
         }
     }
 
-    fn known(&self, target: TargetNo) -> Option<&Known> {
+    fn state(&self, target: TargetNo) -> Option<&TargetState> {
         self.targets.get(target.0 as usize)?.as_ref()
     }
 
-    fn known_mut(&mut self, target: TargetNo) -> Option<&mut Known> {
+    fn state_mut(&mut self, target: TargetNo) -> Option<&mut TargetState> {
         self.targets.get_mut(target.0 as usize)?.as_mut()
     }
 }
--- a/crates/route/src/router/explain.rs
+++ b/crates/route/src/router/explain.rs
@@ -1,50 +1,51 @@
-//! Says why a request goes where it does, by the very functions that choose.
+//! Explains where a request would go, by the same functions that choose the target.
 
 use base::{TargetNo, Time};
 
-use super::{Member, Router, known::Known};
+use super::{Member, Router, known::TargetState};
 use crate::Ask;
 
-/// Where the next request would go, and among what.
+/// The target that a request would be sent to, and all targets considered.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Explanation {
-    /// The target that would be chosen.
+    /// The target that would be chosen; `None` if no target can take the request.
     pub next: Option<TargetNo>,
-    /// All targets of the pool; engines by their rank as the adapter's home.
+    /// All targets of the pool; engines are sorted by their rank as the adapter's home.
     pub candidates: Vec<Candidate>,
 }
 
 /// One target of a pool.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Candidate {
-    /// Its number.
+    /// Number of the target.
     pub target: TargetNo,
-    /// Whether it holds the adapter.
+    /// Whether the adapter is resident on it.
     pub holds: bool,
-    /// Part of its places in use, as far as they count for the class.
+    /// Part of its capacity in use, as far as it counts for the request's class; above
+    /// one, requests queue.
     pub load: f32,
-    /// Whether it may be chosen.
+    /// Whether the target may be chosen.
     pub standing: Standing,
 }
 
 /// Whether a target may be chosen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Standing {
-    /// It may.
+    /// The target may be chosen.
     Usable,
-    /// It failed too often, and is left out for a while.
+    /// The target failed too often and is not chosen for a while.
     LeftOut,
-    /// The platform says that it is to stop.
+    /// The platform announced that the target will stop.
     Leaving,
-    /// It can't be reached from here.
+    /// The target can't be reached from this instance.
     Unreachable,
 }
 
 impl Router {
-    /// Explains where a request would go, and changes nothing: no demand is
-    /// counted and nothing is drawn, so that looking never moves a request.
-    /// Among plain targets that are equally loaded the choice is drawn; the
-    /// first of them is named here.
+    /// Explains where a request would go, without side effects: neither is demand counted
+    /// nor a random number drawn, so that a query never changes later choices. Among
+    /// equally loaded targets of a plain service [`Router::choose`] picks at random; the
+    /// first of them is returned here.
     #[must_use]
     pub fn explain(&self, now: Time, ask: &Ask) -> Explanation {
         let next = match ask.key {
@@ -65,17 +66,17 @@
     }
 
     fn candidate(&self, now: Time, ask: &Ask, member: &Member) -> Option<Candidate> {
-        let known = self.known(member.target)?;
+        let state = self.state(member.target)?;
         Some(Candidate {
             target: member.target,
-            holds: ask.key.is_some_and(|key| known.residents.contains(&key)),
-            load: known.load(now, ask.class, self.begin),
-            standing: known.standing(now),
+            holds: ask.key.is_some_and(|key| state.residents.contains(&key)),
+            load: state.load(now, ask.class, self.first_token),
+            standing: state.standing(now),
         })
     }
 }
 
-impl Known {
+impl TargetState {
     fn standing(&self, now: Time) -> Standing {
         if self.leaving {
             return Standing::Leaving;
@@ -83,7 +84,7 @@
         if !self.reachable {
             return Standing::Unreachable;
         }
-        match self.is_out(now) {
+        match self.is_ejected(now) {
             true => Standing::LeftOut,
             false => Standing::Usable,
         }
--- a/crates/route/src/router/prefixes.rs
+++ b/crates/route/src/router/prefixes.rs
@@ -1,17 +1,17 @@
-//! Which engine has a prompt's head in its cache, as far as is known.
+//! Which engine probably has the beginning of a prompt in its prefix cache.
 
 use std::time::Duration;
 
 use base::{TargetNo, Time};
 
-/// Entries; a power of two. Older ones are overwritten: a table that forgets
-/// suits a cache that evicts without saying so.
-const SIZE: usize = 4096;
+/// Number of entries, a power of two. A colliding entry overwrites the older one; engines
+/// evict cached prefixes without notice, so a table that loses entries is good enough.
+const ENTRIES: usize = 4096;
 
-/// After so long nothing is expected to be cached still.
-const TRUSTED: Duration = Duration::from_secs(120);
+/// Age after which a prefix is assumed to be evicted.
+const EXPIRY: Duration = Duration::from_secs(120);
 
-/// A table of prompt heads of fixed size.
+/// A fixed-size table of prefix hashes and the engines that computed them last.
 #[derive(Clone, Debug)]
 pub(super) struct Prefixes {
     entries: Vec<(u64, TargetNo, Time)>,
@@ -20,23 +20,23 @@
 impl Prefixes {
     pub(super) fn new() -> Self {
         Prefixes {
-            entries: vec![(0, TargetNo(0), Time::ZERO); SIZE],
+            entries: vec![(0, TargetNo(0), Time::ZERO); ENTRIES],
         }
     }
 
-    /// Notes that `target` has computed the head, or reports it.
+    /// Records that `target` computes the prefix now or reports it as cached.
     pub(super) fn note(&mut self, now: Time, prefix: u64, target: TargetNo) {
         if prefix != 0 {
-            self.entries[place(prefix)] = (prefix, target, now);
+            self.entries[index(prefix)] = (prefix, target, now);
         }
     }
 
     pub(super) fn get(&self, now: Time, prefix: u64) -> Option<TargetNo> {
-        let (found, target, at) = self.entries[place(prefix)];
-        (prefix != 0 && found == prefix && now.since(at) < TRUSTED).then_some(target)
+        let (found, target, at) = self.entries[index(prefix)];
+        (prefix != 0 && found == prefix && now.since(at) < EXPIRY).then_some(target)
     }
 
-    /// Forgets a target whose cache is gone.
+    /// Removes all entries of a target whose cache is gone.
     pub(super) fn forget(&mut self, target: TargetNo) {
         for entry in &mut self.entries {
             if entry.1 == target {
@@ -46,6 +46,6 @@
     }
 }
 
-fn place(prefix: u64) -> usize {
-    usize::try_from(prefix % SIZE as u64).unwrap_or(0)
+fn index(prefix: u64) -> usize {
+    usize::try_from(prefix % ENTRIES as u64).unwrap_or(0)
 }
--- a/crates/route/src/scheduler.rs
+++ b/crates/route/src/scheduler.rs
@@ -1,4 +1,4 @@
-//! The owner's side: queues before engines, loads and shares.
+//! The owner's scheduler: request queues, loads, and shares of classes and brands.
 
 mod admit;
 mod engines;
@@ -16,11 +16,11 @@
 
 use crate::{
     Ask, BrandShare, Input, Output,
-    draw::Draw,
+    rng::Rng,
     scheduler::{owned::OwnedEngine, queue::Item},
 };
 
-/// All engines that this instance owns, and the requests for them.
+/// The engines that this instance owns, and the requests for them.
 #[derive(Clone, Debug)]
 pub struct Scheduler {
     engines: BTreeMap<TargetNo, OwnedEngine>,
@@ -29,18 +29,18 @@
     budget: Budget,
     backoff: Backoff,
     brands: BTreeMap<BrandNo, Brand>,
-    draw: Draw,
-    /// Seconds that a load takes, measured.
+    rng: Rng,
+    /// Seconds that a load takes: moving average.
     load_secs: f64,
-    /// When each load under way began.
+    /// Start of each load in progress.
     loading: BTreeMap<(TargetNo, base::AdapterKey), Time>,
-    /// What the last look at the wanted loads found.
-    wanted: loads::Wanted,
-    /// Loads since the last one for batch work.
-    since_batch: u32,
-    /// What the text in force no longer names.
+    /// What kept loads from starting at the last check.
+    blocked: loads::Blocked,
+    /// Loads started since the last one for batch requests.
+    loads_since_batch: u32,
+    /// Resident adapter versions that the text in force no longer names.
     retired: BTreeSet<base::AdapterKey>,
-    /// The wake asked for last.
+    /// Time of the last [`Output::Wake`], until it has passed.
     wake: Option<Time>,
 }
 
@@ -56,11 +56,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
     Queued,
-    /// Sent to that life of the engine.
+    /// Sent to this incarnation of the engine.
     Sent(base::Incarnation),
 }
 
-/// A brand's weight and figures.
+/// A brand's weight and counters.
 #[derive(Clone, Debug)]
 struct Brand {
     weight: u32,
@@ -68,7 +68,7 @@
 }
 
 impl Scheduler {
-    /// Makes a scheduler without engines; `seed` spreads `Retry-After`.
+    /// Creates a scheduler without engines; `seed` is used to spread `Retry-After`.
     #[must_use]
     pub fn new(seed: u64) -> Self {
         Scheduler {
@@ -78,17 +78,17 @@
             budget: Budget::new(Time::ZERO, 0),
             backoff: Backoff::default(),
             brands: BTreeMap::new(),
-            draw: Draw::new(seed),
+            rng: Rng::new(seed),
             load_secs: loads::LOAD_SECS,
             loading: BTreeMap::new(),
-            wanted: loads::Wanted::default(),
-            since_batch: 0,
+            blocked: loads::Blocked::default(),
+            loads_since_batch: 0,
             retired: BTreeSet::new(),
             wake: None,
         }
     }
 
-    /// Takes in one event.
+    /// Handles one event at `now` and appends the actions that follow to `out`.
     pub fn handle(&mut self, now: Time, input: Input, out: &mut Vec<Output>) {
         if self.wake.is_some_and(|at| at <= now) {
             self.wake = None;
@@ -123,36 +123,38 @@
             Input::Retired(keys) => self.retired(keys),
             Input::Asked(target) => {
                 if let Some(owned) = self.engines.get_mut(&target) {
-                    owned.tell_whole(now, out);
+                    owned.publish_full(now, out);
                 }
             }
             Input::Wake => {}
         }
-        self.settle(now, out);
+        self.advance(now, out);
     }
 
-    /// Returns the loads that wait, for this instance's part of the budget.
+    /// Returns the number of adapters waiting to be loaded, by which this instance's part
+    /// of the store's budget is computed.
     #[must_use]
     pub fn loads_wanted(&self) -> u32 {
-        self.count_wants()
+        self.count_waiting()
     }
 
-    /// Returns each brand's share and waits, for `status`.
+    /// Returns each brand's counters, for `status`.
     #[must_use]
     pub fn shares(&self) -> Vec<BrandShare> {
         self.brands.values().map(|b| b.share.clone()).collect()
     }
 
-    /// Does what has become possible: refuses what is late, sends, loads.
-    fn settle(&mut self, now: Time, out: &mut Vec<Output>) {
+    /// Does what has become possible: refuses requests past their deadline, sends
+    /// requests, starts loads, and publishes changes of load.
+    fn advance(&mut self, now: Time, out: &mut Vec<Output>) {
         self.expire(now, out);
         self.send_all(now, out);
         self.unload_retired(now, out);
         self.load(now, out);
         for owned in self.engines.values_mut() {
-            owned.tell_load(now, out);
+            owned.publish_load(now, out);
         }
-        self.ask_wake(now, out);
+        self.request_wake(now, out);
     }
 
     fn arrive(
@@ -216,7 +218,7 @@
         }
         let owned = self.engines.get_mut(&request.target);
         if let Some(sent) = owned.and_then(|b| b.sent.get_mut(&ticket)) {
-            sent.gone = true;
+            sent.caller_gone = true;
         }
     }
 
@@ -224,7 +226,7 @@
         let Some(mut request) = self.requests.remove(&ticket) else {
             return;
         };
-        let State::Sent(life) = request.state else {
+        let State::Sent(incarnation) = request.state else {
             self.dequeue(ticket, &request);
             return;
         };
@@ -236,19 +238,20 @@
             return;
         };
         owned.running[sent.item.class as usize] -= 1;
-        owned.yielding -= u32::from(sent.yields);
-        // A pin of an earlier life must not be taken off the same adapter
-        // loaded again since: it would look unused under a running request.
+        owned.preempting -= u32::from(sent.preempted);
+        // A request of a former incarnation must not release a pin on the same adapter
+        // loaded again since: the adapter would look unused while a request is running on
+        // it.
         let slot = request.ask.key.and_then(|key| owned.slots.get_mut(key));
-        if let Some(slot) = slot.filter(|_| life == owned.engine.incarnation) {
+        if let Some(slot) = slot.filter(|_| incarnation == owned.engine.incarnation) {
             slot.pins = slot.pins.saturating_sub(1);
             slot.last = now;
         }
-        if ok && !sent.yields {
-            owned.measured(sent.item.tokens, now.since(sent.at));
+        if ok && !sent.preempted {
+            owned.record_speed(sent.item.tokens, now.since(sent.at));
         }
         owned.count_batch(&sent.item, request.ask.deadline, false);
-        if sent.yields && !sent.gone {
+        if sent.preempted && !sent.caller_gone {
             request.state = State::Queued;
             self.requests.insert(ticket, request);
             self.enqueue(ticket, &request, true);
@@ -278,7 +281,7 @@
         out.push(Output::Refuse { ticket, failure });
     }
 
-    /// Refuses what can no longer be met, instead of holding it.
+    /// Refuses queued requests whose deadline has passed.
     fn expire(&mut self, now: Time, out: &mut Vec<Output>) {
         let mut late = Vec::new();
         for owned in self.engines.values() {
@@ -294,10 +297,10 @@
         }
     }
 
-    fn ask_wake(&mut self, now: Time, out: &mut Vec<Output>) {
+    fn request_wake(&mut self, now: Time, out: &mut Vec<Output>) {
         let due = self.engines.values().flat_map(|b| b.due.iter());
         let due = due.filter_map(|d| d.first().map(|(at, _)| *at)).min();
-        let load = self.wanted.next(now, &self.budget);
+        let load = self.blocked.next(now, &self.budget);
         let Some(at) = due.into_iter().chain(load).min() else {
             return;
         };
@@ -321,8 +324,8 @@
     }
 }
 
-/// How much one use counts for keeping an adapter: batch work can wait for a
-/// load, somebody who watches can't.
+/// Returns the weight of one request in an adapter's usage rate, by which adapters are
+/// kept: batch requests can wait for a load, interactive ones can't.
 fn use_weight(class: Class) -> f32 {
     match class {
         Class::Critical | Class::Live => 1.0,
--- a/crates/route/src/scheduler/admit.rs
+++ b/crates/route/src/scheduler/admit.rs
@@ -1,4 +1,4 @@
-//! Admission: what can't be met is refused at once.
+//! Admission control: requests that can't be served in time are refused at once.
 
 use std::time::Duration;
 
@@ -9,26 +9,32 @@
     scheduler::{Scheduler, owned::OwnedEngine},
 };
 
-/// Live requests that may wait for one engine, as a multiple of its batch.
-const LIVE_QUEUE: u32 = 8;
+/// Live requests that may queue for one engine, as a multiple of its batch size.
+const LIVE_QUEUE_BATCHES: u32 = 8;
 
-/// Batch requests that may wait for one engine. Bounds memory at some ten
-/// megabytes; a night's screening is spread over engines.
-const BATCH_QUEUE: u32 = 50_000;
+/// Batch requests that may queue for one engine. Bounds memory at about ten megabytes;
+/// large batch jobs are spread over engines.
+const BATCH_QUEUE_MAX: u32 = 50_000;
 
-/// How much longer than estimated a load may take: later requests for another
-/// adapter go first where more of them wait.
+/// Safety factor on the estimated wait for a load: it may take longer, because requests
+/// that arrive later for another adapter go first if more of them wait.
 const LOAD_MARGIN: f64 = 2.0;
 
-/// Longest time that a caller is told to stay away.
-const RETRY_MAX: f64 = 60.0;
+/// Longest `Retry-After` before it is spread, in seconds.
+const RETRY_AFTER_MAX_SECS: f64 = 60.0;
 
 impl Scheduler {
     /// Checks a new request against class, brand and deadline.
     ///
-    /// Guards against an overload that is held instead of turned away: queues
-    /// grow until every answer is late, and all work is done for callers that
-    /// have left. A critical request always passes.
+    /// Guards against queueing during an overload: queues would grow until every answer
+    /// is late, and all work would be done for callers that have left. A critical request
+    /// is refused only where the engine is not owned or its adapter's load is backed off
+    /// beyond the deadline.
+    ///
+    /// # Errors
+    ///
+    /// Fails as `not run` when the request can't be served in time or its brand is over
+    /// its share of the queue.
     pub(super) fn admit(&mut self, now: Time, target: TargetNo, ask: &Ask) -> Result<(), Failure> {
         let Some(owned) = self.engines.get(&target) else {
             return Err(Failure::not_run(Refusal::Unavailable));
@@ -59,14 +65,14 @@
         Ok(())
     }
 
-    /// Draws when to come back: from half to one and a half of `secs`, so
-    /// that callers turned away together don't return together.
+    /// Returns a random `Retry-After` from half to one and a half of `secs`, so that
+    /// callers refused at the same time don't return at the same time.
     pub(super) fn retry_after(&mut self, secs: f64) -> Duration {
-        let wait = secs.clamp(1.0, RETRY_MAX) * (0.5 + self.draw.part());
+        let wait = secs.clamp(1.0, RETRY_AFTER_MAX_SECS) * (0.5 + self.rng.next_f64());
         Duration::from_secs_f64(wait)
     }
 
-    /// Estimates how long a request would wait before being sent.
+    /// Estimates the seconds that a request would wait before being sent.
     fn wait_secs(&self, owned: &OwnedEngine, ask: &Ask) -> f64 {
         let ahead: u64 = match ask.class {
             Class::Batch => Class::ALL.into_iter().map(|c| owned.queue.tokens(c)).sum(),
@@ -82,8 +88,8 @@
         queue.max(load)
     }
 
-    /// Tokens that go before a live request of this brand: never more than
-    /// its own queue stretched by the others' shares.
+    /// Returns the tokens served before a live request of this brand: at most the brand's
+    /// own queue, scaled by the other brands' weights.
     fn ahead_of_brand(&self, owned: &OwnedEngine, ask: &Ask) -> u64 {
         let (_, own) = owned.queue.of_brand(ask.class, ask.brand);
         let weight = u64::from(self.weight(ask.brand));
@@ -92,12 +98,12 @@
         fair.min(owned.queue.tokens(ask.class))
     }
 
-    /// Returns whether the queue is so long that shares count, and the brand
-    /// has more than its own.
+    /// Returns whether the queue is so long that brands are held to their shares, and the
+    /// brand has used up its own; or whether the queue is full.
     fn over_share(&self, owned: &OwnedEngine, ask: &Ask) -> bool {
         let most = match ask.class {
-            Class::Batch => BATCH_QUEUE,
-            _ => owned.engine.batch * LIVE_QUEUE,
+            Class::Batch => BATCH_QUEUE_MAX,
+            _ => owned.engine.batch * LIVE_QUEUE_BATCHES,
         };
         let queued = owned.queue.queued(ask.class);
         if queued < most / 2 {
--- a/crates/route/src/scheduler/engines.rs
+++ b/crates/route/src/scheduler/engines.rs
@@ -1,4 +1,4 @@
-//! Engines that come, go, restart and report.
+//! Engines that are gained, lost, restarted, or report their state.
 
 use base::{AdapterKey, Class, Failure, Incarnation, Refusal, TargetNo, Time};
 use place::SlotState;
@@ -39,11 +39,11 @@
                 slot.inherited = inherited;
             }
         }
-        owned.tell_whole(now, out);
+        owned.publish_full(now, out);
     }
 
-    /// An engine came back empty: what it held is loaded again from spare
-    /// budget, most used first, before it is asked for.
+    /// Resets an engine that restarted empty. The adapters that it held are loaded again
+    /// from spare budget, most used first, before requests ask for them.
     fn restarted(&mut self, now: Time, engine: Engine) {
         let target = engine.target;
         let Some(owned) = self.engines.get_mut(&target) else {
@@ -52,31 +52,31 @@
         let held = owned.slots.iter().filter(|s| !s.retired);
         let mut held: Vec<_> = held.map(|s| (s.used.slow(now), s.key)).collect();
         held.sort_by(|a, b| b.0.total_cmp(&a.0));
-        let clearing = owned.slots.iter();
-        let clearing =
-            clearing.filter(|s| matches!(s.state, SlotState::Unloading { next: Some(_) }));
-        let clearing = clearing.count();
-        owned.ahead = held.into_iter().map(|(_, key)| key).collect();
+        let evicting = owned.slots.iter();
+        let evicting =
+            evicting.filter(|s| matches!(s.state, SlotState::Unloading { next: Some(_) }));
+        let evicting = evicting.count();
+        owned.prefetch = held.into_iter().map(|(_, key)| key).collect();
         owned.slots = place::Slots::new(engine.slots);
         owned.engine = engine;
         owned.clearing = None;
-        self.drop_loads(target, clearing);
+        self.drop_loads(target, evicting);
     }
 
-    /// Gives an engine up. What is queued goes back to its entry instance;
-    /// what runs goes on.
+    /// Removes an engine that this instance no longer owns. Queued requests are refused
+    /// as `not run`; running ones continue.
     pub(super) fn lost(&mut self, target: TargetNo, out: &mut Vec<Output>) {
         let Some(owned) = self.engines.get_mut(&target) else {
             return;
         };
         let items = owned.queue.drain();
-        let clearing = owned.slots.iter();
-        let clearing =
-            clearing.filter(|s| matches!(s.state, SlotState::Unloading { next: Some(_) }));
-        let clearing = clearing.count();
+        let evicting = owned.slots.iter();
+        let evicting =
+            evicting.filter(|s| matches!(s.state, SlotState::Unloading { next: Some(_) }));
+        let evicting = evicting.count();
         self.engines.remove(&target);
         self.backoff.forget(target);
-        self.drop_loads(target, clearing);
+        self.drop_loads(target, evicting);
         for item in items {
             self.requests.remove(&item.ticket);
             self.brand(item.brand).share.queued -= 1;
@@ -87,12 +87,12 @@
         }
     }
 
-    /// Takes in an engine's own account.
+    /// Applies an engine's report of its resident adapters.
     ///
-    /// Guards against eviction under the owner before: a report taken before
-    /// that owner's lease ended does not show what it sent since, so only a
-    /// later one may say that an inherited adapter is unused. A report of an
-    /// earlier life says nothing at all.
+    /// Guards against evicting an adapter that the previous owner's requests still use: a
+    /// report taken before that owner's lease ended doesn't show what it sent since, so
+    /// only a later report may show that an inherited adapter is unused. A report of a
+    /// former incarnation is dropped.
     pub(super) fn report(
         &mut self,
         now: Time,
@@ -106,7 +106,7 @@
             return;
         };
         if incarnation != owned.engine.incarnation {
-            base::hit!(report_of_other_life);
+            base::hit!(report_of_other_incarnation);
             return;
         }
         if taken <= owned.owned_at {
@@ -133,7 +133,7 @@
             }
         }
         if !gone.is_empty() {
-            owned.tell(now, Vec::new(), gone, out);
+            owned.publish(now, Vec::new(), gone, out);
         }
     }
 
@@ -141,17 +141,17 @@
         for owned in self.engines.values_mut() {
             let live = owned.slots.has_or_gets(old) || owned.queue.waits_for(old, Class::Batch);
             if live && !owned.slots.has_or_gets(new) {
-                owned.rolls.push((old, new));
+                owned.upgrades.push((old, new));
             }
         }
     }
 
-    /// Forgets loads under way at an engine, and `clearing` ones that waited
-    /// for a slot, so that the budget does not wait for their ends.
-    fn drop_loads(&mut self, target: TargetNo, clearing: usize) {
+    /// Forgets the loads in progress at an engine, and `evicting` loads that waited for a
+    /// slot to be emptied, so that the budget doesn't wait for their ends.
+    fn drop_loads(&mut self, target: TargetNo, evicting: usize) {
         let before = self.loading.len();
         self.loading.retain(|(t, _), _| *t != target);
-        for _ in 0..(before - self.loading.len() + clearing) {
+        for _ in 0..(before - self.loading.len() + evicting) {
             self.budget.ended();
         }
     }
--- a/crates/route/src/scheduler/loads.rs
+++ b/crates/route/src/scheduler/loads.rs
@@ -1,4 +1,4 @@
-//! Loads: which adapter is loaded next, and what makes room for it.
+//! Which adapter is loaded next, and into which slot.
 
 use std::time::Duration;
 
@@ -7,31 +7,32 @@
 
 use crate::{
     Ask, LoadEnd, Ordering, Output,
-    scheduler::{Scheduler, State, queue::Want, room::Room},
+    scheduler::{Scheduler, State, queue::Waiting, room::Room},
 };
 
-/// Seconds that a load takes, before any was measured.
+/// Assumed seconds of a load, before any was measured.
 pub(super) const LOAD_SECS: f64 = 0.5;
 
-/// Weight of the newest measurement of the seconds a load takes.
+/// Weight of the newest sample in the moving average of a load's seconds.
 const LOAD_GAIN: f64 = 0.1;
 
-/// Of this many loads one is for batch work that is short of time, if any is.
-const BATCH_TURN: u32 = 3;
+/// While batch work needs its guaranteed share, one load in this many is for batch
+/// requests.
+const LOADS_PER_BATCH_LOAD: u32 = 3;
 
-/// What the last look for loads found.
+/// What kept loads from starting at the last check.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Wanted {
-    /// Whether something waits for the budget alone.
+pub(super) struct Blocked {
+    /// Whether a load waits only for the budget.
     budget: bool,
-    /// Whether something waits for spare budget alone.
+    /// Whether a load waits only for spare budget.
     spare: bool,
-    /// When the first load backed off may be tried again.
+    /// When the first load that is backed off may be tried again.
     backoff: Option<Time>,
 }
 
-impl Wanted {
-    /// Returns when to look again.
+impl Blocked {
+    /// Returns when to check again.
     pub(super) fn next(&self, now: Time, budget: &Budget) -> Option<Time> {
         let need = self.budget.then(|| budget.next_at(now, false)).flatten();
         let spare = self.spare.then(|| budget.next_at(now, true)).flatten();
@@ -39,21 +40,22 @@
     }
 }
 
-/// A load that may start.
+/// A load selected to start.
 #[derive(Clone, Copy, Debug)]
 struct Pick {
     target: TargetNo,
     key: AdapterKey,
     room: Room,
     class: Class,
-    /// Whether requests wait for it, so that others may join them.
+    /// Whether requests wait for the adapter; it is then published at once, so that entry
+    /// instances send further requests for it here.
     awaited: bool,
 }
 
 impl Scheduler {
-    /// Starts the loads that budget and slots allow, most urgent first.
+    /// Starts the loads that the budget and the slots allow, most urgent first.
     pub(super) fn load(&mut self, now: Time, out: &mut Vec<Output>) {
-        self.wanted = Wanted::default();
+        self.blocked = Blocked::default();
         while self.budget.allows_critical(now) {
             let Some(pick) = self.pick_class(now, Class::Critical) else {
                 break;
@@ -61,13 +63,13 @@
             self.start(now, pick, out);
         }
         while self.budget.allows(now, false) {
-            let Some(pick) = self.pick_due(now).or_else(|| self.pick_urgent(now)) else {
+            let Some(pick) = self.pick_guaranteed(now).or_else(|| self.pick_urgent(now)) else {
                 break;
             };
             self.start(now, pick, out);
         }
         let allowed = self.budget.allows(now, false);
-        self.wanted.budget = !allowed && self.any_want();
+        self.blocked.budget = !allowed && self.any_waiting();
         self.clear_slots(now, allowed, out);
         while self.budget.allows(now, true) {
             let Some(pick) = self.pick_spare(now) else {
@@ -75,28 +77,28 @@
             };
             self.start(now, pick, out);
         }
-        self.wanted.spare = self.any_want() || self.engines.values().any(|b| !b.ahead.is_empty());
+        self.blocked.spare = self.any_waiting() || self.engines.values().any(|b| !b.prefetch.is_empty());
     }
 
-    /// Returns the adapters that wait to be loaded.
-    pub(super) fn count_wants(&self) -> u32 {
-        let wants = self.engines.values().flat_map(|owned| {
-            let wants = Class::ALL.into_iter().flat_map(|c| owned.queue.wants(c));
-            wants.filter(|w| !owned.slots.has_or_gets(w.key))
+    /// Returns the number of adapters that wait to be loaded.
+    pub(super) fn count_waiting(&self) -> u32 {
+        let waiting = self.engines.values().flat_map(|owned| {
+            let waiting = Class::ALL.into_iter().flat_map(|c| owned.queue.waiting(c));
+            waiting.filter(|w| !owned.slots.has_or_gets(w.key))
         });
-        u32::try_from(wants.count()).unwrap_or(u32::MAX)
+        u32::try_from(waiting.count()).unwrap_or(u32::MAX)
     }
 
-    /// Estimates how long a request of `class` waits for a load that is not
-    /// under way yet.
+    /// Estimates the seconds that a request of `class` waits for a load that has not
+    /// started.
     pub(super) fn load_wait(&self, class: Class) -> f64 {
         let rate = f64::from(self.budget.rate()) / 1_000.0;
-        let wants = self.engines.values().flat_map(|owned| {
+        let waiting = self.engines.values().flat_map(|owned| {
             let classes = Class::ALL.into_iter().filter(move |c| *c >= class);
-            let wants = classes.flat_map(|c| owned.queue.wants(c));
-            wants.filter(|w| !owned.slots.has_or_gets(w.key))
+            let waiting = classes.flat_map(|c| owned.queue.waiting(c));
+            waiting.filter(|w| !owned.slots.has_or_gets(w.key))
         });
-        let before = wants.count() as f64;
+        let before = waiting.count() as f64;
         if rate <= 0.0 {
             return self.load_secs;
         }
@@ -121,7 +123,7 @@
         };
         if end == LoadEnd::Failed {
             owned.slots.remove(key);
-            owned.tell(now, Vec::new(), vec![key], out);
+            owned.publish(now, Vec::new(), vec![key], out);
             self.load_failed(now, target, key, out);
             return;
         }
@@ -132,12 +134,12 @@
         };
         slot.state = SlotState::Ready;
         slot.used = demand;
-        for (old, _) in owned.rolls.extract_if(.., |(_, new)| *new == key) {
+        for (old, _) in owned.upgrades.extract_if(.., |(_, new)| *new == key) {
             if let Some(slot) = owned.slots.get_mut(old) {
                 slot.retired = true;
             }
         }
-        owned.tell(now, vec![key], Vec::new(), out);
+        owned.publish(now, vec![key], Vec::new(), out);
     }
 
     pub(super) fn unloaded(
@@ -163,7 +165,7 @@
             if next.is_some() {
                 self.budget.give_back();
             }
-            owned.tell(now, vec![key], Vec::new(), out);
+            owned.publish(now, vec![key], Vec::new(), out);
             return;
         }
         owned.slots.remove(key);
@@ -173,9 +175,10 @@
         self.order(now, target, next, out);
     }
 
-    /// Backs the load off, and hands live requests back so that they try
-    /// another engine. A critical one stays if the next try here comes in
-    /// time: its attempts elsewhere are few, and it must be answered.
+    /// Backs the load off, and refuses the live requests that wait for it, so that their
+    /// entry instances retry them on another engine. A critical request stays queued if
+    /// the next load attempt here comes before its deadline, since few of its attempts
+    /// are left for other engines and it has to be answered.
     fn load_failed(&mut self, now: Time, target: TargetNo, key: AdapterKey, out: &mut Vec<Output>) {
         base::hit!(load_backed_off);
         let until = self.backoff.failed(now, target, key);
@@ -193,7 +196,7 @@
         }
     }
 
-    /// Whether a request may wait for a load that is backed off.
+    /// Returns whether a request may wait for a load that is backed off.
     pub(super) fn can_wait(&self, ask: &Ask, until: Time) -> bool {
         match ask.class {
             Class::Batch => true,
@@ -207,11 +210,11 @@
         let Some(owned) = self.engines.get_mut(&pick.target) else {
             return;
         };
-        self.since_batch = match pick.class {
+        self.loads_since_batch = match pick.class {
             Class::Batch => 0,
-            _ => self.since_batch + 1,
+            _ => self.loads_since_batch + 1,
         };
-        owned.ahead.retain(|key| *key != pick.key);
+        owned.prefetch.retain(|key| *key != pick.key);
         owned.clearing = None;
         let added = if pick.awaited {
             vec![pick.key]
@@ -219,7 +222,7 @@
             Vec::new()
         };
         let Room::Evict(victim) = pick.room else {
-            owned.tell(now, added, Vec::new(), out);
+            owned.publish(now, added, Vec::new(), out);
             self.order(now, pick.target, pick.key, out);
             return;
         };
@@ -228,7 +231,7 @@
                 next: Some(pick.key),
             };
         }
-        owned.tell(now, added, vec![victim], out);
+        owned.publish(now, added, vec![victim], out);
         out.push(Output::Unload {
             target: pick.target,
             key: victim,
@@ -244,40 +247,41 @@
         out.push(Output::Load { target, key });
     }
 
-    fn any_want(&self) -> bool {
+    fn any_waiting(&self) -> bool {
         self.engines.values().any(|owned| {
-            let mut wants = Class::ALL.into_iter().flat_map(|c| owned.queue.wants(c));
+            let mut waiting = Class::ALL.into_iter().flat_map(|c| owned.queue.waiting(c));
             owned.engine.ordering != Ordering::None
-                && wants.any(|w| !owned.slots.has_or_gets(w.key))
+                && waiting.any(|w| !owned.slots.has_or_gets(w.key))
         })
     }
 
-    /// Picks a load for batch work that needs its guaranteed share, when it is
-    /// its turn.
+    /// Picks a load for batch work that needs its guaranteed share, once enough other
+    /// loads have started.
     ///
-    /// Guards against a live overload that takes every load: batch work would
-    /// keep its places, but nothing to run in them, and miss its time.
-    fn pick_due(&mut self, now: Time) -> Option<Pick> {
-        let due = self.since_batch >= BATCH_TURN - 1
+    /// Guards against a live overload that takes every load: batch work would have its
+    /// share of the concurrency but no resident adapter to use it with, and would miss
+    /// its deadline.
+    fn pick_guaranteed(&mut self, now: Time) -> Option<Pick> {
+        let due = self.loads_since_batch >= LOADS_PER_BATCH_LOAD - 1
             && self.engines.values().any(|owned| owned.guaranteed(now) > 0);
         let pick = due.then(|| self.pick_class(now, Class::Batch)).flatten()?;
         base::hit!(batch_load_due);
         Some(pick)
     }
 
-    /// Picks what live requests wait for, then newer versions.
+    /// Picks an adapter that live requests wait for, or else a newer version.
     fn pick_urgent(&mut self, now: Time) -> Option<Pick> {
         if let Some(pick) = self.pick_class(now, Class::Live) {
             return Some(pick);
         }
         let mut best = None;
         for (target, owned) in &self.engines {
-            let roll = owned.rolls.iter().find(|(old, new)| {
+            let upgrade = owned.upgrades.iter().find(|(old, new)| {
                 owned.slots.has_or_gets(*old)
                     && !owned.slots.has_or_gets(*new)
                     && self.backoff.until(now, *target, *new).is_none()
             });
-            if let Some((_, new)) = roll
+            if let Some((_, new)) = upgrade
                 && let Some(room) = self.room(now, owned, Class::Live)
             {
                 best = best.or(Some(Pick {
@@ -292,14 +296,15 @@
         best
     }
 
-    /// Picks what batch requests wait for, then what may be needed.
+    /// Picks an adapter that batch requests wait for, or else one to load ahead of
+    /// requests.
     fn pick_spare(&mut self, now: Time) -> Option<Pick> {
         if let Some(pick) = self.pick_class(now, Class::Batch) {
             return Some(pick);
         }
         for (target, owned) in &mut self.engines {
             let (slots, backoff) = (&owned.slots, &self.backoff);
-            owned.ahead.retain(|key| {
+            owned.prefetch.retain(|key| {
                 !slots.has_or_gets(*key) && backoff.until(now, *target, *key).is_none()
             });
         }
@@ -307,7 +312,7 @@
             let free = owned.engine.ordering != Ordering::None && owned.slots.has_free();
             Some(Pick {
                 target: *target,
-                key: *owned.ahead.front().filter(|_| free)?,
+                key: *owned.prefetch.front().filter(|_| free)?,
                 room: Room::Free,
                 class: Class::Batch,
                 awaited: false,
@@ -315,11 +320,11 @@
         })
     }
 
-    /// Picks the adapter that most wait for, weighed by how long they wait.
-    /// One load serves all that wait for it.
+    /// Picks the adapter with the most requests waiting, weighted by how long they have
+    /// waited. One load serves all requests that wait for it.
     fn pick_class(&mut self, now: Time, class: Class) -> Option<Pick> {
         let mut best: Option<(f32, Pick)> = None;
-        let mut backoff = self.wanted.backoff;
+        let mut backoff = self.blocked.backoff;
         for (target, owned) in &self.engines {
             if owned.queue.queued(class) == 0 {
                 continue;
@@ -327,19 +332,19 @@
             let Some(room) = self.room(now, owned, class) else {
                 continue;
             };
-            for want in owned.queue.wants(class) {
-                if owned.slots.has_or_gets(want.key) {
+            for group in owned.queue.waiting(class) {
+                if owned.slots.has_or_gets(group.key) {
                     continue;
                 }
-                if let Some(until) = self.backoff.until(now, *target, want.key) {
+                if let Some(until) = self.backoff.until(now, *target, group.key) {
                     backoff = Some(backoff.map_or(until, |at| at.min(until)));
                     continue;
                 }
-                let score = score(now, &want);
+                let score = score(now, &group);
                 if best.is_none_or(|(most, _)| score > most) {
                     let pick = Pick {
                         target: *target,
-                        key: want.key,
+                        key: group.key,
                         room,
                         class,
                         awaited: true,
@@ -348,12 +353,12 @@
                 }
             }
         }
-        self.wanted.backoff = backoff;
+        self.blocked.backoff = backoff;
         best.map(|(_, pick)| pick)
     }
 }
 
-/// How much a load matters: all the time that requests wait for it.
-fn score(now: Time, want: &Want) -> f32 {
-    want.count as f32 * (now.since(want.since).as_secs_f32() + 0.1)
+/// Returns the priority of a load: the total time that requests have waited for it.
+fn score(now: Time, group: &Waiting) -> f32 {
+    group.count as f32 * (now.since(group.since).as_secs_f32() + 0.1)
 }
--- a/crates/route/src/scheduler/owned.rs
+++ b/crates/route/src/scheduler/owned.rs
@@ -1,4 +1,4 @@
-//! One engine as its owner sees it.
+//! State of one owned engine.
 
 use std::{
     collections::{BTreeMap, BTreeSet, VecDeque},
@@ -13,70 +13,73 @@
     scheduler::queue::{Item, Queue},
 };
 
-/// Seconds that one token of an answer takes, before anything was measured.
+/// Assumed seconds per generated token, before any was measured.
 const TOKEN_SECS: f64 = 0.025;
 
-/// Weight of the newest measurement of the seconds a token takes.
+/// Weight of the newest sample in the moving average of the seconds per token.
 const TOKEN_GAIN: f64 = 0.02;
 
-/// One place in this many is kept free of live work for critical requests.
-const CRITICAL_PART: u32 = 32;
+/// One in this many concurrent requests is reserved for critical requests.
+const CRITICAL_RESERVE: u32 = 32;
 
-/// One place in this many is kept free of batch work, so that a live request
-/// starts without waiting for a running one to give way.
-const LIVE_PART: u32 = 8;
+/// One in this many concurrent requests is not given to batch work, so that a live
+/// request starts without waiting for a preemption.
+const LIVE_RESERVE: u32 = 8;
 
-/// Batch work gets this much more than it needs by its measured speed.
-const URGENT_MARGIN: f64 = 1.25;
+/// Factor by which the guaranteed batch share exceeds what the measured speed calls for.
+const GUARANTEE_MARGIN: f64 = 1.25;
 
-/// Entry instances hear of the load at most this often unless what is held
-/// changes.
-const TELL_EVERY: Duration = Duration::from_millis(50);
+/// Shortest interval between publications of an engine's load, unless its resident
+/// adapters change.
+const PUBLISH_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Entry instances hear of a change in what a load would evict by one part in
-/// this many.
-const WORTH_STEP: u32 = 4;
+/// A change of the eviction cost is published when it exceeds one part in this many.
+const WORTH_CHANGE: u32 = 4;
 
-/// Told where every slot is in use: another engine is better.
-const ALL_IN_USE: u32 = 1_000_000;
+/// Eviction cost published while every slot is in use, so that entry instances prefer
+/// other engines.
+const ALL_IN_USE_WORTH: u32 = 1_000_000;
 
-/// A sent request.
+/// A request sent to the engine.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Sent {
     pub(crate) item: Item,
     pub(crate) at: Time,
-    /// Whether it was told to give way.
-    pub(crate) yields: bool,
+    /// Whether its preemption was requested.
+    pub(crate) preempted: bool,
     /// Whether its caller has left.
-    pub(crate) gone: bool,
+    pub(crate) caller_gone: bool,
 }
 
-/// One engine, its queue, and what runs there.
+/// One owned engine, its queue and its running requests.
 #[derive(Clone, Debug)]
 pub(crate) struct OwnedEngine {
     pub(crate) engine: Engine,
     pub(crate) slots: Slots,
     pub(crate) queue: Queue,
     pub(crate) sent: BTreeMap<Ticket, Sent>,
-    /// Queued requests by deadline, a set for each class.
+    /// Queued requests by deadline, indexed by class.
     pub(crate) due: [BTreeSet<(Time, Ticket)>; 3],
-    /// Batch requests admitted and not ended, by deadline, and their tokens.
+    /// Batch requests admitted and not ended, by deadline; `batch_tokens` is the sum of
+    /// their tokens.
     pub(crate) batch_due: BTreeSet<(Time, Ticket)>,
     pub(crate) batch_tokens: u64,
-    /// Adapters to load from spare budget, best first.
-    pub(crate) ahead: VecDeque<AdapterKey>,
-    /// Newer versions to load, with the versions they replace.
-    pub(crate) rolls: Vec<(AdapterKey, AdapterKey)>,
-    /// A slot being emptied: nothing more is sent to it.
+    /// Adapters to load ahead of requests from spare budget, best first.
+    pub(crate) prefetch: VecDeque<AdapterKey>,
+    /// Pairs of an adapter version in use and the newer version to load in its place.
+    pub(crate) upgrades: Vec<(AdapterKey, AdapterKey)>,
+    /// The adapter whose slot is being cleared: no more live or batch requests are sent
+    /// to it.
     pub(crate) clearing: Option<AdapterKey>,
     pub(crate) running: [u32; 3],
-    pub(crate) yielding: u32,
-    /// From when an inherited adapter may be believed to be unused.
+    pub(crate) preempting: u32,
+    /// When this instance took over; only a report taken later shows that an inherited
+    /// adapter is unused.
     pub(crate) owned_at: Time,
     token_secs: f64,
-    told: (u32, u32),
-    told_worth: u32,
-    told_at: Time,
+    published: (u32, u32),
+    published_worth: u32,
+    published_at: Time,
 }
 
 impl OwnedEngine {
@@ -89,20 +92,21 @@
             due: Default::default(),
             batch_due: BTreeSet::new(),
             batch_tokens: 0,
-            ahead: VecDeque::new(),
-            rolls: Vec::new(),
+            prefetch: VecDeque::new(),
+            upgrades: Vec::new(),
             clearing: None,
             running: [0; 3],
-            yielding: 0,
+            preempting: 0,
             owned_at: now,
             token_secs: TOKEN_SECS,
-            told: (0, 0),
-            told_worth: 0,
-            told_at: now,
+            published: (0, 0),
+            published_worth: 0,
+            published_at: now,
         }
     }
 
-    /// Counts a batch request in or out of what has to end by its time.
+    /// Adds a batch request to, or removes it from, the work that the guaranteed share is
+    /// computed from.
     pub(crate) fn count_batch(&mut self, item: &Item, deadline: Time, admitted: bool) {
         if item.class != Class::Batch {
             return;
@@ -117,18 +121,20 @@
         }
     }
 
-    pub(crate) fn in_batch(&self) -> u32 {
+    pub(crate) fn running_total(&self) -> u32 {
         self.running.iter().sum()
     }
 
-    /// Requests admitted and not ended: critical and live ones, batch ones.
+    /// Returns the requests admitted and not ended: critical and live ones, and batch
+    /// ones.
     fn admitted(&self) -> (u32, u32) {
         let of = |class: Class| self.queue.queued(class) + self.running[class as usize];
         (of(Class::Critical) + of(Class::Live), of(Class::Batch))
     }
 
-    /// Adapters that requests of `class` may be sent for now; those in use
-    /// first, so that batch work adds few adapters to the engine's batch.
+    /// Returns the adapters that requests of `class` may be sent to now; those with most
+    /// requests come first, so that batch work adds few distinct adapters to the engine's
+    /// batch.
     pub(crate) fn ready(&self, class: Class) -> Vec<Option<AdapterKey>> {
         let slots = self.slots.iter().filter(|s| s.state == SlotState::Ready);
         let slots = slots.filter(|s| class == Class::Critical || self.clearing != Some(s.key));
@@ -138,96 +144,99 @@
         std::iter::once(None).chain(keys).collect()
     }
 
-    /// Places that batch work keeps even while live work waits: as many as it
-    /// needs to end by its earliest deadline, up to half of all.
+    /// Returns the number of concurrent batch requests guaranteed even while live
+    /// requests wait: as many as the batch work needs to end by its earliest deadline, up
+    /// to half of all.
     ///
-    /// Running work counts as well: else sending a request would lower the
-    /// share, and the same request would at once be told to give way.
+    /// Running batch requests count as remaining work: otherwise sending a request would
+    /// lower the share, and the same request would be preempted at once.
     pub(crate) fn guaranteed(&self, now: Time) -> u32 {
         let Some((due, _)) = self.batch_due.first() else {
             return 0;
         };
-        let places = f64::from(self.engine.batch);
+        let concurrency = f64::from(self.engine.batch);
         let work = self.batch_tokens as f64 * self.token_secs;
         let slack = due.since(now).as_secs_f64().max(1.0);
-        let need = work * URGENT_MARGIN / slack;
+        let need = work * GUARANTEE_MARGIN / slack;
         if need < 1.0 {
             return 0;
         }
         base::hit!(batch_share_guaranteed);
-        need.min(places / 2.0).ceil() as u32
+        need.min(concurrency / 2.0).ceil() as u32
     }
 
-    /// Whether batch work waits, but has no slot to run on.
+    /// Returns whether no batch request runs or could run on a resident adapter.
     pub(crate) fn batch_without_slot(&self) -> bool {
         let class = Class::Batch;
         self.running[class as usize] == 0 && self.queue.ready(class, &self.ready(class)) == 0
     }
 
-    /// Places that live work may fill.
-    pub(crate) fn live_places(&self) -> u32 {
-        self.engine.batch - (self.engine.batch / CRITICAL_PART).min(self.engine.batch - 1)
+    /// Returns the number of concurrent requests up to which live requests are sent.
+    pub(crate) fn live_capacity(&self) -> u32 {
+        self.engine.batch - (self.engine.batch / CRITICAL_RESERVE).min(self.engine.batch - 1)
     }
 
-    /// Places that batch work may fill while no live work waits.
-    pub(crate) fn batch_places(&self) -> u32 {
+    /// Returns the number of concurrent requests up to which batch requests are sent
+    /// while no live request waits.
+    pub(crate) fn batch_capacity(&self) -> u32 {
         self.engine.batch
-            - (self.engine.batch / LIVE_PART)
+            - (self.engine.batch / LIVE_RESERVE)
                 .max(1)
                 .min(self.engine.batch - 1)
     }
 
-    /// Estimates how long `tokens` take if all places work on them.
+    /// Estimates the seconds that `tokens` take at full concurrency.
     pub(crate) fn drain_secs(&self, tokens: u64) -> f64 {
         tokens as f64 * self.token_secs / f64::from(self.engine.batch.max(1))
     }
 
-    /// Estimates how long one request of `tokens` runs.
+    /// Estimates the seconds that one request of `tokens` runs.
     pub(crate) fn run_secs(&self, tokens: u32) -> f64 {
         f64::from(tokens) * self.token_secs
     }
 
-    pub(crate) fn measured(&mut self, tokens: u32, took: Duration) {
+    pub(crate) fn record_speed(&mut self, tokens: u32, took: Duration) {
         let secs = took.as_secs_f64() / f64::from(tokens.max(1));
         self.token_secs += TOKEN_GAIN * (secs - self.token_secs);
     }
 
-    /// Tells entry instances what changed.
-    pub(crate) fn tell(
+    /// Publishes a delta of the resident adapters, and the load, to the entry instances.
+    pub(crate) fn publish(
         &mut self,
         now: Time,
         added: Vec<AdapterKey>,
         removed: Vec<AdapterKey>,
         out: &mut Vec<Output>,
     ) {
-        self.told = self.admitted();
-        self.told_worth = self.worth(now);
-        self.told_at = now;
+        self.published = self.admitted();
+        self.published_worth = self.worth(now);
+        self.published_at = now;
         out.push(Output::Residents {
             target: self.engine.target,
             whole: false,
             added,
             removed,
-            running: self.told.0,
-            queued: self.told.1,
-            worth: self.told_worth,
+            running: self.published.0,
+            queued: self.published.1,
+            worth: self.published_worth,
         });
     }
 
-    /// Thousandths of a live use a second that the next load would evict.
+    /// Returns the usage rate of the adapter that the next load would evict, in
+    /// thousandths of a live request a second; zero while a slot is free.
     fn worth(&self, now: Time) -> u32 {
         if self.slots.has_free() {
             return 0;
         }
-        let victim = self.slots.victim(|slot| Some(slot_worth(now, slot)));
+        let victim = self.slots.victim(|slot| Some(slot_usage(now, slot)));
         match victim {
             Some((_, worth)) => (worth.max(0.0) * 1_000.0) as u32 + 1,
-            None => ALL_IN_USE,
+            None => ALL_IN_USE_WORTH,
         }
     }
 
-    /// Tells entry instances all that is held.
-    pub(crate) fn tell_whole(&mut self, now: Time, out: &mut Vec<Output>) {
+    /// Publishes the full list of resident adapters to the entry instances.
+    pub(crate) fn publish_full(&mut self, now: Time, out: &mut Vec<Output>) {
         let ready = self.slots.iter().filter(|s| s.state == SlotState::Ready);
         let (running, queued) = self.admitted();
         out.push(Output::Residents {
@@ -241,21 +250,23 @@
         });
     }
 
-    /// Tells entry instances the load, if it changed by a good part since.
-    pub(crate) fn tell_load(&mut self, now: Time, out: &mut Vec<Output>) {
+    /// Publishes the load to the entry instances if it changed notably since the last
+    /// time.
+    pub(crate) fn publish_load(&mut self, now: Time, out: &mut Vec<Output>) {
         let load = self.admitted();
-        let moved = load.0.abs_diff(self.told.0) + load.1.abs_diff(self.told.1);
+        let moved = load.0.abs_diff(self.published.0) + load.1.abs_diff(self.published.1);
         let step = (self.engine.batch / 16).max(1);
         let worth = self.worth(now);
-        let shifted = worth.abs_diff(self.told_worth) * WORTH_STEP > self.told_worth.max(worth);
-        if (moved >= step || shifted) && now.since(self.told_at) >= TELL_EVERY {
-            self.tell(now, Vec::new(), Vec::new(), out);
+        let shifted = worth.abs_diff(self.published_worth) * WORTH_CHANGE > self.published_worth.max(worth);
+        if (moved >= step || shifted) && now.since(self.published_at) >= PUBLISH_INTERVAL {
+            self.publish(now, Vec::new(), Vec::new(), out);
         }
     }
 }
 
-/// What keeping the slot is worth: live uses a second.
-pub(crate) fn slot_worth(now: Time, slot: &Slot) -> f32 {
+/// Returns the slot's usage in live requests a second; negative for a superseded version,
+/// which is evicted first.
+pub(crate) fn slot_usage(now: Time, slot: &Slot) -> f32 {
     if slot.retired {
         return -1.0;
     }
--- a/crates/route/src/scheduler/queue.rs
+++ b/crates/route/src/scheduler/queue.rs
@@ -1,4 +1,5 @@
-//! The queue before one engine: by class, then by brand, then by adapter.
+//! The request queue of one engine: by class, then by brand, then by adapter. Brands
+//! share an engine by weighted fair queueing.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -7,7 +8,7 @@
 /// Virtual time that one token costs a brand of weight one.
 const TOKEN_COST: u64 = 1_000;
 
-/// What one queued request is known by here.
+/// A queued request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Item {
     pub(crate) ticket: Ticket,
@@ -18,176 +19,176 @@
     pub(crate) since: Time,
 }
 
-/// All requests that wait for one engine.
+/// All requests queued for one engine.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Queue {
-    classes: [Lanes; 3],
+    classes: [ClassQueue; 3],
 }
 
-/// The requests of one class, a lane for each brand.
+/// The requests of one class, with a queue for each brand.
 #[derive(Clone, Debug, Default)]
-struct Lanes {
-    lanes: BTreeMap<BrandNo, Lane>,
-    clock: u64,
+struct ClassQueue {
+    brands: BTreeMap<BrandNo, BrandQueue>,
+    virtual_time: u64,
     queued: u32,
     tokens: u64,
 }
 
 /// The requests of one brand.
 #[derive(Clone, Debug, Default)]
-struct Lane {
+struct BrandQueue {
     waiting: BTreeMap<Option<AdapterKey>, VecDeque<Item>>,
     queued: u32,
     tokens: u64,
-    /// Virtual time at which the brand's last request ends.
+    /// Virtual finish time of the brand's last request that was taken from the queue.
     finish: u64,
 }
 
-/// Requests of one class and brand that wait for one adapter.
+/// Requests of one class and brand that wait for the same adapter.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Want {
+pub(crate) struct Waiting {
     pub(crate) key: AdapterKey,
     pub(crate) count: u32,
     pub(crate) since: Time,
 }
 
 impl Queue {
-    /// Puts a request behind its like.
+    /// Appends a request to the queue of its class, brand and adapter.
     pub(crate) fn push(&mut self, item: Item) {
-        self.lane(&item).push_back(item);
+        self.brand_queue(&item).push_back(item);
     }
 
-    /// Puts a request that gave way before its like.
+    /// Puts a preempted request first in the queue of its class, brand and adapter.
     pub(crate) fn push_front(&mut self, item: Item) {
-        self.lane(&item).push_front(item);
+        self.brand_queue(&item).push_front(item);
     }
 
-    /// Takes out a request.
+    /// Removes a request.
     pub(crate) fn remove(&mut self, item: &Item) {
-        let lanes = &mut self.classes[item.class as usize];
-        let Some(lane) = lanes.lanes.get_mut(&item.brand) else {
+        let class_queue = &mut self.classes[item.class as usize];
+        let Some(queue) = class_queue.brands.get_mut(&item.brand) else {
             return;
         };
-        let Some(line) = lane.waiting.get_mut(&item.key) else {
+        let Some(fifo) = queue.waiting.get_mut(&item.key) else {
             return;
         };
-        let Some(at) = line.iter().position(|i| i.ticket == item.ticket) else {
+        let Some(at) = fifo.iter().position(|i| i.ticket == item.ticket) else {
             return;
         };
-        line.remove(at);
-        lane.forget(item);
-        lanes.queued -= 1;
-        lanes.tokens -= u64::from(item.tokens);
+        fifo.remove(at);
+        queue.uncount(item);
+        class_queue.queued -= 1;
+        class_queue.tokens -= u64::from(item.tokens);
     }
 
-    /// Takes the next request of `class` that runs on one of `ready`.
+    /// Takes the next request of `class` whose adapter is in `ready`.
     ///
-    /// The brand that had least for its weight goes first. Within it the
-    /// oldest goes first, but batch work takes `ready` in its order.
+    /// The brand that received least for its weight goes first. Within a brand the oldest
+    /// request goes first; batch requests go by the order of `ready` instead.
     pub(crate) fn pop(
         &mut self,
         class: Class,
         ready: &[Option<AdapterKey>],
         weight: impl Fn(BrandNo) -> u32,
     ) -> Option<Item> {
-        let lanes = &mut self.classes[class as usize];
-        if lanes.queued == 0 {
+        let class_queue = &mut self.classes[class as usize];
+        if class_queue.queued == 0 {
             return None;
         }
-        let least = lanes.lanes.iter().filter(|(_, lane)| lane.queued > 0);
+        let least = class_queue.brands.iter().filter(|(_, queue)| queue.queued > 0);
         let least =
-            least.filter_map(|(brand, lane)| Some((lane.finish, *brand, lane.next(class, ready)?)));
+            least.filter_map(|(brand, queue)| Some((queue.finish, *brand, queue.next(class, ready)?)));
         let (start, brand, key) = least.min()?;
-        let lane = lanes.lanes.get_mut(&brand)?;
-        let item = lane.waiting.get_mut(&key)?.pop_front()?;
-        lane.forget(&item);
-        lane.finish += u64::from(item.tokens) * TOKEN_COST / u64::from(weight(brand).max(1));
-        lanes.clock = lanes.clock.max(start);
-        lanes.queued -= 1;
-        lanes.tokens -= u64::from(item.tokens);
+        let queue = class_queue.brands.get_mut(&brand)?;
+        let item = queue.waiting.get_mut(&key)?.pop_front()?;
+        queue.uncount(&item);
+        queue.finish += u64::from(item.tokens) * TOKEN_COST / u64::from(weight(brand).max(1));
+        class_queue.virtual_time = class_queue.virtual_time.max(start);
+        class_queue.queued -= 1;
+        class_queue.tokens -= u64::from(item.tokens);
         Some(item)
     }
 
-    /// Returns the requests of `class` that could run on one of `ready`.
+    /// Returns the number of requests of `class` whose adapter is in `ready`.
     pub(crate) fn ready(&self, class: Class, ready: &[Option<AdapterKey>]) -> usize {
-        let lanes = &self.classes[class as usize];
-        if lanes.queued == 0 {
+        let class_queue = &self.classes[class as usize];
+        if class_queue.queued == 0 {
             return 0;
         }
-        let lines = lanes
-            .lanes
+        let fifos = class_queue
+            .brands
             .values()
-            .flat_map(|lane| ready.iter().filter_map(|key| lane.waiting.get(key)));
-        lines.map(VecDeque::len).sum()
+            .flat_map(|queue| ready.iter().filter_map(|key| queue.waiting.get(key)));
+        fifos.map(VecDeque::len).sum()
     }
 
-    /// Returns the requests of `class`.
+    /// Returns the number of requests of `class`.
     pub(crate) fn queued(&self, class: Class) -> u32 {
         self.classes[class as usize].queued
     }
 
-    /// Returns the tokens asked for in `class`.
+    /// Returns the tokens requested by all requests of `class`.
     pub(crate) fn tokens(&self, class: Class) -> u64 {
         self.classes[class as usize].tokens
     }
 
-    /// Returns the requests and tokens of one brand in `class`.
+    /// Returns the number of requests and tokens of one brand in `class`.
     pub(crate) fn of_brand(&self, class: Class, brand: BrandNo) -> (u32, u64) {
-        let lane = self.classes[class as usize].lanes.get(&brand);
-        lane.map_or((0, 0), |lane| (lane.queued, lane.tokens))
+        let queue = self.classes[class as usize].brands.get(&brand);
+        queue.map_or((0, 0), |queue| (queue.queued, queue.tokens))
     }
 
     /// Returns the brands with requests queued in `class`.
     pub(crate) fn brands(&self, class: Class) -> impl Iterator<Item = BrandNo> {
-        let lanes = self.classes[class as usize].lanes.iter();
-        lanes.filter(|(_, lane)| lane.queued > 0).map(|(b, _)| *b)
+        let queues = self.classes[class as usize].brands.iter();
+        queues.filter(|(_, queue)| queue.queued > 0).map(|(b, _)| *b)
     }
 
-    /// Returns what waits for adapters in `class`, by brand and adapter.
-    pub(crate) fn wants(&self, class: Class) -> impl Iterator<Item = Want> {
-        let lanes = self.classes[class as usize].lanes.values();
-        let lines = lanes.flat_map(|lane| lane.waiting.iter());
-        lines.filter_map(move |(key, line)| {
-            Some(Want {
+    /// Returns the requests of `class` that wait for adapters, grouped by brand and
+    /// adapter.
+    pub(crate) fn waiting(&self, class: Class) -> impl Iterator<Item = Waiting> {
+        let queues = self.classes[class as usize].brands.values();
+        let fifos = queues.flat_map(|queue| queue.waiting.iter());
+        fifos.filter_map(move |(key, fifo)| {
+            Some(Waiting {
                 key: (*key)?,
-                count: u32::try_from(line.len()).unwrap_or(u32::MAX),
-                since: line.front()?.since,
+                count: u32::try_from(fifo.len()).unwrap_or(u32::MAX),
+                since: fifo.front()?.since,
             })
         })
     }
 
-    /// Returns whether a request of `class` or a more urgent one waits for
-    /// `key`.
+    /// Returns whether a request of `class` or a more urgent one waits for `key`.
     pub(crate) fn waits_for(&self, key: AdapterKey, class: Class) -> bool {
         let classes = Class::ALL.into_iter().filter(|c| *c >= class);
-        let mut lanes = classes.flat_map(|c| self.classes[c as usize].lanes.values());
-        lanes.any(|lane| lane.waiting.contains_key(&Some(key)))
+        let mut queues = classes.flat_map(|c| self.classes[c as usize].brands.values());
+        queues.any(|queue| queue.waiting.contains_key(&Some(key)))
     }
 
-    /// Returns all requests and empties the queue.
+    /// Removes and returns all requests.
     pub(crate) fn drain(&mut self) -> Vec<Item> {
         let classes = std::mem::take(&mut self.classes);
-        let lanes = classes.into_iter().flat_map(|c| c.lanes.into_values());
-        let lines = lanes.flat_map(|lane| lane.waiting.into_values());
-        lines.flatten().collect()
-    }
-
-    fn lane(&mut self, item: &Item) -> &mut Lane {
-        let lanes = &mut self.classes[item.class as usize];
-        lanes.queued += 1;
-        lanes.tokens += u64::from(item.tokens);
-        let clock = lanes.clock;
-        let lane = lanes.lanes.entry(item.brand).or_default();
-        if lane.queued == 0 {
-            // A brand that was idle starts level with the others: what it
-            // left unused was lent out, and is neither owed nor kept.
-            lane.finish = lane.finish.max(clock);
+        let queues = classes.into_iter().flat_map(|c| c.brands.into_values());
+        let fifos = queues.flat_map(|queue| queue.waiting.into_values());
+        fifos.flatten().collect()
+    }
+
+    fn brand_queue(&mut self, item: &Item) -> &mut BrandQueue {
+        let class_queue = &mut self.classes[item.class as usize];
+        class_queue.queued += 1;
+        class_queue.tokens += u64::from(item.tokens);
+        let virtual_time = class_queue.virtual_time;
+        let queue = class_queue.brands.entry(item.brand).or_default();
+        if queue.queued == 0 {
+            // A brand that was idle starts at the class's current virtual time: capacity
+            // that it left unused is not made up for.
+            queue.finish = queue.finish.max(virtual_time);
         }
-        lane
+        queue
     }
 }
 
-impl Lane {
+impl BrandQueue {
     fn push_back(&mut self, item: Item) {
         self.count(&item);
         self.waiting.entry(item.key).or_default().push_back(item);
@@ -203,7 +204,7 @@
         self.tokens += u64::from(item.tokens);
     }
 
-    fn forget(&mut self, item: &Item) {
+    fn uncount(&mut self, item: &Item) {
         self.queued -= 1;
         self.tokens -= u64::from(item.tokens);
         if self.waiting.get(&item.key).is_some_and(VecDeque::is_empty) {
@@ -212,13 +213,13 @@
     }
 
     fn next(&self, class: Class, ready: &[Option<AdapterKey>]) -> Option<Option<AdapterKey>> {
-        let lines = ready
+        let fifos = ready
             .iter()
             .filter_map(|key| Some((key, self.waiting.get(key)?.front()?)));
         if class == Class::Batch {
-            return lines.map(|(key, _)| *key).next();
+            return fifos.map(|(key, _)| *key).next();
         }
-        lines
+        fifos
             .min_by_key(|(_, item)| (item.since, item.ticket))
             .map(|(key, _)| *key)
     }
--- a/crates/route/src/scheduler/retire.rs
+++ b/crates/route/src/scheduler/retire.rs
@@ -1,4 +1,4 @@
-//! Unloads what the text in force no longer names.
+//! Unloads adapters that the text in force no longer names.
 
 use std::collections::BTreeSet;
 
@@ -8,15 +8,16 @@
 use crate::{Ordering, Output, scheduler::Scheduler};
 
 impl Scheduler {
-    /// Takes what is held somewhere and no longer named.
+    /// Replaces the set of adapter versions that are resident somewhere but no longer
+    /// named by the text in force.
     pub(super) fn retired(&mut self, keys: BTreeSet<AdapterKey>) {
         self.retired = keys;
     }
 
-    /// Unloads each of it that nothing uses or waits for.
+    /// Unloads the retired adapters that no request uses or waits for.
     ///
-    /// Eviction alone would leave it until the slot is needed: an operator who
-    /// removes an adapter for a reason would find it loaded days later.
+    /// Eviction alone would leave them resident until their slot is needed: an adapter
+    /// that an operator has removed could still be loaded days later.
     pub(super) fn unload_retired(&mut self, now: Time, out: &mut Vec<Output>) {
         if self.retired.is_empty() {
             return;
@@ -40,7 +41,7 @@
                 if let Some(slot) = owned.slots.get_mut(key) {
                     slot.state = SlotState::Unloading { next: None };
                 }
-                owned.tell(now, Vec::new(), vec![key], out);
+                owned.publish(now, Vec::new(), vec![key], out);
                 out.push(Output::Unload { target, key });
             }
         }
--- a/crates/route/src/scheduler/room.rs
+++ b/crates/route/src/scheduler/room.rs
@@ -1,4 +1,4 @@
-//! Slots: where a load finds room, and which slot is emptied for it.
+//! Which slot a load goes into, and which slot is emptied for it.
 
 use std::time::Duration;
 
@@ -9,19 +9,19 @@
     Ordering, Output,
     scheduler::{
         Scheduler,
-        owned::{OwnedEngine, slot_worth},
-        send::yield_newest,
+        owned::{OwnedEngine, slot_usage},
+        send::preempt_newest,
     },
 };
 
-/// Live uses a second from which an adapter is kept from batch work that is
-/// not urgent: one in a minute.
-const KEPT_RATE: f32 = 1.0 / 200.0;
+/// Usage, in live requests a second, from which an adapter is not evicted for batch work
+/// outside its guaranteed share: one request in 200 seconds.
+const BATCH_EVICT_MAX_RATE: f32 = 1.0 / 200.0;
 
-/// How long live work waits for a slot before one in live use is emptied.
+/// How long a live request waits for a slot before one that live requests use is cleared.
 const CLEAR_AFTER: Duration = Duration::from_millis(500);
 
-/// Where a load finds a slot.
+/// Which slot a load goes into.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Room {
     Free,
@@ -29,7 +29,7 @@
 }
 
 impl Scheduler {
-    /// Returns where a load for `class` finds a slot at the engine.
+    /// Returns the slot for a load for `class` at the engine, if there is one.
     pub(super) fn room(&self, now: Time, owned: &OwnedEngine, class: Class) -> Option<Room> {
         if owned.engine.ordering == Ordering::None {
             return None;
@@ -44,18 +44,18 @@
         let starved = || owned.batch_without_slot() && owned.guaranteed(now) > 0;
         let urgent = class != Class::Batch || starved();
         let victim = owned.slots.victim(|slot| {
-            let keeps = self.keeps(now, owned, slot, class);
-            let worth = slot_worth(now, slot);
-            (!keeps && (urgent || worth < KEPT_RATE)).then_some(worth)
+            let is_reserved = self.is_reserved(now, owned, slot, class);
+            let worth = slot_usage(now, slot);
+            (!is_reserved && (urgent || worth < BATCH_EVICT_MAX_RATE)).then_some(worth)
         });
         victim.map(|(key, _)| Room::Evict(key))
     }
 
-    /// Returns whether a slot is spoken for although nothing runs on it.
-    fn keeps(&self, now: Time, owned: &OwnedEngine, slot: &Slot, class: Class) -> bool {
-        let rolling = owned.rolls.iter().any(|(old, _)| *old == slot.key);
+    /// Returns whether a slot is reserved although no request runs on it.
+    fn is_reserved(&self, now: Time, owned: &OwnedEngine, slot: &Slot, class: Class) -> bool {
+        let upgrading = owned.upgrades.iter().any(|(old, _)| *old == slot.key);
         let awaited = owned.clearing != Some(slot.key) && owned.queue.waits_for(slot.key, class);
-        rolling
+        upgrading
             || awaited
             || self
                 .backoff
@@ -63,14 +63,16 @@
                 .is_some()
     }
 
-    /// Where urgent work waits, the budget is `allowed` and every slot is in
-    /// use, empties one: batch work on it gives way, and after a while a live
-    /// adapter's slot takes nothing new.
+    /// Clears a slot where urgent requests wait for a load and every slot is in use: the
+    /// slot's batch requests are preempted, and no new live or batch requests are sent to
+    /// it. A slot that live requests use is cleared for live requests only after a while.
+    /// `allowed` says whether the budget lets a load start; critical requests don't
+    /// depend on it.
     ///
-    /// Guards against live work that waits for a load slot behind batch
-    /// answers: all slots pinned by a night's screening, and a performer's
-    /// adapter not loaded for minutes. Batch work that is short of time gets
-    /// one slot the same way, or its guaranteed places would stay empty.
+    /// Guards against live requests that wait for a load behind batch answers: with all
+    /// slots pinned by a long batch job, a live request's adapter would not be loaded for
+    /// minutes. Batch work that needs its guaranteed share gets one slot in the same way,
+    /// or the share would stay unused.
     pub(super) fn clear_slots(&mut self, now: Time, allowed: bool, out: &mut Vec<Output>) {
         for owned in self.engines.values_mut() {
             let Some((class, oldest)) = waits_for_slot(now, owned, allowed) else {
@@ -80,7 +82,7 @@
             if owned.engine.ordering != Ordering::Full || owned.clearing.is_some() {
                 continue;
             }
-            let patient = class != Class::Critical && now.since(oldest) < CLEAR_AFTER;
+            let may_wait = class != Class::Critical && now.since(oldest) < CLEAR_AFTER;
             let found = match class {
                 Class::Critical => first_free(now, owned).map(|key| (key, true)),
                 _ => least_used(now, owned),
@@ -88,18 +90,18 @@
             let Some((key, live)) = found else {
                 continue;
             };
-            if live && patient {
+            if live && may_wait {
                 continue;
             }
             base::hit!(slot_cleared);
             owned.clearing = Some(key);
-            yield_newest(owned, u32::MAX, |s| s.item.key == Some(key), out);
+            preempt_newest(owned, u32::MAX, |s| s.item.key == Some(key), out);
         }
     }
 }
 
-/// Returns the most urgent class that a slot is to be emptied for, and since
-/// when its oldest request has waited.
+/// Returns the most urgent class that a slot is to be cleared for, and since when its
+/// oldest request has waited.
 fn waits_for_slot(now: Time, owned: &OwnedEngine, allowed: bool) -> Option<(Class, Time)> {
     let entitled = |class: &Class| match class {
         Class::Critical => true,
@@ -108,13 +110,13 @@
     };
     let mut classes = Class::ALL.into_iter().filter(entitled);
     classes.find_map(|class| {
-        let wants = owned.queue.wants(class);
-        let wants = wants.filter(|w| !owned.slots.has_or_gets(w.key));
-        Some((class, wants.map(|w| w.since).min()?))
+        let waiting = owned.queue.waiting(class);
+        let waiting = waiting.filter(|w| !owned.slots.has_or_gets(w.key));
+        Some((class, waiting.map(|w| w.since).min()?))
     })
 }
 
-/// Returns the slot whose last request ends first, as far as can be told.
+/// Returns the slot whose requests are estimated to end first.
 fn first_free(now: Time, owned: &OwnedEngine) -> Option<AdapterKey> {
     let ends = |slot: &Slot| {
         let sent = owned.sent.values().filter(|s| s.item.key == Some(slot.key));
@@ -128,7 +130,7 @@
     slots.min().map(|(_, key)| key)
 }
 
-/// Returns the pinned slot to empty, and whether live work runs on it.
+/// Returns the least used slot, and whether live requests run on it.
 fn least_used(now: Time, owned: &OwnedEngine) -> Option<(AdapterKey, bool)> {
     let live = |slot: &Slot| {
         let mut sent = owned.sent.values();
@@ -136,7 +138,7 @@
     };
     let slots = owned.slots.iter();
     let slots = slots.filter(|s| s.state == SlotState::Ready && !s.inherited);
-    let slots = slots.map(|s| (live(s), slot_worth(now, s), s.key));
+    let slots = slots.map(|s| (live(s), slot_usage(now, s), s.key));
     let least = slots.min_by(|a, b| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)));
     least.map(|(live, _, key)| (key, live))
 }
--- a/crates/route/src/scheduler/send.rs
+++ b/crates/route/src/scheduler/send.rs
@@ -1,4 +1,5 @@
-//! Sending: which queued request takes the next place in an engine's batch.
+//! Sending: which queued request runs next on an engine, and which batch requests are
+//! preempted.
 
 use base::{Class, TargetNo, Time};
 
@@ -12,7 +13,7 @@
 };
 
 impl Scheduler {
-    /// Fills the free places of all engines.
+    /// Sends queued requests to all engines that have capacity.
     pub(super) fn send_all(&mut self, now: Time, out: &mut Vec<Output>) {
         let targets: Vec<TargetNo> = self.engines.keys().copied().collect();
         for target in targets {
@@ -21,34 +22,34 @@
                     break;
                 }
             }
-            self.make_way(now, target, out);
+            self.preempt_for_urgent(now, target, out);
         }
     }
 
-    /// Returns the most urgent class that has both a request that could run
-    /// and a place.
+    /// Returns the most urgent class that has both a request that could run and capacity
+    /// for it.
     fn next_class(&self, now: Time, target: TargetNo) -> Option<Class> {
         let owned = self.engines.get(&target)?;
         let waits = |class| owned.queue.ready(class, &owned.ready(class)) > 0;
-        let used = owned.in_batch();
-        // A critical request is sent even into a full batch: the engine puts
-        // it first in its own queue.
+        let used = owned.running_total();
+        // A critical request is sent even into a full batch: the engine puts it first in
+        // its own queue.
         if waits(Class::Critical) {
             return Some(Class::Critical);
         }
         let live = waits(Class::Live);
         let batch = waits(Class::Batch);
-        let own = owned.running[Class::Batch as usize] - owned.yielding;
-        let shared = used < owned.live_places();
-        // The guaranteed share comes before live work: it is only as large as
-        // batch work needs, and live work would never leave it a place.
-        if batch && shared && own < owned.guaranteed(now) {
+        let batch_running = owned.running[Class::Batch as usize] - owned.preempting;
+        let shared = used < owned.live_capacity();
+        // The guaranteed batch share comes before live requests: it is only as large as
+        // the batch work needs, and live requests would never leave capacity for it.
+        if batch && shared && batch_running < owned.guaranteed(now) {
             return Some(Class::Batch);
         }
         if live && shared {
             return Some(Class::Live);
         }
-        let spare = batch && !live && used < owned.batch_places();
+        let spare = batch && !live && used < owned.batch_capacity();
         spare.then_some(Class::Batch)
     }
 
@@ -83,8 +84,8 @@
         let sent = Sent {
             item,
             at: now,
-            yields: false,
-            gone: false,
+            preempted: false,
+            caller_gone: false,
         };
         owned.sent.insert(item.ticket, sent);
         let share = &mut self.brand(item.brand).share;
@@ -101,51 +102,49 @@
         true
     }
 
-    /// Tells running batch work to give way where more urgent work waits for
-    /// a place.
+    /// Preempts running batch requests while more urgent requests wait for capacity.
     ///
-    /// Guards against live work held up by long batch answers: the wait would
-    /// show as first tokens that come only when a batch answer ends. Batch
-    /// work keeps its guaranteed share against live work, but nothing against
-    /// critical work.
-    fn make_way(&mut self, now: Time, target: TargetNo, out: &mut Vec<Output>) {
+    /// Guards against live requests that are delayed by long batch answers: their first
+    /// tokens would come only when a batch answer ends. Batch work keeps its guaranteed
+    /// share against live requests, but not against critical ones.
+    fn preempt_for_urgent(&mut self, now: Time, target: TargetNo, out: &mut Vec<Output>) {
         let Some(owned) = self.engines.get_mut(&target) else {
             return;
         };
-        let own = owned.running[Class::Batch as usize] - owned.yielding;
-        let over = owned.in_batch().saturating_sub(owned.engine.batch);
+        let batch_running = owned.running[Class::Batch as usize] - owned.preempting;
+        let over = owned.running_total().saturating_sub(owned.engine.batch);
         let live = owned.queue.ready(Class::Live, &owned.ready(Class::Live));
         let live = u32::try_from(live).unwrap_or(u32::MAX);
-        let spare = own.saturating_sub(owned.guaranteed(now));
-        let need = over.max(live.min(spare)).saturating_sub(owned.yielding);
-        yield_newest(owned, need.min(own), |_| true, out);
+        let spare = batch_running.saturating_sub(owned.guaranteed(now));
+        let need = over.max(live.min(spare)).saturating_sub(owned.preempting);
+        preempt_newest(owned, need.min(batch_running), |_| true, out);
     }
 }
 
-/// Tells up to `count` running batch requests that are `fit` to give way, the
-/// ones sent last first: they lose least.
-pub(super) fn yield_newest(
+/// Requests the preemption of up to `count` running batch requests that match `filter`,
+/// last sent first, because those lose the least work.
+pub(super) fn preempt_newest(
     owned: &mut OwnedEngine,
     count: u32,
-    fit: impl Fn(&Sent) -> bool,
+    filter: impl Fn(&Sent) -> bool,
     out: &mut Vec<Output>,
 ) {
     if count == 0 {
         return;
     }
     let batch = owned.sent.values_mut();
-    let batch = batch.filter(|s| s.item.class == Class::Batch && !s.yields && fit(s));
+    let batch = batch.filter(|s| s.item.class == Class::Batch && !s.preempted && filter(s));
     let mut batch: Vec<_> = batch.collect();
     batch.sort_by_key(|s| std::cmp::Reverse((s.at, s.item.ticket)));
     for sent in batch.into_iter().take(count as usize) {
-        base::hit!(batch_gives_way);
-        sent.yields = true;
-        owned.yielding += 1;
+        base::hit!(batch_preempted);
+        sent.preempted = true;
+        owned.preempting += 1;
         out.push(Output::Preempt(sent.item.ticket));
     }
 }
 
-/// The engine's own queue takes the lowest number first.
+/// Returns the priority for the engine's own queue, which takes the lowest number first.
 fn priority(class: Class) -> i32 {
     match class {
         Class::Critical => 0,
--- a/crates/route/src/scheduler_io.rs
+++ b/crates/route/src/scheduler_io.rs
@@ -1,4 +1,4 @@
-//! What goes into the owner's scheduler and what comes out.
+//! Inputs and outputs of the owner's scheduler.
 
 use std::collections::BTreeSet;
 
@@ -9,36 +9,37 @@
 use crate::Ask;
 
 base::value! {
-    /// What the owner may order an engine to do.
+    /// Which orders the owner may send to an engine.
     pub enum Ordering {
         /// Loads and unloads.
         Full,
-        /// Loads into free slots only: a newer owner may exist and the engine
-        /// would not tell.
+        /// Loads into free slots only. Used while a newer owner may exist and the engine
+        /// doesn't check fencing numbers, so that it would carry out a former owner's
+        /// unload.
         FreeSlotsOnly,
-        /// Nothing: what is resident goes on answering.
+        /// No orders; requests for resident adapters are still served.
         None,
     }
 
     /// An engine that this instance owns.
     pub struct Engine {
-        /// The engine.
+        /// Number of the engine.
         pub target: TargetNo,
-        /// Tells its lives apart.
+        /// Changes with each restart.
         pub incarnation: Incarnation,
-        /// Adapters that it holds at once.
+        /// Adapters that can be resident at once.
         pub slots: u32,
-        /// Requests that it runs at once.
+        /// Requests that it runs concurrently at most.
         pub batch: u32,
-        /// What may be ordered.
+        /// Which orders may be sent.
         pub ordering: Ordering,
     }
 
-    /// How an order to load ended.
+    /// How a load order ended.
     pub enum LoadEnd {
         /// The adapter is resident.
         Done,
-        /// The engine or the store could not; tried again after a while.
+        /// The engine or the weight store failed; the load is tried again after a backoff.
         Failed,
     }
 }
@@ -46,181 +47,181 @@
 /// One event for the scheduler.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Input {
-    /// A brand's weight for its share; one when never told.
+    /// Sets a brand's weight, which is one until set.
     Brand {
-        /// Which.
+        /// Number of the brand.
         brand: BrandNo,
-        /// Its part relative to the other brands' weights.
+        /// The brand's share relative to the other brands' weights.
         weight: u32,
     },
-    /// An adapter exists; `hash` is the stable hash of its name.
+    /// An adapter exists.
     Adapter {
-        /// Its number.
+        /// Number of the adapter.
         adapter: AdapterNo,
-        /// Equal on every node.
+        /// Stable hash of the adapter's name; equal on every node.
         hash: StableHash,
     },
-    /// This instance owns the engine; told again when anything changes.
-    /// Another incarnation means that the engine came back empty; the driver
+    /// This instance owns the engine; sent again when anything about the engine changes.
+    /// Another incarnation than before means that the engine restarted empty; the caller
     /// ends the requests that ran there by [`Input::Finished`].
     Owned {
         /// The engine.
         engine: Engine,
-        /// What it holds, as reported.
+        /// Resident adapters, as reported by the engine.
         held: Vec<AdapterKey>,
-        /// Whether the owner before may still have requests running on what
-        /// it holds: then nothing of it is evicted before [`Input::Report`]
-        /// brings figures taken after now.
+        /// Whether the previous owner may still have requests running on the resident
+        /// adapters. None of these is evicted before an [`Input::Report`] taken after this
+        /// input shows it unused.
         inherited: bool,
     },
-    /// The engine is another instance's now. Queued requests are refused as
-    /// `not run`; running ones go on and are still to be ended by `Finished`.
+    /// Another instance owns the engine now. Queued requests are refused as `not run`;
+    /// running ones continue, and the caller still ends them by [`Input::Finished`].
     Lost(TargetNo),
     /// A request for an engine that this instance owns.
     Arrive {
-        /// Its number.
+        /// Number of the request.
         ticket: Ticket,
-        /// The engine that the entry chose.
+        /// The engine that the entry instance chose.
         target: TargetNo,
-        /// What it needs.
+        /// The request's properties.
         ask: Ask,
     },
-    /// The caller left; a running one is still to be ended by `Finished`.
+    /// The request's caller left. A running request is still to be ended by
+    /// [`Input::Finished`].
     Cancel(Ticket),
-    /// The first token came.
+    /// The request's first token arrived.
     Began(Ticket),
-    /// A sent request ended at the engine. After [`Output::Preempt`] it goes
-    /// back into the queue and is sent again later.
+    /// A sent request ended at the engine. After [`Output::Preempt`] the request returns
+    /// to the queue and is sent again later.
     Finished {
-        /// Which.
+        /// Number of the request.
         ticket: Ticket,
-        /// Whether the engine did its part.
+        /// False when the engine failed.
         ok: bool,
     },
-    /// An engine's own report.
+    /// An engine's report of its resident adapters.
     Report {
         /// The engine.
         target: TargetNo,
-        /// The life it speaks of.
+        /// The incarnation that sent the report.
         incarnation: Incarnation,
-        /// When its figures were taken.
+        /// When the figures were taken.
         taken: Time,
-        /// What it holds, with the requests using it.
+        /// Resident adapters, each with the number of requests using it.
         held: Vec<(AdapterKey, u32)>,
     },
     /// A load order ended.
     Loaded {
         /// The engine.
         target: TargetNo,
-        /// What.
+        /// The adapter version that was to be loaded.
         key: AdapterKey,
-        /// How.
+        /// How the load ended.
         end: LoadEnd,
     },
     /// An unload order ended.
     Unloaded {
         /// The engine.
         target: TargetNo,
-        /// What.
+        /// The adapter version that was to be unloaded.
         key: AdapterKey,
-        /// Whether it has left the slot.
+        /// Whether the adapter has left its slot.
         ok: bool,
     },
-    /// This instance's part of the store's budget, in thousandths of a load a
+    /// Sets this instance's part of the weight store's budget, in thousandths of a load a
     /// second.
     Budget(u32),
-    /// The text in force names `new` instead of `old`.
+    /// The text in force names version `new` of an adapter instead of `old`.
     Rolled {
-        /// The version to leave once it is unused and `new` is loaded.
+        /// The version to evict first, once it is unused and `new` is resident.
         old: AdapterKey,
         /// The version to load.
         new: AdapterKey,
     },
-    /// An entry instance missed news of the engine: all is told again.
+    /// An entry instance missed updates of the engine: its full state is published again.
     Asked(TargetNo),
-    /// What is held somewhere and no longer named by the text in force; it
-    /// replaces what was said before.
+    /// The adapter versions that are resident somewhere but no longer named by the text in
+    /// force. Replaces the set given before.
     Retired(BTreeSet<AdapterKey>),
-    /// The time asked for by [`Output::Wake`] has come.
+    /// The time given by [`Output::Wake`] has come.
     Wake,
 }
 
-/// One thing for the driver to do.
+/// One action for the scheduler's caller to carry out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Output {
     /// Send the request to the engine now.
     Send {
-        /// Which.
+        /// Number of the request.
         ticket: Ticket,
-        /// Where.
+        /// The engine.
         target: TargetNo,
-        /// For the engine's own queue: lower goes first, as in vLLM.
+        /// Priority in the engine's own queue: lower goes first, as in vLLM.
         priority: i32,
     },
     /// Answer the request with a failure; it has not been sent.
     Refuse {
-        /// Which.
+        /// Number of the request.
         ticket: Ticket,
-        /// Why, and when to come back.
+        /// The reason and when to retry.
         failure: Failure,
     },
-    /// Cancel the running batch request at the engine, keeping what it has
-    /// generated, then tell [`Input::Finished`]: it is queued again. If it
-    /// had ended before the cancel reached the engine, tell
-    /// [`Input::Cancel`] first.
+    /// Cancel the running batch request at the engine, keep what it has generated, and
+    /// hand in [`Input::Finished`]: the request is then queued again. If it had ended
+    /// before the cancel reached the engine, hand in [`Input::Cancel`] first.
     Preempt(Ticket),
-    /// Order a load.
+    /// Order the engine to load an adapter.
     Load {
         /// The engine.
         target: TargetNo,
-        /// What.
+        /// The adapter version to load.
         key: AdapterKey,
     },
-    /// Order an unload.
+    /// Order the engine to unload an adapter.
     Unload {
         /// The engine.
         target: TargetNo,
-        /// What.
+        /// The adapter version to unload.
         key: AdapterKey,
     },
-    /// Tell the entry instances what changed at the engine.
+    /// Publish the engine's changes to the entry instances.
     Residents {
         /// The engine.
         target: TargetNo,
-        /// Whether `added` is everything.
+        /// Whether `added` is the full list of resident adapters rather than a delta.
         whole: bool,
-        /// Newly resident.
+        /// Adapters that became resident.
         added: Vec<AdapterKey>,
-        /// No longer resident.
+        /// Adapters that are no longer resident.
         removed: Vec<AdapterKey>,
         /// Critical and live requests admitted and not ended.
         running: u32,
-        /// Batch requests admitted and not ended; they wait or give way.
+        /// Batch requests admitted and not ended. They wait for urgent requests or are
+        /// preempted by them.
         queued: u32,
-        /// Thousandths of a live use a second that the next load there would
-        /// evict; zero with a free slot.
+        /// Usage rate of the adapter that the next load on the engine would evict, in
+        /// thousandths of a live request a second; zero while a slot is free.
         worth: u32,
     },
-    /// Call again at this time, unless something comes before.
+    /// Hand in [`Input::Wake`] at this time, unless another input comes before.
     Wake(Time),
 }
 
-/// One brand's part of this instance's engines, for `status`.
+/// One brand's use of the engines that this instance owns, shown by `status`.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct BrandShare {
-    /// Whose.
+    /// The brand.
     pub brand: BrandNo,
-    /// Tokens given to it since the scheduler was made.
+    /// Tokens requested by the requests sent since the scheduler was created.
     pub tokens: u64,
     /// Requests queued now.
     pub queued: u32,
     /// Requests running now.
     pub running: u32,
-    /// Requests refused for load.
+    /// Requests refused since the scheduler was created.
     pub refused: u64,
-    /// Sum of the times that its requests waited before being sent, in
-    /// microseconds.
+    /// Sum of the times that requests waited before being sent, in microseconds.
     pub waited: u64,
-    /// Requests sent.
+    /// Requests sent since the scheduler was created.
     pub sent: u64,
 }
--- a/crates/route/tests/explain.rs
+++ b/crates/route/tests/explain.rs
@@ -1,4 +1,4 @@
-//! What is said of the choice is what the choice does.
+//! The router's explanation names the target that it would choose, and changes nothing.
 
 use base::{
     AdapterKey, AdapterNo, BrandNo, Class, Fence, Incarnation, TargetNo, Time, Tokens, Version,
@@ -42,8 +42,8 @@
     }
 }
 
-/// A router with a pool of engines and one of plain targets; engine 2 holds
-/// adapter 0.
+/// Returns a router with a pool of engines and one of plain targets; adapter 0 is
+/// resident on engine 2.
 fn router() -> Router {
     let mut router = Router::new(ZoneNo(0), 7);
     for adapter in 0..2 {
@@ -70,32 +70,31 @@
 
 #[test]
 fn the_named_target_is_the_chosen_one() {
-    for (asked, holds) in [(ask(Some(0)), true), (ask(Some(1)), false)] {
+    for (query, holds) in [(ask(Some(0)), true), (ask(Some(1)), false)] {
         let mut router = router();
-        let seen = router.explain(NOW, &asked);
-        let chosen = router.choose(NOW, &asked, &[]).unwrap();
-        assert_that!(seen.next, some(eq(chosen.target)));
+        let explanation = router.explain(NOW, &query);
+        let chosen = router.choose(NOW, &query, &[]).unwrap();
+        assert_that!(explanation.next, some(eq(chosen.target)));
         assert_that!(chosen.resident, eq(holds));
-        let mut candidates = seen.candidates.iter();
+        let mut candidates = explanation.candidates.iter();
         let next = candidates.find(|c| c.target == chosen.target).unwrap();
         assert_that!(next.holds, eq(holds));
-        assert_that!(seen.candidates.len(), eq(ENGINES as usize));
+        assert_that!(explanation.candidates.len(), eq(ENGINES as usize));
     }
 }
 
-/// An operator looks at a cold adapter again and again. If the question counted
-/// as demand, the adapter would become hot without anybody using it, and push
-/// others out.
+/// Guards against queries counted as demand: an operator who asks about an unused adapter
+/// repeatedly would make it look busy, and it would evict others.
 #[test]
 fn a_question_changes_no_choice() {
-    let (mut asked, mut quiet) = (router(), router());
+    let (mut explained, mut control) = (router(), router());
     for i in 0..200 {
         let ask = ask([None, Some(0), Some(1)][i % 3]);
         let at = Time(NOW.0 + i as u64 * 10_000);
         for _ in 0..5 {
-            let _ = asked.explain(at, &ask);
+            let _ = explained.explain(at, &ask);
         }
-        let both = [&mut asked, &mut quiet].map(|r| r.choose(at, &ask, &[]).unwrap());
+        let both = [&mut explained, &mut control].map(|r| r.choose(at, &ask, &[]).unwrap());
         assert_that!(both[0], eq(both[1]));
     }
 }
@@ -113,9 +112,9 @@
         router.note(NOW, News::Started(TargetNo(0)));
         router.note(NOW, ended.clone());
     }
-    let seen = router.explain(NOW, &ask(Some(0)));
+    let explanation = router.explain(NOW, &ask(Some(0)));
     let standing = |no| {
-        let mut candidates = seen.candidates.iter();
+        let mut candidates = explanation.candidates.iter();
         candidates
             .find(|c| c.target == TargetNo(no))
             .unwrap()
@@ -124,5 +123,5 @@
     assert_that!(standing(0), eq(Standing::LeftOut));
     assert_that!(standing(1), eq(Standing::Unreachable));
     assert_that!(standing(2), eq(Standing::Leaving));
-    assert_that!(seen.next, some(eq(TargetNo(3))));
+    assert_that!(explanation.next, some(eq(TargetNo(3))));
 }
--- a/crates/route/tests/router.rs
+++ b/crates/route/tests/router.rs
@@ -1,4 +1,4 @@
-//! The router: its directory, its choice, and the guards of both.
+//! Tests of the router: its directory, its choice of targets, and retry limits.
 
 use std::time::Duration;
 
@@ -12,20 +12,20 @@
 const ENGINES: PoolNo = PoolNo(0);
 const PLAIN: PoolNo = PoolNo(1);
 
-fn target(no: u32, pool: PoolNo, zone: u32, life: u64) -> Target {
+fn target(no: u32, pool: PoolNo, zone: u32, incarnation: u64) -> Target {
     Target {
         target: TargetNo(no),
         pool,
         zone: ZoneNo(zone),
         hash: stable_hash(&[&no.to_le_bytes()]),
-        incarnation: Incarnation(life),
+        incarnation: Incarnation(incarnation),
         batch: 10,
         slots: 2,
     }
 }
 
-/// Four engines 0 to 3 and four plain replicas 10 to 13, in zones 0 and 1; the
-/// router is in zone 0.
+/// Returns a router in zone 0 with four engines, 0 to 3, and four plain replicas, 10 to
+/// 13, in zones 0 and 1.
 fn router() -> Router {
     let mut router = Router::new(ZoneNo(0), 7);
     for i in 0..4 {
@@ -54,8 +54,8 @@
     }
 }
 
-/// An owner's whole account of an engine.
-fn holds(engine: u32, fence: u64, added: &[AdapterKey], running: u32) -> News {
+/// Returns an owner's full update of an engine.
+fn residents(engine: u32, fence: u64, added: &[AdapterKey], running: u32) -> News {
     News::Residents(Residents {
         target: TargetNo(engine),
         fence: Fence(fence),
@@ -76,11 +76,12 @@
         .0
 }
 
-/// Holders with their loads, the class, and the engine expected.
+/// Holders with their running requests, the class, and the engine expected.
 type Row = (&'static [(u32, u32)], Class, u32);
 
 base::cases! {
-    /// Of the holders the fullest with room, the own zone a little better.
+    /// The fullest holder with capacity left is chosen; holders of the own zone get a
+    /// small bonus.
     holder_is_chosen: check_holder => {
         only: (&[(2, 0)], Class::Live, 2),
         fuller: (&[(0, 2), (2, 6)], Class::Live, 2),
@@ -94,7 +95,7 @@
 fn check_holder((holders, class, expected): Row) {
     let mut router = router();
     for (engine, running) in holders {
-        router.note(Time::ZERO, holds(*engine, 1, &[key(5, 1)], *running));
+        router.note(Time::ZERO, residents(*engine, 1, &[key(5, 1)], *running));
     }
     assert_that!(
         chosen(&mut router, 0, &ask(Some(key(5, 1)), class)),
@@ -105,14 +106,14 @@
 #[test]
 fn a_full_holder_is_left_for_an_engine_that_loads() {
     let mut router = router();
-    router.note(Time::ZERO, holds(3, 1, &[key(5, 1)], 30));
+    router.note(Time::ZERO, residents(3, 1, &[key(5, 1)], 30));
     let choice = router
         .choose(Time::ZERO, &ask(Some(key(5, 1)), Class::Live), &[])
         .unwrap();
     assert_that!(choice.target, not(eq(TargetNo(3))));
     assert_that!(choice.resident, eq(false));
-    let patient = ask(Some(key(5, 1)), Class::Batch);
-    assert_that!(chosen(&mut router, 0, &patient), eq(3));
+    let batch = ask(Some(key(5, 1)), Class::Batch);
+    assert_that!(chosen(&mut router, 0, &batch), eq(3));
 }
 
 #[test]
@@ -128,12 +129,13 @@
     }
 }
 
-/// A conversation goes on where its head is cached, while that engine has room.
+/// A request goes to the holder that has its prompt's beginning cached, while that holder
+/// has capacity.
 #[test]
 fn a_cached_prompt_draws_its_conversation() {
     let mut router = router();
-    router.note(Time::ZERO, holds(0, 1, &[key(5, 1)], 1));
-    router.note(Time::ZERO, holds(2, 1, &[key(5, 1)], 5));
+    router.note(Time::ZERO, residents(0, 1, &[key(5, 1)], 1));
+    router.note(Time::ZERO, residents(2, 1, &[key(5, 1)], 5));
     let report = |cached| {
         News::Report(Report {
             target: TargetNo(0),
@@ -153,21 +155,21 @@
     assert_that!(chosen(&mut router, 300_000, &ask), eq(2));
 }
 
-/// An owner is cut off and goes on telling what its engine held, while a newer
-/// owner has long loaded something else: requests would go where their adapter
-/// is not loaded.
+/// Guards against updates of a former owner that is cut off from the rest: a newer owner
+/// may have loaded other adapters since, and requests would go where their adapter is not
+/// resident.
 #[test]
 fn news_of_an_old_owner_is_dropped() {
     base::covers!(old_owner_ignored);
     let mut router = router();
-    router.note(Time::ZERO, holds(1, 5, &[key(5, 1)], 0));
-    router.note(Time::ZERO, holds(1, 4, &[key(6, 1)], 0));
+    router.note(Time::ZERO, residents(1, 5, &[key(5, 1)], 0));
+    router.note(Time::ZERO, residents(1, 4, &[key(6, 1)], 0));
     let choice = router.choose(Time::ZERO, &ask(Some(key(5, 1)), Class::Live), &[]);
     assert_that!(choice.unwrap().resident, eq(true));
 }
 
-/// A plain replica restarts; a report of its life before arrives late and says
-/// that it is full. Believed, the empty replica would get nothing.
+/// Guards against a late report of a replica's former incarnation which says that it is
+/// full: the restarted, empty replica would get no requests.
 #[test]
 fn a_report_from_before_a_restart_is_dropped() {
     base::covers!(report_before_restart);
@@ -199,11 +201,12 @@
     );
 }
 
-/// A replica refuses everything at once, so it looks idle, and the least
-/// loaded choice sends it every request. It is left out, then eased in.
+/// Guards against a replica that fails every request at once and therefore looks idle:
+/// the least loaded choice would send it every request. It is ejected for a while, then
+/// its capacity is ramped up.
 #[test]
 fn a_failing_target_is_eased_out_and_in() {
-    base::covers!(failing_target_out);
+    base::covers!(failing_target_ejected);
     let mut router = router();
     for no in [11, 12] {
         router.note(Time::ZERO, News::Removed(TargetNo(no)));
@@ -222,11 +225,11 @@
     assert_that!(chosen(&mut router, 30_000, &plain), eq(10));
 }
 
-/// Every engine fails for a moment, as when the store does. If all were left
-/// out, nobody would be answered until the longest wait was over.
+/// Guards against ejecting all engines, as when the store fails for a moment: no request
+/// would be answered until the longest ejection ended.
 #[test]
 fn never_are_all_targets_left_out() {
-    base::covers!(never_all_out);
+    base::covers!(all_ejected_fallback);
     let mut router = router();
     for no in 0..4 {
         for _ in 0..4 {
@@ -243,9 +246,10 @@
     );
 }
 
-/// Version 2 is accepted. Sent to it at once, every caller of a hot adapter
-/// would wait for the same load; they stay with version 1 until 2 is loaded
-/// somewhere, but not for longer than a text may take to be in force.
+/// Guards against a stall at a version change: if requests were pinned to version 2 at
+/// once, all callers of a busy adapter would wait for the same load. They stay with
+/// version 1 until version 2 is resident somewhere, but not longer than a text may take
+/// to be in force.
 #[test]
 fn requests_stay_with_the_old_version_until_the_new_one_is_loaded() {
     base::covers!(pinned_to_old_version);
@@ -255,7 +259,7 @@
             .pin(Time::from_millis(ms), AdapterNo(5), Version(2))
             .0
     };
-    router.note(Time::ZERO, holds(1, 1, &[key(5, 1)], 0));
+    router.note(Time::ZERO, residents(1, 1, &[key(5, 1)], 0));
     assert_that!(pin(&router, 0), eq(2));
     let rolled = News::Rolled {
         old: key(5, 1),
@@ -264,7 +268,7 @@
     router.note(Time::ZERO, rolled);
     assert_that!(pin(&router, 1_999), eq(1));
     assert_that!(pin(&router, 2_000), eq(2));
-    router.note(Time::ZERO, holds(2, 1, &[key(5, 2)], 0));
+    router.note(Time::ZERO, residents(2, 1, &[key(5, 2)], 0));
     assert_that!(pin(&router, 10), eq(2));
 }
 
@@ -292,13 +296,14 @@
         router.note(Time::ZERO, News::Started(TargetNo(no)));
         zones.push(no % 2);
     }
-    // Two replicas of the zone take three each, a quarter of their ten places.
+    // Two replicas of the zone take three each; then their load exceeds the margin for
+    // another zone, a quarter of their ten concurrent requests.
     assert_that!(zones[..6], eq(&[0; 6]));
     assert_that!(zones[6..], contains(eq(&1)));
 }
 
-/// A target is down and every failure is repeated: the repeats double the load
-/// of the others, which then fail too.
+/// Guards against retries of every failure while a target is down: they would double the
+/// load of the other targets, which then fail too.
 #[test]
 fn repeats_are_limited_per_target_and_request() {
     base::covers!(retry_budget_spent);
--- a/crates/route/tests/scheduler.rs
+++ b/crates/route/tests/scheduler.rs
@@ -1,5 +1,6 @@
-//! The scheduler by text fixtures: lines `@MILLISECOND EVENT`, each followed by what
-//! the scheduler is to do, as lines `> ...`. A fixture opens with its story.
+//! Tests of the scheduler by text fixtures: lines `@MILLISECOND EVENT`, each followed by
+//! the actions expected of the scheduler, as lines `> ...`. A comment at the top says
+//! what the fixture tests.
 
 use std::fmt::Write as _;
 
@@ -8,13 +9,14 @@
 use route::{Ask, Engine, Input, LoadEnd, Ordering, Output, PoolNo, Scheduler};
 
 base::cases! {
-    /// Each guard of the scheduler, reached in the story it is meant for.
+    /// Each guard of the scheduler; the first value is the coverage mark that the fixture
+    /// must reach.
     guards: check => {
         used_slot_kept: ("used_slot_kept", include_str!("scheduler/used_slot_kept.txt")),
         inherited_kept: ("report_before_ownership", include_str!("scheduler/inherited_kept.txt")),
-        other_life: ("report_of_other_life", include_str!("scheduler/other_life.txt")),
+        other_life: ("report_of_other_incarnation", include_str!("scheduler/other_life.txt")),
         restricted: ("restricted_keeps_slots", include_str!("scheduler/restricted.txt")),
-        batch_gives_way: ("batch_gives_way", include_str!("scheduler/batch_gives_way.txt")),
+        batch_gives_way: ("batch_preempted", include_str!("scheduler/batch_gives_way.txt")),
         batch_share: ("batch_share_guaranteed", include_str!("scheduler/batch_share.txt")),
         batch_load: ("batch_load_due", include_str!("scheduler/batch_load.txt")),
         slot_cleared: ("slot_cleared", include_str!("scheduler/slot_cleared.txt")),
@@ -23,7 +25,7 @@
         out_of_reach: ("deadline_out_of_reach", include_str!("scheduler/out_of_reach.txt")),
         brand_over_share: ("brand_over_share", include_str!("scheduler/brand_over_share.txt")),
     }
-    /// What the scheduler does without a fault.
+    /// Behaviour without faults.
     order: check_order => {
         one_load_for_many: include_str!("scheduler/one_load_for_many.txt"),
         class_order: include_str!("scheduler/class_order.txt"),
@@ -42,12 +44,13 @@
     assert_that!(replay(text), eq(text));
 }
 
-/// Feeds a fixture's events to a scheduler; returns it with what the scheduler did.
+/// Feeds a fixture's events to a scheduler; returns the events with the scheduler's
+/// actions.
 fn replay(text: &str) -> String {
     let mut scheduler = Scheduler::new(7);
-    let mut told = String::new();
+    let mut replayed = String::new();
     for line in text.lines().filter(|line| !line.starts_with('>')) {
-        writeln!(told, "{line}").unwrap();
+        writeln!(replayed, "{line}").unwrap();
         let Some(event) = line.strip_prefix('@') else {
             continue;
         };
@@ -58,14 +61,14 @@
             let mut out = Vec::new();
             scheduler.handle(now, input, &mut out);
             for output in out.iter().filter_map(show) {
-                writeln!(told, "> {output}").unwrap();
+                writeln!(replayed, "> {output}").unwrap();
             }
         }
     }
-    told
+    replayed
 }
 
-/// `arrive 1-3 ...` stands for three arrivals, `done 1-3` for three ends.
+/// Expands ranges: `arrive 1-3 ...` stands for three arrivals, `done 1-3` for three ends.
 fn inputs(words: &[&str]) -> Vec<Input> {
     let Some((first, last)) = words[1].split_once('-') else {
         return vec![input(words, words[1])];
@@ -92,7 +95,7 @@
         "own" => Input::Owned {
             engine: Engine {
                 target: target(),
-                incarnation: Incarnation(count("life", 1)),
+                incarnation: Incarnation(count("incarnation", 1)),
                 slots: count("slots", 2) as u32,
                 batch: count("batch", 4) as u32,
                 ordering: if has("restricted") {
@@ -142,7 +145,7 @@
         },
         "report" => Input::Report {
             target: target(),
-            incarnation: Incarnation(count("life", 1)),
+            incarnation: Incarnation(count("incarnation", 1)),
             taken: Time::from_millis(count("taken", 0)),
             held: option("held")
                 .iter()
@@ -160,7 +163,7 @@
     }
 }
 
-/// Reads `a7` or `a7.2`, the second version of the seventh adapter.
+/// Parses `a7`, or `a7.2` for version 2 of adapter 7.
 fn key(raw: &str) -> AdapterKey {
     let (adapter, version) = raw.split_once('.').unwrap_or((raw, "1"));
     AdapterKey {
@@ -188,8 +191,8 @@
     })
 }
 
-/// Callers turned away in one moment are told to come back at different times,
-/// or the overload would return as one wave.
+/// Guards against callers refused at the same time that also return at the same time,
+/// which would repeat the overload.
 #[test]
 fn retry_after_spreads_callers() {
     let mut scheduler = Scheduler::new(7);
