--- a/crates/place/src/lib.rs
+++ b/crates/place/src/lib.rs
@@ -1,8 +1,9 @@
-//! What is loaded where: demand that fades, home engines, the slots of one
-//! engine, the store's budget, and failed loads backed off.
+//! Building blocks for deciding which adapter is loaded on which engine: decaying demand
+//! per adapter, home engines by rendezvous hashing, the adapter slots of one engine, the
+//! weight store's budget, and backoff of failed loads.
 //!
-//! Everything here is a part of `route`: the router asks for demand and homes,
-//! the scheduler for slots, budget and backoff.
+//! Used by the crate `route`: its router uses demand and home engines, its scheduler uses
+//! demand, slots, budget and backoff.
 
 mod backoff;
 mod budget;
--- a/crates/place/src/slots.rs
+++ b/crates/place/src/slots.rs
@@ -4,49 +4,50 @@
 
 use crate::Faded;
 
-/// What a slot is doing.
+/// The state of a slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SlotState {
-    /// The load order is out.
+    /// A load order was sent.
     Loading,
-    /// Requests may be sent.
+    /// The adapter is resident: requests may be sent.
     Ready,
-    /// The unload order is out; `next` is loaded into the slot afterwards.
+    /// An unload order was sent; `next` is loaded into the slot afterwards.
     Unloading {
-        /// What the slot is cleared for.
+        /// The adapter version to load next, if the slot is emptied for one.
         next: Option<AdapterKey>,
     },
 }
 
-/// One slot in use.
+/// An occupied slot.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Slot {
-    /// What it holds.
+    /// The adapter version in the slot.
     pub key: AdapterKey,
-    /// What it is doing.
+    /// The state of the slot.
     pub state: SlotState,
-    /// Requests sent to the engine and not ended.
+    /// Requests for the adapter that were sent to the engine and have not ended.
     pub pins: u32,
-    /// Whether requests of the owner before may still run on it.
+    /// Whether requests sent by the previous owner may still run on it.
     pub inherited: bool,
-    /// Whether a newer version has taken its place.
+    /// Whether a newer version of the adapter is resident on the engine.
     pub retired: bool,
-    /// How often it was used here; fades.
+    /// Decaying usage of the adapter; initialised from the demand that this instance has
+    /// seen.
     pub used: Faded,
-    /// When it was last used here.
+    /// When this instance last sent or ended a request for the adapter.
     pub last: Time,
 }
 
 /// All slots of one engine.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Slots {
-    /// How many there are.
+    /// Number of slots.
     pub total: u32,
     slots: Vec<Slot>,
 }
 
 impl Slots {
-    /// Makes `total` free slots.
+    /// Creates `total` free slots.
     #[must_use]
     pub fn new(total: u32) -> Self {
         Slots {
@@ -55,7 +56,7 @@
         }
     }
 
-    /// Returns the slots in use, oldest first.
+    /// Returns the occupied slots, oldest first.
     pub fn iter(&self) -> impl Iterator<Item = &Slot> {
         self.slots.iter()
     }
@@ -72,7 +73,7 @@
         self.slots.iter().find(|s| s.key == key)
     }
 
-    /// Returns the slot of `key` for a change.
+    /// Returns the slot of `key` for modification.
     pub fn get_mut(&mut self, key: AdapterKey) -> Option<&mut Slot> {
         self.slots.iter_mut().find(|s| s.key == key)
     }
@@ -83,7 +84,8 @@
         self.get(key).is_some_and(|s| s.state == SlotState::Ready)
     }
 
-    /// Returns whether `key` is held, or is on its way in.
+    /// Returns whether `key` is resident, being loaded, or about to be loaded into a slot
+    /// that is being emptied.
     #[must_use]
     pub fn has_or_gets(&self, key: AdapterKey) -> bool {
         self.slots.iter().any(|s| match s.state {
@@ -92,7 +94,7 @@
         })
     }
 
-    /// Takes a slot for `key`.
+    /// Occupies a slot with `key`.
     pub fn put(&mut self, now: Time, key: AdapterKey, state: SlotState, used: Faded) {
         self.slots.push(Slot {
             key,
@@ -111,12 +113,13 @@
         Some(self.slots.remove(at))
     }
 
-    /// Returns the slot to clear, by least `worth`, among those that nothing
-    /// uses.
+    /// Returns the slot to evict and its worth: the one with the least `worth` among the
+    /// resident adapters that no request uses. Slots for which `worth` returns `None` are
+    /// left out.
     ///
-    /// Guards against evicting an adapter under a running request, which the
-    /// engine would break off: a pinned slot is never offered, nor one that
-    /// the owner before may still use.
+    /// Guards against evicting an adapter under a running request, whose answer the
+    /// engine would break off: a pinned slot is never returned, nor one that the previous
+    /// owner's requests may still use.
     pub fn victim(&self, worth: impl Fn(&Slot) -> Option<f32>) -> Option<(AdapterKey, f32)> {
         let mut best: Option<(AdapterKey, f32)> = None;
         for slot in &self.slots {
--- a/crates/place/tests/place.rs
+++ b/crates/place/tests/place.rs
@@ -1,4 +1,4 @@
-//! Demand, homes, budget and backoff.
+//! Tests of demand, home engines, budget and backoff.
 
 use base::{AdapterKey, AdapterNo, TargetNo, Time, Version, stable_hash};
 use googletest::prelude::*;
@@ -21,7 +21,7 @@
     assert_that!(demand.get(AdapterNo(9)).slow(secs(61)), eq(0.0));
 }
 
-/// 48,000 adapters, most of them idle, are known to every node.
+/// Every node keeps the counts of 48,000 adapters, most of them idle.
 #[test]
 fn an_idle_adapter_takes_twelve_bytes() {
     assert_that!(size_of::<Faded>(), eq(12));
@@ -42,8 +42,8 @@
     assert_that!(moved, eq(counts[11]));
 }
 
-/// The store serves all instances; one that loads faster than its part makes
-/// every other wait.
+/// Guards against an instance that loads faster than its part of the budget and delays
+/// the loads of all others.
 #[test]
 fn loads_keep_to_the_rate_over_time() {
     let mut budget = Budget::new(Time::ZERO, 500);
@@ -77,12 +77,13 @@
     assert_that!(budget.next_at(secs(9), false), some(eq(secs(9))));
 }
 
-/// Rate, loads started at once with overdraft, and second of the next one.
+/// The rate in thousandths of a load a second, the loads started at once with overdraft,
+/// and the second at which the next one may start.
 type Overdraft = (u32, u32, u64);
 
 base::cases! {
-    /// A critical load overdraws by two, and later loads pay it back; what may
-    /// be saved before follows the rate within bounds.
+    /// Critical loads overdraw the bucket by up to two loads, and later loads wait until
+    /// that is earned again. The bucket's capacity follows the rate within bounds.
     overdraft_is_paid_back: check_overdraft => {
         slow: (250, 3, 8),
         fast: (1_000, 5, 2),
--- a/crates/route/src/router.rs
+++ b/crates/route/src/router.rs
@@ -244,7 +244,7 @@
         let pool = self.pools.get(ask.pool.0 as usize)?;
         let hash = self.hash(key.adapter);
         let mut homes: [(u64, Option<TargetNo>); HOME_CANDIDATES] = [(0, None); HOME_CANDIDATES];
-        let mut spare: Option<(u64, TargetNo)> = None;
+        let mut fallback: Option<(u64, TargetNo)> = None;
         for member in pool {
             let rank = place::home_rank(hash, member.hash);
             if rank < homes[HOME_CANDIDATES - 1].0 || avoid.contains(&member.target) {
@@ -254,7 +254,7 @@
                 continue;
             };
             if state.is_ejected(now) || state.load(now, ask.class, self.first_token) >= 1.0 {
-                spare = spare.max(Some((rank, member.target)));
+                fallback = fallback.max(Some((rank, member.target)));
                 continue;
             }
             homes[HOME_CANDIDATES - 1] = (rank, Some(member.target));
@@ -270,7 +270,7 @@
         // If every engine is full or ejected, the highest-ranked one that is reachable
         // takes the request: not all engines may be ejected at once.
         best.map(|(_, target, load)| (target, load)).or_else(|| {
-            let (_, target) = spare?;
+            let (_, target) = fallback?;
             base::hit!(all_ejected_fallback);
             Some((target, self.state(target)?.load(now, ask.class, self.first_token)))
         })
--- a/crates/route/src/scheduler/loads.rs
+++ b/crates/route/src/scheduler/loads.rs
@@ -25,7 +25,7 @@
 pub(super) struct Blocked {
     /// Whether a load waits only for the budget.
     budget: bool,
-    /// Whether a load waits only for spare budget.
+    /// Whether a load waits only for spare budget (see [`Budget::allows`]).
     spare: bool,
     /// When the first load that is backed off may be tried again.
     backoff: Option<Time>,
