--- a/crates/place/src/budget.rs
+++ b/crates/place/src/budget.rs
@@ -11,8 +11,8 @@
 /// instances together save at most this many seconds of the store's budget.
 const CAPACITY_SECS: i64 = 6;
 
-/// Tokens used by one load: one token is a thousandth of a load.
-const LOAD_TOKENS: i64 = 1_000;
+/// Cost of one load, in thousandths of a load, the unit of credit.
+const LOAD_COST: i64 = 1_000;
 
 /// Most concurrent loads of one instance; with more, the store doesn't serve each at full
 /// speed.
@@ -22,7 +22,7 @@
 /// without waiting for the rate, and later loads wait instead.
 const OVERDRAFT_MAX: i64 = 2_000;
 
-/// Tokens that loads from spare budget leave in the bucket, in thousandths of a load: a
+/// Credit that loads from spare budget leave in the bucket, in thousandths of a load: a
 /// load that a request waits for must not wait because of a speculative one.
 const SPARE_RESERVE: i64 = 1_000;
 
@@ -30,7 +30,7 @@
 #[derive(Clone, Debug)]
 pub struct Budget {
     rate: u32,
-    tokens: i64,
+    credit: i64,
     filled_at: Time,
     in_progress: u32,
 }
@@ -41,7 +41,7 @@
     pub fn new(now: Time, rate: u32) -> Self {
         Budget {
             rate,
-            tokens: capacity(rate),
+            credit: capacity(rate),
             filled_at: now,
             in_progress: 0,
         }
@@ -65,21 +65,21 @@
     pub fn allows(&mut self, now: Time, spare: bool) -> bool {
         self.fill(now);
         if spare {
-            return self.tokens >= LOAD_TOKENS + SPARE_RESERVE && self.in_progress == 0;
+            return self.credit >= LOAD_COST + SPARE_RESERVE && self.in_progress == 0;
         }
-        self.tokens >= LOAD_TOKENS && self.in_progress < CONCURRENT_MAX
+        self.credit >= LOAD_COST && self.in_progress < CONCURRENT_MAX
     }
 
     /// Returns whether a load for a critical request may start. It may overdraw the
     /// bucket; the rate still holds over longer times.
     pub fn allows_critical(&mut self, now: Time) -> bool {
         self.fill(now);
-        self.tokens > LOAD_TOKENS - OVERDRAFT_MAX && self.in_progress <= CONCURRENT_MAX
+        self.credit > LOAD_COST - OVERDRAFT_MAX && self.in_progress <= CONCURRENT_MAX
     }
 
-    /// Takes the tokens of one load that starts.
+    /// Takes the cost of one load out of the bucket.
     pub fn take(&mut self) {
-        self.tokens -= LOAD_TOKENS;
+        self.credit -= LOAD_COST;
         self.in_progress += 1;
     }
 
@@ -90,7 +90,7 @@
 
     /// Returns what [`Budget::take`] took for a load that was never sent.
     pub fn give_back(&mut self) {
-        self.tokens = capacity(self.rate).min(self.tokens + LOAD_TOKENS);
+        self.credit = capacity(self.rate).min(self.credit + LOAD_COST);
         self.ended();
     }
 
@@ -98,12 +98,12 @@
     /// a load in progress or the rate is zero.
     #[must_use]
     pub fn next_at(&self, now: Time, spare: bool) -> Option<Time> {
-        let need = if spare { LOAD_TOKENS + SPARE_RESERVE } else { LOAD_TOKENS };
+        let need = if spare { LOAD_COST + SPARE_RESERVE } else { LOAD_COST };
         let most = if spare { 1 } else { CONCURRENT_MAX };
         if self.in_progress >= most || self.rate == 0 {
             return None;
         }
-        let missing = u64::try_from(need - self.tokens).unwrap_or(0);
+        let missing = u64::try_from(need - self.credit).unwrap_or(0);
         let micros = (missing * 1_000_000).div_ceil(u64::from(self.rate));
         Some(Time(self.filled_at.0 + micros).max(now))
     }
@@ -114,12 +114,12 @@
         if earned == 0 {
             return;
         }
-        self.tokens += i64::try_from(earned).unwrap_or(CAPACITY_BOUNDS.1);
-        // Only the time that yielded whole tokens is used up.
+        self.credit += i64::try_from(earned).unwrap_or(CAPACITY_BOUNDS.1);
+        // Only the time that yielded whole units of credit is used up.
         self.filled_at = Time(self.filled_at.0 + earned * 1_000_000 / u64::from(self.rate));
         let most = capacity(self.rate);
-        if self.tokens >= most {
-            self.tokens = most;
+        if self.credit >= most {
+            self.credit = most;
             self.filled_at = now;
         }
     }
--- a/crates/request/src/lib.rs
+++ b/crates/request/src/lib.rs
@@ -1,10 +1,10 @@
 //! One request from its arrival to its one final answer.
 //!
-//! A [`Request`] decides: whether it must be claimed before it is sent, when
-//! an attempt may follow another, what of an answer is passed on, how a broken
-//! stream is continued, and what the caller is told in the end. It knows no
-//! socket and no clock; bodies stay with whoever drives it, which hands in
-//! what happened and carries out the outputs in their order.
+//! A [`Request`] is a state machine without I/O. It decides whether the request must be
+//! claimed before it is sent, when an attempt may be retried, which parts of an answer
+//! are passed on, how an interrupted stream is resumed, and how the request ends. It has
+//! no clock and holds no bodies: its driver hands in what happened and carries out the
+//! outputs in order.
 
 mod life;
 mod message;
--- a/crates/request/src/life.rs
+++ b/crates/request/src/life.rs
@@ -1,4 +1,4 @@
-//! The life of one request as a state machine.
+//! The state machine of one request.
 
 mod answer;
 mod failed;
@@ -13,36 +13,36 @@
     message::{AttemptNo, ClaimReply, Fate, Fault, Final, Input, Output},
 };
 
-/// When a caller may come back if nobody knows better: long enough for a
-/// failed engine to be found out and avoided.
-const RETRY: Duration = Duration::from_secs(1);
+/// `Retry-After` when neither a target nor the control plane gave one: long enough for a
+/// failed engine to be detected and avoided.
+const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// One request. [`Request::handle`] drives it.
+/// One request, driven by [`Request::handle`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Request {
     stage: Stage,
-    /// Attempts sent so far.
+    /// Number of attempts sent so far.
     sent: AttemptNo,
     avoid: Vec<TargetNo>,
-    /// The verdict of all ended attempts together.
+    /// The combined verdict of all ended attempts.
     verdict: Verdict,
     /// Why the last attempt failed.
     reason: Option<Refusal>,
     retry: Option<Duration>,
-    /// Whether the caller has the head of a stream.
-    headed: bool,
-    /// Whether the caller has any piece of a stream.
-    begun: bool,
-    /// Tokens that the caller has.
+    /// Whether the head of a stream was passed on.
+    head_passed: bool,
+    /// Whether any piece of a stream was passed on.
+    any_passed: bool,
+    /// Number of tokens passed on.
     tokens: u32,
-    /// The attempt from which the caller has what comes after the last token.
-    tailed: Option<AttemptNo>,
-    /// Whether the caller has bytes that can't be continued.
-    raw: bool,
-    /// Whether the caller has the mark that the stream is whole.
-    marked: bool,
-    /// Whether the caller left while the request goes on without it.
-    alone: bool,
+    /// The attempt whose data after the last token was passed on.
+    tail_passed: Option<AttemptNo>,
+    /// Whether bytes were passed on that can't be resumed.
+    raw_passed: bool,
+    /// Whether the stream's end marker was passed on.
+    end_passed: bool,
+    /// Whether the caller left while the request continues without it.
+    detached: bool,
 }
 
 impl Default for Request {
@@ -54,55 +54,56 @@
             verdict: Verdict::NotRun,
             reason: None,
             retry: None,
-            headed: false,
-            begun: false,
+            head_passed: false,
+            any_passed: false,
             tokens: 0,
-            tailed: None,
-            raw: false,
-            marked: false,
-            alone: false,
+            tail_passed: None,
+            raw_passed: false,
+            end_passed: false,
+            detached: false,
         }
     }
 }
 
-/// How far a request has come.
+/// How far the request has come.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 enum Stage {
     #[default]
     New,
-    /// The claim is under way.
+    /// The claim is awaited.
     Claiming(Start),
-    /// A target is being looked for.
+    /// A target is awaited.
     Placing(Start),
-    /// An attempt is under way.
+    /// An attempt is running.
     Sent(Start, Attempt),
-    /// Finished while the claim was under way: a grant must be given back.
-    Unclaimed,
+    /// Finished while the claim was awaited: if it is granted after all, it must be
+    /// settled as not run.
+    ClaimAbandoned,
     /// Finished.
     Over,
 }
 
-/// The attempt under way.
+/// The running attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Attempt {
     no: AttemptNo,
     target: TargetNo,
-    /// Tokens that the caller had when it was sent.
+    /// Number of tokens passed on before it was sent.
     from: u32,
     reply: Reply,
 }
 
-/// What of the attempt's answer has come.
+/// What happens to the attempt's answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Reply {
     Awaited,
-    /// Passed on piece by piece.
-    Passing,
-    /// Held back until it is whole.
+    /// Its pieces are passed on as they arrive.
+    Streaming,
+    /// It is held back until it is complete.
     Holding,
 }
 
-/// An attempt's end, as far as it decides what follows.
+/// A failed attempt.
 struct Failed {
     verdict: Verdict,
     reason: Refusal,
@@ -111,25 +112,25 @@
 }
 
 impl Request {
-    /// Takes in what happened at `now` and appends what to do to `out`.
+    /// Handles one event at `now` and appends the actions that follow to `out`.
     pub fn handle(&mut self, now: Time, input: Input, out: &mut Vec<Output>) {
         match std::mem::take(&mut self.stage) {
             Stage::New => self.on_new(now, input, out),
             Stage::Claiming(start) => self.on_claiming(now, start, input, out),
             Stage::Placing(start) => self.on_placing(now, start, input, out),
             Stage::Sent(start, attempt) => self.on_sent(now, start, attempt, input, out),
-            Stage::Unclaimed => self.on_unclaimed(&input, out),
+            Stage::ClaimAbandoned => self.on_claim_abandoned(&input, out),
             Stage::Over => self.stage = Stage::Over,
         }
     }
 
-    /// Returns whether nothing more can come out of it.
+    /// Returns whether no more outputs can follow.
     #[must_use]
     pub fn is_over(&self) -> bool {
         self.stage == Stage::Over
     }
 
-    /// Returns how many tokens the caller has.
+    /// Returns the number of tokens passed on.
     #[must_use]
     pub fn tokens(&self) -> u32 {
         self.tokens
@@ -153,24 +154,24 @@
     fn on_claiming(&mut self, now: Time, start: Start, input: Input, out: &mut Vec<Output>) {
         match input {
             Input::Claimed(reply) => self.on_claimed(now, start, reply, out),
-            Input::CallerGone => self.leave_claim(Refusal::CallerGone, out),
-            Input::Wake if now >= start.deadline => self.leave_claim(Refusal::Deadline, out),
+            Input::CallerGone => self.abandon_claim(Refusal::CallerGone, out),
+            Input::Wake if now >= start.deadline => self.abandon_claim(Refusal::Deadline, out),
             _ => self.stage = Stage::Claiming(start),
         }
     }
 
-    /// Ends while the claim is under way.
+    /// Ends the request while its claim is awaited.
     ///
-    /// Failure: the claim is granted after nobody waits for it any more. It
-    /// would show as a key that stays `running` though nothing was sent. The
-    /// stage outlives the final answer until the claim's own answer came.
-    fn leave_claim(&mut self, reason: Refusal, out: &mut Vec<Output>) {
+    /// Guards against a claim that is granted after the request ended: its key would stay
+    /// `running` although nothing was sent. This stage lasts beyond the final answer,
+    /// until the claim is answered.
+    fn abandon_claim(&mut self, reason: Refusal, out: &mut Vec<Output>) {
         self.fail(self.failure(Failure::not_run(reason)), out);
-        self.stage = Stage::Unclaimed;
+        self.stage = Stage::ClaimAbandoned;
     }
 
-    fn on_unclaimed(&mut self, input: &Input, out: &mut Vec<Output>) {
-        self.stage = Stage::Unclaimed;
+    fn on_claim_abandoned(&mut self, input: &Input, out: &mut Vec<Output>) {
+        self.stage = Stage::ClaimAbandoned;
         let Input::Claimed(reply) = input else { return };
         if *reply == ClaimReply::Yours {
             base::hit!(late_claim_given_back);
@@ -192,11 +193,11 @@
             }
             ClaimReply::Yours => self.place(start, out),
             ClaimReply::Running => {
-                self.fail(duplicate(Verdict::MayHaveRun).retry_after(RETRY), out);
+                self.fail(duplicate(Verdict::MayHaveRun).retry_after(RETRY_AFTER), out);
             }
             ClaimReply::Ran { kept: true } => self.finish(Final::Replay, out),
             ClaimReply::Ran { kept: false } => self.fail(duplicate(Verdict::Ran), out),
-            // A key that is forgotten may have run: nothing else is known.
+            // A key that is no longer remembered may have run.
             ClaimReply::MayHaveRun | ClaimReply::TooOld => {
                 self.fail(duplicate(Verdict::MayHaveRun), out);
             }
@@ -256,9 +257,9 @@
         out: &mut Vec<Output>,
     ) {
         if input.attempt().is_some_and(|no| no != attempt.no) {
-            // Failure: an answer comes late, when its attempt was given up and
-            // another is under way. Passed on it would mix two answers; the
-            // number of the attempt tells them apart.
+            // Guards against an answer that arrives after its attempt was given up and
+            // another one was sent: passed on, it would mix two answers. The attempt
+            // number tells them apart.
             base::hit!(late_attempt_ignored);
             self.stage = Stage::Sent(start, attempt);
             return;
@@ -286,7 +287,7 @@
                 ..
             } => self.on_head(now, start, attempt, (status, ran_on, resumed), out),
             Input::Piece { part, .. } => self.on_piece(start, attempt, part, out),
-            Input::End { whole: true, .. } => self.on_whole(now, start, attempt, out),
+            Input::End { whole: true, .. } => self.on_complete(now, start, attempt, out),
             Input::End { whole: false, .. } => {
                 self.on_failed(now, start, attempt, Failed::broken(Fault::Failed), out);
             }
@@ -299,16 +300,16 @@
     }
 
     fn on_caller_gone(&mut self, start: Start, attempt: Attempt, out: &mut Vec<Output>) {
-        if start.outlives && start.mark == Mark::Once && !self.marked {
+        if start.outlives && start.mark == Mark::Once && !self.end_passed {
             base::hit!(marked_outlives_caller);
-            self.alone = true;
+            self.detached = true;
             self.stage = Stage::Sent(start, attempt);
             return;
         }
         self.abandon(&start, attempt, Refusal::CallerGone, out);
     }
 
-    /// Ends with an attempt under way, whose fate is unknown from then on.
+    /// Ends the request while an attempt is running, whose outcome stays unknown.
     fn abandon(&mut self, start: &Start, attempt: Attempt, why: Refusal, out: &mut Vec<Output>) {
         out.push(Output::Cancel {
             attempt: attempt.no,
@@ -316,15 +317,16 @@
         if attempt.reply == Reply::Holding {
             out.push(Output::DropHeld);
         }
-        if self.marked {
-            return self.end_whole(start, attempt, out);
+        if self.end_passed {
+            return self.finish_complete(start, attempt, out);
         }
         self.verdict = self.verdict.max(Verdict::MayHaveRun);
         self.reason = None;
         self.give_up(start, Failure::not_run(why), out);
     }
 
-    /// Ends with no attempt under way: settles the claim and answers at once.
+    /// Ends the request while no attempt is running: settles the claim and answers with
+    /// the failure.
     fn give_up(&mut self, start: &Start, failure: Failure, out: &mut Vec<Output>) {
         if start.mark == Mark::Once {
             out.push(Output::Settle(match self.verdict {
@@ -338,7 +340,7 @@
     }
 
     fn fail(&mut self, failure: Failure, out: &mut Vec<Output>) {
-        let end = if self.headed {
+        let end = if self.head_passed {
             base::hit!(stream_broken_off);
             Final::Broken(failure)
         } else {
@@ -354,7 +356,7 @@
 }
 
 impl Failed {
-    /// An answer that began and is of no use.
+    /// Returns the failure of an answer that began but can't be used.
     fn broken(fault: Fault) -> Self {
         Failed {
             verdict: Verdict::MayHaveRun,
--- a/crates/request/src/life/answer.rs
+++ b/crates/request/src/life/answer.rs
@@ -1,4 +1,4 @@
-//! What of an attempt's answer is passed on.
+//! Which parts of an attempt's answer are passed on.
 
 use base::{Failure, Mark, Refusal, Time, Verdict};
 
@@ -22,14 +22,14 @@
             return;
         }
         let good = (200..300).contains(&status);
-        if let Some(fault) = self.fault_of(&start, good, ran_on, resumed) {
+        if let Some(fault) = self.head_fault(&start, good, ran_on, resumed) {
             out.push(Output::Cancel {
                 attempt: attempt.no,
             });
             self.on_failed(now, start, attempt, Failed::broken(fault), out);
             return;
         }
-        if status >= 500 && self.may_repeat(now, &start, Verdict::MayHaveRun) {
+        if status >= 500 && self.may_retry(now, &start, Verdict::MayHaveRun) {
             out.push(Output::Cancel {
                 attempt: attempt.no,
             });
@@ -41,16 +41,16 @@
     }
 
     pub(super) fn pass_head(&mut self, start: &Start, good: bool, out: &mut Vec<Output>) -> Reply {
-        if self.headed {
-            return Reply::Passing;
+        if self.head_passed {
+            return Reply::Streaming;
         }
-        if !start.stream || !good || self.alone {
+        if !start.stream || !good || self.detached {
             out.push(Output::Hold);
             return Reply::Holding;
         }
-        self.headed = true;
+        self.head_passed = true;
         out.push(Output::PassHead);
-        Reply::Passing
+        Reply::Streaming
     }
 
     pub(super) fn on_piece(
@@ -64,34 +64,35 @@
         match attempt.reply {
             Reply::Awaited => {}
             Reply::Holding => out.push(Output::Hold),
-            Reply::Passing if self.alone => {}
-            Reply::Passing => self.pass(attempt.no, part, out),
+            Reply::Streaming if self.detached => {}
+            Reply::Streaming => self.pass(attempt.no, part, out),
         }
     }
 
     pub(super) fn pass(&mut self, no: AttemptNo, part: Part, out: &mut Vec<Output>) {
-        let again = match part {
-            Part::Preamble => self.begun,
-            Part::Tail => self.tailed.is_some_and(|by| by != no),
+        let already_passed = match part {
+            Part::Preamble => self.any_passed,
+            Part::Tail => self.tail_passed.is_some_and(|by| by != no),
             Part::Tokens(_) | Part::Last | Part::Raw => false,
         };
-        if again {
-            // A continued stream begins and ends anew only for the engine.
+        if already_passed {
+            // The resuming engine sends the data before the first and after the last
+            // token again; the caller already has it.
             base::hit!(second_frame_dropped);
             return;
         }
-        self.begun = true;
+        self.any_passed = true;
         match part {
             Part::Tokens(n) => self.tokens += n,
-            Part::Tail => self.tailed = Some(no),
-            Part::Last => self.marked = true,
-            Part::Raw => self.raw = true,
+            Part::Tail => self.tail_passed = Some(no),
+            Part::Last => self.end_passed = true,
+            Part::Raw => self.raw_passed = true,
             Part::Preamble => {}
         }
         out.push(Output::Pass);
     }
 
-    pub(super) fn on_whole(
+    pub(super) fn on_complete(
         &mut self,
         now: Time,
         start: Start,
@@ -102,15 +103,15 @@
             let failed = Failed::broken(Fault::Failed);
             return self.on_failed(now, start, attempt, failed, out);
         }
-        self.end_whole(&start, attempt, out);
+        self.finish_complete(&start, attempt, out);
     }
 
-    /// Ends with the whole answer.
-    pub(super) fn end_whole(&mut self, start: &Start, attempt: Attempt, out: &mut Vec<Output>) {
+    /// Ends the request with the complete answer.
+    pub(super) fn finish_complete(&mut self, start: &Start, attempt: Attempt, out: &mut Vec<Output>) {
         if start.mark == Mark::Once {
             out.push(Output::Settle(Fate::Ran));
         }
-        if self.alone {
+        if self.detached {
             let failure = Failure {
                 reason: Refusal::CallerGone,
                 verdict: Verdict::Ran,
--- a/crates/request/src/life/failed.rs
+++ b/crates/request/src/life/failed.rs
@@ -1,4 +1,4 @@
-//! What follows an attempt that came to nothing.
+//! What follows a failed attempt.
 
 use base::{Failure, Mark, Refusal, Time, Verdict};
 
@@ -17,12 +17,12 @@
         failed: Failed,
         out: &mut Vec<Output>,
     ) {
-        if self.marked {
-            // Failure: the connection breaks between the stream's own end and
-            // the end of its framing. The caller has it all; an error after
-            // `[DONE]`, or a second answer, would spoil what is whole.
+        if self.end_passed {
+            // Guards against a connection that breaks between the stream's end marker and
+            // the end of its framing: the caller has the complete answer, and must get
+            // neither an error after `[DONE]` nor a second answer.
             base::hit!(cut_after_the_end);
-            return self.end_whole(&start, attempt, out);
+            return self.finish_complete(&start, attempt, out);
         }
         if attempt.reply == Reply::Holding {
             out.push(Output::DropHeld);
@@ -34,10 +34,10 @@
             return self.on_moved(start, out);
         }
         if self.tokens > attempt.from {
-            // Failure: a long stream breaks now and then, each time further
-            // on, and is given up at the third break. Attempts that got on
-            // are bounded by the deadline and the retry budget, not the cap.
-            base::hit!(progress_uses_no_attempt);
+            // Guards against giving up a long stream at its third interruption although
+            // each attempt got further. Attempts that made progress are limited by the
+            // deadline and the retry budget instead of the maximum of attempts.
+            base::hit!(progress_not_counted);
             start.attempts += 1;
         }
         let target = attempt.target;
@@ -46,7 +46,8 @@
             out.push(Output::Blame { target, fault });
         }
         self.avoid.push(target);
-        // A head proves that the target began, whatever the failure says.
+        // A head proves that the target began to run the request, whatever the failure
+        // says.
         let answered = attempt.reply != Reply::Awaited || failed.fault != Fault::Failed;
         let least = if answered {
             Verdict::MayHaveRun
@@ -54,45 +55,44 @@
             Verdict::NotRun
         };
         let verdict = failed.verdict.max(least);
-        let again = self.may_repeat(now, &start, verdict);
+        let retry = self.may_retry(now, &start, verdict);
         self.verdict = self.verdict.max(verdict);
         self.reason = Some(failed.reason);
         self.retry = failed.retry;
-        if again {
+        if retry {
             return self.place(start, out);
         }
         self.give_up(&start, Failure::not_run(failed.reason), out);
     }
 
-    /// Goes on after giving way to more urgent work.
+    /// Finds another target after the request was preempted by a more urgent one.
     ///
-    /// Nothing failed, so the attempt counts neither against the cap nor
-    /// against the target: batch work that gives way all evening would else
-    /// be given up before the morning.
+    /// Nothing failed, so the attempt counts neither towards the maximum nor against the
+    /// target: otherwise a batch request that is preempted for hours would be given up.
     pub(super) fn on_preempted(&mut self, now: Time, mut start: Start, out: &mut Vec<Output>) {
-        base::hit!(preempted_goes_on);
+        base::hit!(preempted_not_counted);
         self.verdict = self.verdict.max(Verdict::MayHaveRun);
         self.reason = None;
         start.attempts += 1;
-        if !self.may_repeat(now, &start, Verdict::MayHaveRun) {
+        if !self.may_retry(now, &start, Verdict::MayHaveRun) {
             return self.give_up(&start, Failure::not_run(Refusal::Preempted), out);
         }
-        self.again(start, out);
+        self.place_again(start, out);
     }
 
-    /// Finds another place after the owner of an engine turned it away because
-    /// the engine is no longer its own.
+    /// Finds another target after an engine's owner refused the request because it no
+    /// longer owns the engine.
     ///
-    /// Nothing was sent to the engine and nothing failed: in a rolling restart
-    /// all engines change owners within seconds, and counted attempts would be
-    /// used up by that alone.
+    /// Nothing was sent to the engine and nothing failed. In a rolling restart all
+    /// engines change owners within seconds, which alone would use up the attempts if
+    /// they were counted.
     pub(super) fn on_moved(&mut self, mut start: Start, out: &mut Vec<Output>) {
-        base::hit!(moved_goes_on);
+        base::hit!(moved_not_counted);
         start.attempts += 1;
-        self.again(start, out);
+        self.place_again(start, out);
     }
 
-    pub(super) fn again(&mut self, start: Start, out: &mut Vec<Output>) {
+    pub(super) fn place_again(&mut self, start: Start, out: &mut Vec<Output>) {
         out.push(Output::Place {
             avoid: self.avoid.clone(),
             retry: false,
--- a/crates/request/src/message.rs
+++ b/crates/request/src/message.rs
@@ -1,4 +1,4 @@
-//! What goes into a request's decisions and what comes out.
+//! Inputs and outputs of a request's state machine.
 
 use std::time::Duration;
 
@@ -7,75 +7,77 @@
 use crate::Start;
 
 base::value! {
-    /// Counts the attempts of one request.
+    /// Number of an attempt within one request; the first is one.
     #[derive(Default)]
     pub struct AttemptNo(pub u32);
 
-    /// What an answer says it ran on.
+    /// The adapter version that an answer's head says it ran on.
     pub enum RanOn {
-        /// It names nothing.
+        /// The head names no adapter.
         Unnamed,
-        /// It names something that this node doesn't know.
+        /// The head names an adapter version that this node doesn't know.
         Unknown,
-        /// It names this.
+        /// The head names this adapter version.
         Named(AdapterKey),
     }
 
-    /// One piece of a streamed answer.
+    /// A piece of a streamed answer.
     pub enum Part {
-        /// What comes before the first token.
+        /// Data before the first token.
         Preamble,
-        /// So many tokens.
+        /// This many tokens.
         Tokens(u32),
-        /// What comes after the last token, such as why the answer ended.
+        /// Data after the last token, such as the finish reason.
         Tail,
-        /// The mark that the stream is whole.
+        /// The stream's end marker, `[DONE]`: the answer is complete.
         Last,
-        /// Bytes of an answer that can't be continued.
+        /// Bytes of an answer that can't be resumed.
         Raw,
     }
 
-    /// The answer to a claim.
+    /// The answer to a claim. A marked request is sent only by the instance that holds
+    /// the claim on its idempotency key.
     pub enum ClaimReply {
-        /// This request may be sent, and nobody else's.
+        /// The claim is granted: this request may be sent, and no other with the same
+        /// key.
         Yours,
-        /// Somebody else has it under way.
+        /// Another request with the same key is running.
         Running,
-        /// It ran before.
+        /// A request with the key ran before.
         Ran {
-            /// Whether its answer was kept; the driver holds it.
+            /// Whether its answer was kept; the driver holds it then.
             kept: bool,
         },
-        /// It may have run before.
+        /// A request with the key may have run before.
         MayHaveRun,
         /// The key was used with another body.
         OtherBody,
-        /// The key is older than what is remembered.
+        /// The key is older than the claims that are remembered.
         TooOld,
-        /// Not claimed.
+        /// The claim could not be made.
         NotNow {
-            /// When to come back.
+            /// When to retry.
             retry: Duration,
         },
     }
 
-    /// What became of a claimed request.
+    /// The outcome of a claimed request, by which its claim is settled.
     pub enum Fate {
-        /// It certainly did not run.
+        /// The request certainly did not run.
         NotRun,
-        /// It ran; the driver adds the answer where it is small enough.
+        /// The request ran; the driver adds the answer if it is small enough to keep.
         Ran,
-        /// Nobody can tell.
+        /// The outcome is unknown.
         MayHaveRun,
     }
 
-    /// How a target misbehaved.
+    /// A fault of a target.
     pub enum Fault {
-        /// It failed or broke off.
+        /// It failed or broke off its answer.
         Failed,
-        /// It answered for another adapter or version.
+        /// It answered with another adapter or version.
         WrongAdapter,
-        /// It did not continue where it was asked to.
+        /// It did not resume the stream where it was asked to.
         WrongResume,
     }
 }
@@ -83,19 +85,19 @@
 base::record! {
     /// How a request ended.
     pub enum Final {
-        /// The answer was passed on whole.
+        /// The complete answer was passed on.
         Whole,
-        /// The answer kept from an earlier run is to be given.
+        /// The answer kept from an earlier run is to be sent to the caller.
         Replay,
-        /// Nothing was passed on; this is the answer.
+        /// Nothing was passed on; the caller gets this failure.
         Failed(Failure),
-        /// A part of a stream was passed on: it ends with this as its last
-        /// event, and is never closed as if whole.
+        /// A part of a stream was passed on. The stream ends with this failure as its
+        /// last event, and never with the marker of a complete answer.
         Broken(Failure),
     }
 }
 
-/// What happened.
+/// An event handed in by the driver.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Input {
     /// The request arrived.
@@ -104,104 +106,105 @@
     Claimed(ClaimReply),
     /// A target was found.
     Placed {
-        /// Which.
+        /// The target.
         target: TargetNo,
     },
     /// No target was found, or the retry budget is used up.
     NoPlace(Failure),
-    /// An attempt came to nothing.
+    /// An attempt failed without an answer, or in the middle of it.
     AttemptFailed {
-        /// Which.
+        /// The attempt.
         attempt: AttemptNo,
-        /// Whether it may have run.
+        /// Whether the attempt may have run.
         verdict: Verdict,
-        /// Why.
+        /// The reason.
         reason: Refusal,
-        /// When to come back, where the target said so.
+        /// When to retry, if the target said so.
         retry: Option<Duration>,
     },
-    /// The head of an answer came.
+    /// The head of an answer arrived.
     Head {
-        /// To which attempt.
+        /// The attempt that it belongs to.
         attempt: AttemptNo,
         /// HTTP status.
         status: u16,
-        /// What it says it ran on.
+        /// The adapter version that the head names.
         ran_on: RanOn,
-        /// After which token it says it continues.
+        /// The number of tokens after which the head says the stream resumes.
         resumed: Option<u32>,
     },
-    /// A piece of an answer came.
+    /// A piece of an answer arrived.
     Piece {
-        /// To which attempt.
+        /// The attempt that it belongs to.
         attempt: AttemptNo,
-        /// What is in it.
+        /// The content of the piece.
         part: Part,
     },
     /// An answer ended.
     End {
-        /// To which attempt.
+        /// The attempt that it belongs to.
         attempt: AttemptNo,
-        /// Whether its end was a proper one.
+        /// Whether the answer ended properly.
         whole: bool,
     },
     /// The caller left.
     CallerGone,
-    /// A moment asked for has come.
+    /// The time of an [`Output::Wake`] has come.
     Wake,
 }
 
-/// What to do.
+/// An action for the driver to carry out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Output {
-    /// Claim the request by its key.
+    /// Claim the request's idempotency key.
     Claim,
     /// Find a target.
     Place {
         /// Targets that failed this request.
         avoid: Vec<TargetNo>,
-        /// Whether this follows another attempt and counts against the retry
-        /// budget; answer [`Input::NoPlace`] when that is used up.
+        /// Whether this is a retry, which uses the retry budget; [`Input::NoPlace`] is
+        /// the answer when that is used up.
         retry: bool,
     },
     /// Send the request.
     Send {
-        /// As which attempt.
+        /// Number of the attempt.
         attempt: AttemptNo,
-        /// Where to.
+        /// The target.
         target: TargetNo,
-        /// How many tokens the caller already has.
+        /// Number of tokens that the caller already has; the stream is to resume after
+        /// them.
         resume_from: u32,
     },
-    /// Close the attempt's connection; what still comes from it is unwanted.
+    /// Close the attempt's connection; later inputs of the attempt are ignored.
     Cancel {
-        /// Which.
+        /// The attempt.
         attempt: AttemptNo,
     },
     /// Pass the head just handed in to the caller.
     PassHead,
     /// Pass the piece just handed in to the caller.
     Pass,
-    /// Keep the head or piece just handed in until the answer is whole.
+    /// Hold back the head or piece just handed in until the answer is complete.
     Hold,
-    /// Forget what was held.
+    /// Discard what was held back.
     DropHeld,
-    /// Give the caller all that was held.
+    /// Send the caller everything that was held back.
     Release,
-    /// Report what became of the claimed request.
+    /// Settle the claim with the request's outcome.
     Settle(Fate),
-    /// Note a target's misbehaviour.
+    /// Record a fault of a target.
     Blame {
-        /// Which target.
+        /// The target.
         target: TargetNo,
-        /// What it did.
+        /// The fault.
         fault: Fault,
     },
     /// The request is over; nothing is passed to the caller after this.
     Finish(Final),
-    /// Hand in [`Input::Wake`] at this moment.
+    /// Hand in [`Input::Wake`] at this time.
     Wake {
-        /// When.
+        /// The time.
         at: Time,
     },
 }
--- a/crates/request/tests/every_step.rs
+++ b/crates/request/tests/every_step.rs
@@ -1,9 +1,9 @@
-//! Every order of events up to a bounded depth, with a failure possible at
-//! each step, checked against what truly happened.
+//! Explores every order of events up to a bounded depth, with a failure possible at each
+//! step, and checks the request's outputs against what really happened.
 //!
-//! The world beside the request knows the truth: which attempts ran, which
-//! tokens each would send. It offers every event that could come next, those
-//! of attempts given up included, and the checks hold after each of them.
+//! The model of the environment knows what really happened: which attempts ran, and which
+//! tokens each would send. It offers every event that could come next, including those of
+//! attempts that were given up, and the checks run after each of them.
 
 use std::{collections::HashSet, time::Duration};
 
@@ -22,41 +22,41 @@
     version: Version(2),
 };
 
-/// One attempt as the world sees it.
+/// One attempt as the environment sees it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Sent {
     no: AttemptNo,
     from: u32,
-    /// Tokens that its answer has sent.
+    /// Number of tokens that its answer has sent.
     next: u32,
     headed: bool,
     wrong: bool,
-    /// Whether it sent the mark that the stream is whole.
+    /// Whether it sent the end marker.
     last: bool,
     over: bool,
-    /// Whether it may have run, for all that the target does.
+    /// Whether it may have run on the target.
     ran: bool,
     cancelled: bool,
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-struct World {
+struct Environment {
     claiming: bool,
     placing: bool,
     granted: bool,
     settled: Option<Fate>,
     sent: Vec<Sent>,
-    /// Tokens that the caller got, in order.
+    /// Tokens passed to the caller, in order.
     got: Vec<u32>,
     /// Tokens held back.
     held: Vec<u32>,
     end: Option<Ended>,
     gone: bool,
     late: bool,
-    /// Whether the answer is bytes that can't be continued.
+    /// Whether the answer is bytes that can't be resumed.
     raw: bool,
-    /// Whether the caller got the mark that the stream is whole.
-    marked: bool,
+    /// Whether the caller got the end marker.
+    ended: bool,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -65,28 +65,28 @@
 /// An event: the input, and the tokens in it.
 type Event = (Input, Vec<u32>);
 
-fn events(world: &World) -> Vec<Event> {
+fn events(env: &Environment) -> Vec<Event> {
     let mut all = Vec::new();
-    if world.claiming {
+    if env.claiming {
         let retry = Duration::from_millis(1);
         let (yes, no) = (ClaimReply::Yours, ClaimReply::NotNow { retry });
         let kept = ClaimReply::Ran { kept: true };
         let replies = [yes, no, kept, ClaimReply::Running, ClaimReply::MayHaveRun];
         all.extend(replies.map(|reply| (Input::Claimed(reply), vec![])));
     }
-    if world.placing {
-        let target = TargetNo(world.sent.len() as u32);
+    if env.placing {
+        let target = TargetNo(env.sent.len() as u32);
         all.push((Input::Placed { target }, vec![]));
         let none = Failure::not_run(Refusal::Unavailable);
         all.push((Input::NoPlace(none), vec![]));
     }
-    for sent in world.sent.iter().filter(|sent| !sent.over) {
-        all.extend(events_of(sent, world.raw));
+    for sent in env.sent.iter().filter(|sent| !sent.over) {
+        all.extend(events_of(sent, env.raw));
     }
-    if !world.gone {
+    if !env.gone {
         all.push((Input::CallerGone, vec![]));
     }
-    if !world.late {
+    if !env.late {
         all.push((Input::Wake, vec![]));
     }
     all
@@ -118,7 +118,7 @@
             head(200, RanOn::Named(KEY), from),
             head(200, RanOn::Named(OTHER), from),
             head(500, RanOn::Unnamed, None),
-            // An engine that starts anew though it was asked to continue.
+            // The engine starts from the beginning although it was asked to resume.
             head(200, RanOn::Named(KEY), None),
         ];
         return all.into_iter().map(|input| (input, vec![])).collect();
@@ -127,8 +127,8 @@
     let end = |whole| Input::End { attempt, whole };
     // A target that says `not run` after it began to answer is wrong.
     let wrong = failed(Verdict::NotRun);
-    let in_doubt = failed(Verdict::MayHaveRun);
-    let ends = [preempted, wrong, in_doubt, end(false)];
+    let may_have_run = failed(Verdict::MayHaveRun);
+    let ends = [preempted, wrong, may_have_run, end(false)];
     let mut all: Vec<Event> = ends.map(|input| (input, vec![])).into();
     let part = if raw { Part::Raw } else { Part::Tokens(1) };
     if sent.next < TOKENS {
@@ -141,21 +141,22 @@
     all
 }
 
-/// Lets the world take part in `input`, then the request, then checks.
-fn step(start: &Start, request: &Request, world: &World, event: &Event) -> (Request, World) {
-    let (mut request, mut world) = (request.clone(), world.clone());
-    world.happen(&event.0);
-    let now = if world.late { DEADLINE } else { Time(1) };
+/// Applies the event to the environment and to the request, carries out the outputs, and
+/// checks.
+fn step(start: &Start, request: &Request, env: &Environment, event: &Event) -> (Request, Environment) {
+    let (mut request, mut env) = (request.clone(), env.clone());
+    env.happen(&event.0);
+    let now = if env.late { DEADLINE } else { Time(1) };
     let mut out = Vec::new();
     request.handle(now, event.0.clone(), &mut out);
     for output in &out {
-        world.carry_out(start, output, event);
+        env.carry_out(start, output, event);
     }
-    world.check(start, &out);
-    (request, world)
+    env.check(start, &out);
+    (request, env)
 }
 
-impl World {
+impl Environment {
     fn happen(&mut self, input: &Input) {
         match input {
             Input::Claimed(reply) => {
@@ -208,13 +209,13 @@
                 ..
             } => {
                 assert!(!over, "sent after the final answer");
-                let in_doubt = self.sent.iter().any(|sent| sent.ran);
-                assert!(start.mark == Mark::Repeatable || !in_doubt, "sent twice");
+                let ran = self.sent.iter().any(|sent| sent.ran);
+                assert!(start.mark == Mark::Repeatable || !ran, "marked request sent again after it may have run");
                 assert!(
                     start.mark == Mark::Repeatable || self.granted,
-                    "sent unclaimed"
+                    "marked request sent without a claim"
                 );
-                assert!(*resume_from == 0 || start.resumable, "can't continue");
+                assert!(*resume_from == 0 || start.resumable, "resumed on an engine that can't resume");
                 self.sent.push(Sent {
                     no: *attempt,
                     from: *resume_from,
@@ -228,17 +229,17 @@
                 });
             }
             Output::Cancel { attempt } => {
-                let all_there = self.marked || self.late;
-                let outlives = start.outlives && self.gone && !all_there;
+                let complete = self.ended || self.late;
+                let outlives = start.outlives && self.gone && !complete;
                 let bad = self.attempt(*attempt).headed && self.attempt(*attempt).wrong;
                 assert!(bad || !outlives, "cancelled though it outlives its caller");
                 self.attempt(*attempt).cancelled = true;
             }
             Output::Pass | Output::PassHead => {
-                assert!(!over && !self.gone, "passed to nobody");
+                assert!(!over && !self.gone, "passed on after the final answer or after the caller left");
                 self.check_source(input);
-                assert!(!self.marked, "passed after the end");
-                self.marked = matches!(
+                assert!(!self.ended, "passed on after the end marker");
+                self.ended = matches!(
                     input,
                     Input::Piece {
                         part: Part::Last,
@@ -252,9 +253,9 @@
             Output::Release => self.got.append(&mut self.held),
             Output::Settle(fate) => {
                 assert_eq!(self.settled.replace(*fate), None, "settled twice");
-                assert!(self.granted, "settled unclaimed");
+                assert!(self.granted, "settled without a claim");
                 let ran = self.sent.iter().any(|sent| sent.ran);
-                assert!(!ran || *fate != Fate::NotRun, "freed a key that ran");
+                assert!(!ran || *fate != Fate::NotRun, "settled as not run, but it ran");
             }
             Output::Finish(end) => {
                 assert!(!over, "two final answers");
@@ -267,11 +268,11 @@
 
     fn check_source(&mut self, input: &Input) {
         let (Input::Head { attempt, .. } | Input::Piece { attempt, .. }) = input else {
-            panic!("passed nothing");
+            panic!("passed on an input without data");
         };
         let sent = self.attempt(*attempt);
-        assert!(!sent.wrong, "passed a wrong adapter's answer");
-        assert!(!sent.cancelled, "passed a cancelled attempt's answer");
+        assert!(!sent.wrong, "passed on a wrong adapter's answer");
+        assert!(!sent.cancelled, "passed on a cancelled attempt's answer");
     }
 
     fn check_end(&self, end: &Final) {
@@ -280,30 +281,30 @@
             Final::Whole => {
                 let error = self.sent.last().is_some_and(|sent| sent.wrong);
                 let all: Vec<u32> = (0..TOKENS).collect();
-                assert!(error || self.got == all, "not whole: {:?}", self.got);
+                assert!(error || self.got == all, "complete answer with tokens {:?}", self.got);
             }
             Final::Replay => assert!(!ran),
             Final::Failed(failure) | Final::Broken(failure) => {
-                assert!(!ran || failure.verdict != Verdict::NotRun, "ran after all");
-                let in_doubt = !ran && failure.verdict != Verdict::NotRun;
+                assert!(!ran || failure.verdict != Verdict::NotRun, "verdict is not run, but it ran");
+                let uncertain = !ran && failure.verdict != Verdict::NotRun;
                 let other = failure.reason == Refusal::Duplicate;
-                assert!(!in_doubt || other, "certain, but not said: {failure:?}");
+                assert!(!uncertain || other, "not run, but the verdict is uncertain: {failure:?}");
                 assert!(self.got.is_empty() || matches!(end, Final::Broken(_)));
-                assert!(!self.marked, "whole for the caller, and an error after it");
+                assert!(!self.ended, "error after the end marker");
             }
         }
     }
 
     fn check(&self, start: &Start, out: &[Output]) {
         let exact = self.got.iter().copied().eq(0..self.got.len() as u32);
-        assert!(exact, "tokens {:?}", self.got);
+        assert!(exact, "tokens out of order: {:?}", self.got);
         if self.end.is_none() {
             return;
         }
         let open = |sent: &Sent| !sent.over && !sent.cancelled;
-        assert!(!self.sent.iter().any(open), "left running: {out:?}");
+        assert!(!self.sent.iter().any(open), "attempt left running: {out:?}");
         if start.mark == Mark::Once && !self.claiming {
-            assert_eq!(self.settled.is_some(), self.granted, "claim left open");
+            assert_eq!(self.settled.is_some(), self.granted, "claim not settled");
         }
     }
 }
@@ -315,43 +316,43 @@
 }
 
 impl Search {
-    fn explore(&mut self, request: &Request, world: &World, left: usize, path: &mut Vec<Input>) {
-        if !self.seen.insert(format!("{left}{request:?}{world:?}")) {
+    fn explore(&mut self, request: &Request, env: &Environment, left: usize, path: &mut Vec<Input>) {
+        if !self.seen.insert(format!("{left}{request:?}{env:?}")) {
             return;
         }
-        if let Some(Ended(end)) = &world.end {
+        if let Some(Ended(end)) = &env.end {
             self.ends.insert(end.clone());
         }
         if left == 0 {
-            return self.drain(request, world);
+            return self.drain(request, env);
         }
-        for event in events(world) {
+        for event in events(env) {
             path.push(event.0.clone());
-            let (request, world) = step(&self.start, request, world, &event);
-            self.explore(&request, &world, left - 1, path);
+            let (request, env) = step(&self.start, request, env, &event);
+            self.explore(&request, &env, left - 1, path);
             path.pop();
         }
     }
 
-    /// Whatever happened, the deadline brings the final answer.
-    fn drain(&self, request: &Request, world: &World) {
-        let (_, world) = step(&self.start, request, world, &(Input::Wake, vec![]));
-        assert!(world.end.is_some(), "no final answer: {world:?}");
+    /// Checks that the deadline brings the final answer in any state.
+    fn drain(&self, request: &Request, env: &Environment) {
+        let (_, env) = step(&self.start, request, env, &(Input::Wake, vec![]));
+        assert!(env.end.is_some(), "no final answer: {env:?}");
     }
 }
 
-/// Prints the path that led to a failed check.
-struct Trail<'a>(&'a mut Vec<Input>);
+/// Prints the events that led to a failed check.
+struct PathOnPanic<'a>(&'a mut Vec<Input>);
 
-impl Drop for Trail<'_> {
+impl Drop for PathOnPanic<'_> {
     fn drop(&mut self) {
         if std::thread::panicking() {
-            eprintln!("after {:#?}", self.0);
+            eprintln!("check failed after {:#?}", self.0);
         }
     }
 }
 
-/// How requests of one case are; the names say what is unlike the plainest.
+/// Properties of one case's requests; the names of cases say what differs from [`PLAIN`].
 #[derive(Clone, Copy)]
 struct Kind {
     once: bool,
@@ -382,27 +383,27 @@
         ends: HashSet::new(),
     };
     let (mut request, mut out) = (Request::default(), vec![]);
-    let mut world = World {
+    let mut env = Environment {
         raw: kind.raw,
-        ..World::default()
+        ..Environment::default()
     };
     request.handle(Time::ZERO, Input::Start(start.clone()), &mut out);
     let first = (Input::Start(start.clone()), vec![]);
     for output in &out {
-        world.carry_out(&start, output, &first);
+        env.carry_out(&start, output, &first);
     }
     let mut path = Vec::new();
-    let trail = Trail(&mut path);
-    search.explore(&request, &world, DEPTH, &mut *trail.0);
-    // The search is worth nothing unless it meets good and bad ends.
-    let met = |what: &str| search.ends.iter().any(|end| end.contains(what));
+    let on_panic = PathOnPanic(&mut path);
+    search.explore(&request, &env, DEPTH, &mut *on_panic.0);
+    // The search proves nothing unless it reaches both successful and failed ends.
+    let reached = |what: &str| search.ends.iter().any(|end| end.contains(what));
     for what in ["Whole", "NotRun", "MayHaveRun", "Deadline", "CallerGone"] {
-        assert!(met(what), "never met {what}");
+        assert!(reached(what), "no path ends with {what}");
     }
     assert_eq!(
-        met("Broken"),
+        reached("Broken"),
         stream,
-        "a stream breaks visibly, and nothing else does"
+        "streams can break off, other answers can't"
     );
     println!("{} states, {} ends", search.seen.len(), search.ends.len());
 }
--- a/crates/request/tests/paths.rs
+++ b/crates/request/tests/paths.rs
@@ -1,4 +1,4 @@
-//! Single paths through a request's life, told as a user sees them.
+//! Tests of single paths through a request's state machine.
 
 use std::time::Duration;
 
@@ -36,7 +36,7 @@
         run
     }
 
-    /// Takes `input` just after the start and returns what it led to.
+    /// Handles `input` just after the start and returns the outputs.
     fn give(&mut self, input: Input) -> Vec<Output> {
         self.at(Time(1), input)
     }
@@ -48,7 +48,7 @@
         out
     }
 
-    /// Goes to the point where attempt `no` is under way.
+    /// Sends attempt `no` by placing the request on target `no`.
     fn sent(&mut self, no: u32) -> Vec<Output> {
         let target = TargetNo(no);
         self.give(Input::Placed { target })
@@ -115,8 +115,8 @@
     }
 }
 
-/// A performer reads a draft as it is written. The engine breaks off after
-/// two tokens, another continues; the text shows no gap and no repetition.
+/// An engine breaks off a stream after two tokens and another engine resumes it: the
+/// caller's text has no gap and no repetition.
 #[gtest]
 fn a_broken_stream_is_continued() {
     covers!(second_frame_dropped);
@@ -137,8 +137,8 @@
     expect_that!(done, eq(&vec![Output::Finish(Final::Whole)]));
 }
 
-/// The same, but the engines can't continue. The caller must see an error at
-/// the end of what it has, never an end that looks proper.
+/// An interrupted stream that the engines can't resume ends with an error, never like a
+/// complete answer.
 #[gtest]
 fn a_stream_that_cannot_be_continued_ends_with_an_error() {
     covers!(stream_not_resumable);
@@ -155,8 +155,8 @@
     assert_that!(out, contains(eq(&Output::Finish(Final::Broken(failure)))));
 }
 
-/// An engine was reloaded behind the system's back and answers as another
-/// version. Nothing of that answer may reach the caller.
+/// Guards against an engine that was reloaded by someone else and answers with another
+/// version: nothing of that answer may reach the caller.
 #[gtest]
 fn an_answer_of_another_version_is_stopped() {
     covers!(wrong_adapter_stopped);
@@ -178,7 +178,8 @@
     }
 }
 
-/// An engine ignores the order to continue and starts from the beginning.
+/// Guards against an engine that ignores the request to resume and starts from the
+/// beginning.
 #[gtest]
 fn a_stream_that_starts_anew_is_not_passed_on() {
     covers!(wrong_resume_stopped);
@@ -200,8 +201,8 @@
     }
 }
 
-/// The first engine answers after it was given up. Its pieces must not be
-/// mixed into the second one's answer.
+/// Guards against an engine that answers after its attempt was given up: its pieces must
+/// not be mixed into the answer of the second attempt.
 #[gtest]
 fn a_late_answer_meets_nobody() {
     covers!(late_attempt_ignored);
@@ -215,11 +216,11 @@
     expect_that!(run.request.tokens(), eq(0));
 }
 
-/// An application is sent and its connection breaks. Sending it again could
-/// hand it in twice.
+/// Guards against running a marked request twice: its connection breaks, and it may have
+/// run.
 #[gtest]
 fn a_marked_request_in_doubt_is_not_sent_again() {
-    covers!(marked_not_repeated);
+    covers!(marked_not_retried);
     let mut run = Run::new(marked());
     run.give(Input::Claimed(ClaimReply::Yours));
     run.sent(1);
@@ -229,8 +230,8 @@
     assert_that!(out, contains(eq(&Output::Finish(Final::Failed(failure)))));
 }
 
-/// An application's caller loses its link amid the answer. The application
-/// runs out and is settled, so that a resend finds its answer.
+/// The caller of a marked request disconnects during the answer. The request continues to
+/// its end and is settled, so that a resend finds its answer.
 #[gtest]
 fn a_marked_request_outlives_its_caller() {
     covers!(marked_outlives_caller);
@@ -248,7 +249,8 @@
     assert_that!(out, eq(&vec![Output::Settle(Fate::Ran), end]));
 }
 
-/// A claim is granted after its caller was told that the request did not run.
+/// A claim is granted after its caller was told that the request did not run: the claim
+/// is settled as not run.
 #[gtest]
 fn a_late_claim_is_given_back() {
     covers!(late_claim_given_back);
@@ -260,11 +262,11 @@
     assert_that!(run.request.is_over(), eq(true));
 }
 
-/// A plain service's answer is passed on as it comes and then cut. Fetched
-/// anew, its beginning would stand twice in what the caller takes for whole.
+/// Guards against fetching an answer again after a part of it was passed on: the caller
+/// would get its beginning twice.
 #[gtest]
 fn bytes_passed_on_are_not_fetched_anew() {
-    covers!(bytes_not_repeated);
+    covers!(raw_not_retried);
     let mut run = Run::new(Start {
         adapter: None,
         ..live()
@@ -277,8 +279,8 @@
     assert_that!(out, contains(eq(&Output::Finish(Final::Broken(failure)))));
 }
 
-/// The connection breaks just after `[DONE]`. The caller has it all; an error
-/// or a second answer after it would spoil what is whole.
+/// Guards against an error or a second answer after `[DONE]`, when the connection breaks
+/// just after it: the caller has the complete answer.
 #[gtest]
 fn a_cut_after_the_end_spoils_nothing() {
     covers!(cut_after_the_end);
@@ -291,12 +293,12 @@
     assert_that!(out, eq(&vec![Output::Finish(Final::Whole)]));
 }
 
-/// Overnight work gives way to urgent work all evening, and engines change
-/// owners in a rolling restart. Neither may use up its attempts.
+/// A batch request is preempted again and again, and its engines change owners in a
+/// rolling restart. Neither may use up its attempts.
 #[gtest]
 fn giving_way_and_moving_are_no_failures() {
-    covers!(preempted_goes_on);
-    covers!(moved_goes_on);
+    covers!(preempted_not_counted);
+    covers!(moved_not_counted);
     let mut run = Run::new(live());
     for no in (1..40).step_by(2) {
         let reasons = [
@@ -325,11 +327,11 @@
     }
 }
 
-/// A long draft breaks again and again, each time further on. It goes on to
-/// its end; without progress, three attempts are all.
+/// A long stream is interrupted again and again, each time further on. It is resumed to
+/// its end; without progress three attempts are the limit.
 #[gtest]
 fn a_stream_that_gets_on_is_not_given_up() {
-    covers!(progress_uses_no_attempt);
+    covers!(progress_not_counted);
     let mut run = Run::new(live());
     let mut no = 0;
     for got in 0..20 {
@@ -360,7 +362,7 @@
 const HALF: Duration = Duration::from_millis(500);
 
 base::cases! {
-    /// A claim that is not granted is answered at once, honestly.
+    /// A claim that is not granted is answered at once, with the verdict that is known.
     claims_refused: claim_reply => {
         running: (ClaimReply::Running, Refusal::Duplicate, Verdict::MayHaveRun, RETRY),
         ran: (ClaimReply::Ran { kept: false }, Refusal::Duplicate, Verdict::Ran, None),
