--- a/crates/place/src/demand.rs
+++ b/crates/place/src/demand.rs
@@ -19,31 +19,31 @@
 /// Two exponentially decaying counts of requests. Kept to 12 bytes, since every node has
 /// one for each adapter.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Faded {
-    quick: f32,
+pub struct DecayingRate {
+    fast: f32,
     slow: f32,
     stamp: u32,
 }
 
-impl Faded {
+impl DecayingRate {
     /// Adds `weight` to both counts at `now`.
     pub fn add(&mut self, now: Time, weight: f32) {
         let stamp = stamp(now);
         let secs = self.idle_secs(stamp);
         if secs > 0.0 {
-            self.quick *= (-secs / FAST_SECS).exp();
+            self.fast *= (-secs / FAST_SECS).exp();
             self.slow *= (-secs / SLOW_SECS).exp();
         }
-        self.quick += weight;
+        self.fast += weight;
         self.slow += weight;
         self.stamp = stamp;
     }
 
     /// Returns the rate of the last seconds, in requests a second.
     #[must_use]
-    pub fn quick(&self, now: Time) -> f32 {
+    pub fn fast(&self, now: Time) -> f32 {
         let secs = self.idle_secs(stamp(now));
-        self.quick * (-secs / FAST_SECS).exp() / FAST_SECS
+        self.fast * (-secs / FAST_SECS).exp() / FAST_SECS
     }
 
     /// Returns the rate of the last minutes, in requests a second.
@@ -65,7 +65,7 @@
 /// The demand for each adapter, indexed by adapter number.
 #[derive(Clone, Debug, Default)]
 pub struct Demand {
-    counts: Vec<Faded>,
+    counts: Vec<DecayingRate>,
 }
 
 impl Demand {
@@ -79,7 +79,7 @@
     pub fn reserve(&mut self, adapter: AdapterNo) {
         let len = adapter.0 as usize + 1;
         if self.counts.len() < len {
-            self.counts.resize(len, Faded::default());
+            self.counts.resize(len, DecayingRate::default());
         }
     }
 
@@ -91,7 +91,7 @@
 
     /// Returns the counts of `adapter`; zero if it is unknown.
     #[must_use]
-    pub fn get(&self, adapter: AdapterNo) -> Faded {
+    pub fn get(&self, adapter: AdapterNo) -> DecayingRate {
         let found = self.counts.get(adapter.0 as usize);
         found.copied().unwrap_or_default()
     }
--- a/crates/place/src/lib.rs
+++ b/crates/place/src/lib.rs
@@ -14,7 +14,7 @@
 pub use crate::{
     backoff::Backoff,
     budget::Budget,
-    demand::{Demand, Faded},
+    demand::{Demand, DecayingRate},
     home::home_rank,
     slots::{Slot, SlotState, Slots},
 };
--- a/crates/place/src/slots.rs
+++ b/crates/place/src/slots.rs
@@ -2,7 +2,7 @@
 
 use base::{AdapterKey, Time};
 
-use crate::Faded;
+use crate::DecayingRate;
 
 /// The state of a slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -30,12 +30,12 @@
     /// Whether requests sent by the previous owner may still run on it.
     pub inherited: bool,
     /// Whether a newer version of the adapter is resident on the engine.
-    pub retired: bool,
+    pub superseded: bool,
     /// Decaying usage of the adapter; initialised from the demand that this instance has
     /// seen.
-    pub used: Faded,
+    pub usage: DecayingRate,
     /// When this instance last sent or ended a request for the adapter.
-    pub last: Time,
+    pub last_used: Time,
 }
 
 /// All slots of one engine.
@@ -87,7 +87,7 @@
     /// Returns whether `key` is resident, being loaded, or about to be loaded into a slot
     /// that is being emptied.
     #[must_use]
-    pub fn has_or_gets(&self, key: AdapterKey) -> bool {
+    pub fn has_or_loads(&self, key: AdapterKey) -> bool {
         self.slots.iter().any(|s| match s.state {
             SlotState::Loading | SlotState::Ready => s.key == key,
             SlotState::Unloading { next } => next == Some(key),
@@ -95,15 +95,15 @@
     }
 
     /// Occupies a slot with `key`.
-    pub fn put(&mut self, now: Time, key: AdapterKey, state: SlotState, used: Faded) {
+    pub fn put(&mut self, now: Time, key: AdapterKey, state: SlotState, usage: DecayingRate) {
         self.slots.push(Slot {
             key,
             state,
             pins: 0,
             inherited: false,
-            retired: false,
-            used,
-            last: now,
+            superseded: false,
+            usage,
+            last_used: now,
         });
     }
 
--- a/crates/place/tests/place.rs
+++ b/crates/place/tests/place.rs
@@ -2,7 +2,7 @@
 
 use base::{AdapterKey, AdapterNo, TargetNo, Time, Version, stable_hash};
 use googletest::prelude::*;
-use place::{Backoff, Budget, Demand, Faded, home_rank};
+use place::{Backoff, Budget, Demand, DecayingRate, home_rank};
 
 fn secs(n: u64) -> Time {
     Time::from_millis(n * 1_000)
@@ -15,8 +15,8 @@
         demand.note(secs(1), AdapterNo(7), 1.0);
     }
     let count = demand.get(AdapterNo(7));
-    assert_that!(count.quick(secs(1)), gt(9.0));
-    assert_that!(count.quick(secs(61)), lt(0.05));
+    assert_that!(count.fast(secs(1)), gt(9.0));
+    assert_that!(count.fast(secs(61)), lt(0.05));
     assert_that!(count.slow(secs(61)), gt(0.1));
     assert_that!(demand.get(AdapterNo(9)).slow(secs(61)), eq(0.0));
 }
@@ -24,7 +24,7 @@
 /// Every node keeps the counts of 48,000 adapters, most of them idle.
 #[test]
 fn an_idle_adapter_takes_twelve_bytes() {
-    assert_that!(size_of::<Faded>(), eq(12));
+    assert_that!(size_of::<DecayingRate>(), eq(12));
 }
 
 #[test]
--- a/crates/route/src/router.rs
+++ b/crates/route/src/router.rs
@@ -225,7 +225,7 @@
         if class == Class::Batch {
             return SPREAD_LOAD_BATCH;
         }
-        match self.demand.get(key.adapter).quick(now) >= HOT_RATE {
+        match self.demand.get(key.adapter).fast(now) >= HOT_RATE {
             true => PACK_LOAD,
             false => SPREAD_LOAD,
         }
--- a/crates/route/src/scheduler.rs
+++ b/crates/route/src/scheduler.rs
@@ -245,7 +245,7 @@
         let slot = request.ask.key.and_then(|key| owned.slots.get_mut(key));
         if let Some(slot) = slot.filter(|_| incarnation == owned.engine.incarnation) {
             slot.pins = slot.pins.saturating_sub(1);
-            slot.last = now;
+            slot.last_used = now;
         }
         if ok && !sent.preempted {
             owned.record_speed(sent.item.tokens, now.since(sent.at));
--- a/crates/route/src/scheduler/admit.rs
+++ b/crates/route/src/scheduler/admit.rs
@@ -81,7 +81,7 @@
         let queue = owned.drain_secs(ahead);
         let load = match ask.key {
             Some(key) if owned.slots.is_ready(key) => 0.0,
-            Some(key) if owned.slots.has_or_gets(key) => self.load_secs,
+            Some(key) if owned.slots.has_or_loads(key) => self.load_secs,
             Some(_) => self.load_wait(ask.class) * LOAD_MARGIN,
             _ => 0.0,
         };
--- a/crates/route/src/scheduler/engines.rs
+++ b/crates/route/src/scheduler/engines.rs
@@ -49,8 +49,8 @@
         let Some(owned) = self.engines.get_mut(&target) else {
             return;
         };
-        let held = owned.slots.iter().filter(|s| !s.retired);
-        let mut held: Vec<_> = held.map(|s| (s.used.slow(now), s.key)).collect();
+        let held = owned.slots.iter().filter(|s| !s.superseded);
+        let mut held: Vec<_> = held.map(|s| (s.usage.slow(now), s.key)).collect();
         held.sort_by(|a, b| b.0.total_cmp(&a.0));
         let evicting = owned.slots.iter();
         let evicting =
@@ -116,7 +116,7 @@
         let slots: Vec<_> = owned
             .slots
             .iter()
-            .map(|s| (s.key, s.last, s.pins))
+            .map(|s| (s.key, s.last_used, s.pins))
             .collect();
         let mut gone = Vec::new();
         for (key, last, pins) in slots {
@@ -139,8 +139,8 @@
 
     pub(super) fn rolled(&mut self, old: AdapterKey, new: AdapterKey) {
         for owned in self.engines.values_mut() {
-            let live = owned.slots.has_or_gets(old) || owned.queue.waits_for(old, Class::Batch);
-            if live && !owned.slots.has_or_gets(new) {
+            let live = owned.slots.has_or_loads(old) || owned.queue.waits_for(old, Class::Batch);
+            if live && !owned.slots.has_or_loads(new) {
                 owned.upgrades.push((old, new));
             }
         }
--- a/crates/route/src/scheduler/loads.rs
+++ b/crates/route/src/scheduler/loads.rs
@@ -84,7 +84,7 @@
     pub(super) fn count_waiting(&self) -> u32 {
         let waiting = self.engines.values().flat_map(|owned| {
             let waiting = Class::ALL.into_iter().flat_map(|c| owned.queue.waiting(c));
-            waiting.filter(|w| !owned.slots.has_or_gets(w.key))
+            waiting.filter(|w| !owned.slots.has_or_loads(w.key))
         });
         u32::try_from(waiting.count()).unwrap_or(u32::MAX)
     }
@@ -96,7 +96,7 @@
         let waiting = self.engines.values().flat_map(|owned| {
             let classes = Class::ALL.into_iter().filter(move |c| *c >= class);
             let waiting = classes.flat_map(|c| owned.queue.waiting(c));
-            waiting.filter(|w| !owned.slots.has_or_gets(w.key))
+            waiting.filter(|w| !owned.slots.has_or_loads(w.key))
         });
         let before = waiting.count() as f64;
         if rate <= 0.0 {
@@ -133,10 +133,10 @@
             return;
         };
         slot.state = SlotState::Ready;
-        slot.used = demand;
+        slot.usage = demand;
         for (old, _) in owned.upgrades.extract_if(.., |(_, new)| *new == key) {
             if let Some(slot) = owned.slots.get_mut(old) {
-                slot.retired = true;
+                slot.superseded = true;
             }
         }
         owned.publish(now, vec![key], Vec::new(), out);
@@ -251,7 +251,7 @@
         self.engines.values().any(|owned| {
             let mut waiting = Class::ALL.into_iter().flat_map(|c| owned.queue.waiting(c));
             owned.engine.ordering != Ordering::None
-                && waiting.any(|w| !owned.slots.has_or_gets(w.key))
+                && waiting.any(|w| !owned.slots.has_or_loads(w.key))
         })
     }
 
@@ -277,8 +277,8 @@
         let mut best = None;
         for (target, owned) in &self.engines {
             let upgrade = owned.upgrades.iter().find(|(old, new)| {
-                owned.slots.has_or_gets(*old)
-                    && !owned.slots.has_or_gets(*new)
+                owned.slots.has_or_loads(*old)
+                    && !owned.slots.has_or_loads(*new)
                     && self.backoff.until(now, *target, *new).is_none()
             });
             if let Some((_, new)) = upgrade
@@ -305,7 +305,7 @@
         for (target, owned) in &mut self.engines {
             let (slots, backoff) = (&owned.slots, &self.backoff);
             owned.prefetch.retain(|key| {
-                !slots.has_or_gets(*key) && backoff.until(now, *target, *key).is_none()
+                !slots.has_or_loads(*key) && backoff.until(now, *target, *key).is_none()
             });
         }
         self.engines.iter().find_map(|(target, owned)| {
@@ -333,7 +333,7 @@
                 continue;
             };
             for group in owned.queue.waiting(class) {
-                if owned.slots.has_or_gets(group.key) {
+                if owned.slots.has_or_loads(group.key) {
                     continue;
                 }
                 if let Some(until) = self.backoff.until(now, *target, group.key) {
--- a/crates/route/src/scheduler/owned.rs
+++ b/crates/route/src/scheduler/owned.rs
@@ -267,8 +267,8 @@
 /// Returns the slot's usage in live requests a second; negative for a superseded version,
 /// which is evicted first.
 pub(crate) fn slot_usage(now: Time, slot: &Slot) -> f32 {
-    if slot.retired {
+    if slot.superseded {
         return -1.0;
     }
-    slot.used.slow(now).max(slot.used.quick(now))
+    slot.usage.slow(now).max(slot.usage.fast(now))
 }
--- a/crates/route/src/scheduler/room.rs
+++ b/crates/route/src/scheduler/room.rs
@@ -111,7 +111,7 @@
     let mut classes = Class::ALL.into_iter().filter(entitled);
     classes.find_map(|class| {
         let waiting = owned.queue.waiting(class);
-        let waiting = waiting.filter(|w| !owned.slots.has_or_gets(w.key));
+        let waiting = waiting.filter(|w| !owned.slots.has_or_loads(w.key));
         Some((class, waiting.map(|w| w.since).min()?))
     })
 }
--- a/crates/route/src/scheduler/send.rs
+++ b/crates/route/src/scheduler/send.rs
@@ -78,8 +78,8 @@
         let slot = item.key.and_then(|key| owned.slots.get_mut(key));
         if let Some(slot) = slot {
             slot.pins += 1;
-            slot.last = now;
-            slot.used.add(now, use_weight(class));
+            slot.last_used = now;
+            slot.usage.add(now, use_weight(class));
         }
         let sent = Sent {
             item,
