--- a/crates/node/src/entry.rs
+++ b/crates/node/src/entry.rs
@@ -210,7 +210,10 @@
                     live.kept = kept;
                 }
                 self.end_attempt(now, ticket, attempt, whole, out);
-                Step::End { attempt, whole }
+                Step::End {
+                    attempt,
+                    complete: whole,
+                }
             }
             Progress::Failed {
                 verdict,
@@ -345,7 +348,7 @@
         let input = if again {
             self.find_place(shared, now, ticket, &[], out)
         } else {
-            Some(Step::NoPlace(failure))
+            Some(Step::NotPlaced(failure))
         };
         if let Some(input) = input {
             self.step(shared, now, ticket, 0, input, out);
--- a/crates/node/src/entry/place.rs
+++ b/crates/node/src/entry/place.rs
@@ -4,7 +4,7 @@
 
 use base::{Failure, Refusal, TargetNo, Ticket, Time, Verdict};
 use request::{
-    AttemptNo, ClaimReply as Claimed, Fate, Fault, Final, Input as Step, Output as Want,
+    AttemptNo, ClaimOutcome, ClaimReply as Claimed, Fault, Final, Input as Step, Output as Want,
 };
 use route::News;
 use wire::call::{self, Call, Claim, ClaimReply, Reply, Settle};
@@ -50,7 +50,7 @@
             Want::Place { avoid, retry } => {
                 if retry && !self.may_retry(&avoid) {
                     let failure = Failure::not_run(Refusal::Unavailable);
-                    return Some(Step::NoPlace(failure));
+                    return Some(Step::NotPlaced(failure));
                 }
                 return self.find_place(shared, now, ticket, &avoid, out);
             }
@@ -64,8 +64,8 @@
             Want::Hold => out.emit(flow(Flow::Hold)),
             Want::DropHeld => out.emit(flow(Flow::Drop)),
             Want::Release => out.emit(flow(Flow::Release)),
-            Want::Settle(fate) => self.settle_claim(shared, ticket, fate, out),
-            Want::Blame { target, fault } => {
+            Want::Settle(outcome) => self.settle_claim(shared, ticket, outcome, out),
+            Want::ReportFault { target, fault } => {
                 if fault == Fault::WrongAdapter {
                     let name = shared.names.target_name(target).clone();
                     out.emit(Output::Event(Event::WrongAdapter(name)));
@@ -89,7 +89,7 @@
         let key = live.key?;
         let retry = CLAIM_RETRY;
         let Some((_, address)) = shared.control(self.turn) else {
-            return Some(Step::Claimed(Claimed::NotNow { retry }));
+            return Some(Step::Claimed(Claimed::Deferred { retry }));
         };
         let claim = Claim {
             brand: live.brand.clone(),
@@ -161,7 +161,7 @@
             Ok(_) | Err(Verdict::NotRun) => ClaimReply::NotNow { retry: CLAIM_RETRY },
             Err(_) => {
                 base::hit!(unheard_claim_given_back);
-                self.settle_claim(shared, ticket, Fate::NotRun, out);
+                self.settle_claim(shared, ticket, ClaimOutcome::NotRun, out);
                 ClaimReply::NotNow { retry: CLAIM_RETRY }
             }
         }
@@ -184,7 +184,7 @@
             let choice = choice.or_else(|_| self.router.choose(now, &live.ask, &live.turned_away));
             let target = match choice {
                 Ok(choice) => choice.target,
-                Err(failure) if live.turned_away.is_empty() => return Some(Step::NoPlace(failure)),
+                Err(failure) if live.turned_away.is_empty() => return Some(Step::NotPlaced(failure)),
                 Err(failure) => return self.park(shared, now, ticket, failure),
             };
             live.local = false;
@@ -229,7 +229,7 @@
         let live = self.requests.get_mut(&ticket)?;
         let since = *live.parked.get_or_insert(now);
         if now.since(since) >= PARK_MAX {
-            return Some(Step::NoPlace(failure));
+            return Some(Step::NotPlaced(failure));
         }
         base::hit!(parked_without_owner);
         live.turned_away.clear();
@@ -322,17 +322,17 @@
         self.end_attempt(now, ticket, attempt, true, out);
     }
 
-    fn settle_claim(&mut self, shared: &mut Shared, ticket: Ticket, fate: Fate, out: &mut Out) {
+    fn settle_claim(&mut self, shared: &mut Shared, ticket: Ticket, outcome: ClaimOutcome, out: &mut Out) {
         let Some(live) = self.requests.get_mut(&ticket) else {
             return;
         };
         let Some(key) = live.key else {
             return;
         };
-        let fate = match fate {
-            Fate::NotRun => call::Fate::NotRun,
-            Fate::MayHaveRun => call::Fate::MayHaveRun,
-            Fate::Ran => call::Fate::Ran(live.kept.take()),
+        let fate = match outcome {
+            ClaimOutcome::NotRun => call::Fate::NotRun,
+            ClaimOutcome::MayHaveRun => call::Fate::MayHaveRun,
+            ClaimOutcome::Ran => call::Fate::Ran(live.kept.take()),
         };
         let brand = live.brand.clone();
         let settle = Settle {
@@ -367,10 +367,10 @@
         }
         let failure = match &end {
             Final::Failed(failure) | Final::Broken(failure) => Some(failure.clone()),
-            Final::Whole | Final::Replay => None,
+            Final::Complete | Final::Replay => None,
         };
         let end = match end {
-            Final::Whole => Ending::Whole,
+            Final::Complete => Ending::Whole,
             Final::Failed(failure) => Ending::Failed(failure),
             Final::Broken(failure) => Ending::Broken(failure),
             Final::Replay => match live.replay.take() {
@@ -390,7 +390,7 @@
 /// Turns the reply to a claim into what the request's decisions take.
 pub(super) fn claim_reply(reply: &ClaimReply) -> Claimed {
     match reply {
-        ClaimReply::Yours => Claimed::Yours,
+        ClaimReply::Yours => Claimed::Granted,
         ClaimReply::Running => Claimed::Running,
         ClaimReply::Ran(answer) => Claimed::Ran {
             kept: answer.is_some(),
@@ -398,6 +398,6 @@
         ClaimReply::MayHaveRun => Claimed::MayHaveRun,
         ClaimReply::OtherBody => Claimed::OtherBody,
         ClaimReply::TooOld => Claimed::TooOld,
-        ClaimReply::NotNow { retry } => Claimed::NotNow { retry: *retry },
+        ClaimReply::NotNow { retry } => Claimed::Deferred { retry: *retry },
     }
 }
--- a/crates/request/src/lib.rs
+++ b/crates/request/src/lib.rs
@@ -12,6 +12,6 @@
 
 pub use crate::{
     life::Request,
-    message::{AttemptNo, ClaimReply, Fate, Fault, Final, Input, Output, Part, RanOn},
+    message::{AttemptNo, ClaimReply, ClaimOutcome, Fault, Final, Input, Output, Part, RanOn},
     start::{ATTEMPTS_MAX, Start},
 };
--- a/crates/request/src/life.rs
+++ b/crates/request/src/life.rs
@@ -10,7 +10,7 @@
 
 use crate::{
     Start,
-    message::{AttemptNo, ClaimReply, Fate, Fault, Final, Input, Output},
+    message::{AttemptNo, ClaimReply, ClaimOutcome, Fault, Final, Input, Output},
 };
 
 /// `Retry-After` when neither a target nor the control plane gave one: long enough for a
@@ -173,9 +173,9 @@
     fn on_claim_abandoned(&mut self, input: &Input, out: &mut Vec<Output>) {
         self.stage = Stage::ClaimAbandoned;
         let Input::Claimed(reply) = input else { return };
-        if *reply == ClaimReply::Yours {
+        if *reply == ClaimReply::Granted {
             base::hit!(late_claim_given_back);
-            out.push(Output::Settle(Fate::NotRun));
+            out.push(Output::Settle(ClaimOutcome::NotRun));
         }
         self.stage = Stage::Over;
     }
@@ -187,11 +187,11 @@
             retry: None,
         };
         match reply {
-            ClaimReply::Yours if now >= start.deadline => {
-                out.push(Output::Settle(Fate::NotRun));
+            ClaimReply::Granted if now >= start.deadline => {
+                out.push(Output::Settle(ClaimOutcome::NotRun));
                 self.fail(Failure::not_run(Refusal::Deadline), out);
             }
-            ClaimReply::Yours => self.place(start, out),
+            ClaimReply::Granted => self.place(start, out),
             ClaimReply::Running => {
                 self.fail(duplicate(Verdict::MayHaveRun).retry_after(RETRY_AFTER), out);
             }
@@ -202,7 +202,7 @@
                 self.fail(duplicate(Verdict::MayHaveRun), out);
             }
             ClaimReply::OtherBody => self.fail(Failure::not_run(Refusal::KeyReused), out),
-            ClaimReply::NotNow { retry } => {
+            ClaimReply::Deferred { retry } => {
                 let failure = Failure::not_run(Refusal::NoQuorum);
                 self.fail(failure.retry_after(retry), out);
             }
@@ -220,7 +220,7 @@
     fn on_placing(&mut self, now: Time, start: Start, input: Input, out: &mut Vec<Output>) {
         match input {
             Input::Placed { target } => self.send(start, target, out),
-            Input::NoPlace(failure) => self.give_up(&start, failure, out),
+            Input::NotPlaced(failure) => self.give_up(&start, failure, out),
             Input::CallerGone => {
                 self.give_up(&start, Failure::not_run(Refusal::CallerGone), out);
             }
@@ -287,8 +287,8 @@
                 ..
             } => self.on_head(now, start, attempt, (status, ran_on, resumed), out),
             Input::Piece { part, .. } => self.on_piece(start, attempt, part, out),
-            Input::End { whole: true, .. } => self.on_complete(now, start, attempt, out),
-            Input::End { whole: false, .. } => {
+            Input::End { complete: true, .. } => self.on_complete(now, start, attempt, out),
+            Input::End { complete: false, .. } => {
                 self.on_failed(now, start, attempt, Failed::broken(Fault::Failed), out);
             }
             Input::CallerGone => self.on_caller_gone(start, attempt, out),
@@ -330,9 +330,9 @@
     fn give_up(&mut self, start: &Start, failure: Failure, out: &mut Vec<Output>) {
         if start.mark == Mark::Once {
             out.push(Output::Settle(match self.verdict {
-                Verdict::NotRun => Fate::NotRun,
-                Verdict::MayHaveRun => Fate::MayHaveRun,
-                Verdict::Ran => Fate::Ran,
+                Verdict::NotRun => ClaimOutcome::NotRun,
+                Verdict::MayHaveRun => ClaimOutcome::MayHaveRun,
+                Verdict::Ran => ClaimOutcome::Ran,
             }));
         }
         let failure = self.failure(failure);
--- a/crates/request/src/life/answer.rs
+++ b/crates/request/src/life/answer.rs
@@ -5,7 +5,7 @@
 use super::{Attempt, Failed, Reply, Request, Stage};
 use crate::{
     Start,
-    message::{AttemptNo, Fate, Fault, Final, Output, Part, RanOn},
+    message::{AttemptNo, ClaimOutcome, Fault, Final, Output, Part, RanOn},
 };
 
 impl Request {
@@ -109,7 +109,7 @@
     /// Ends the request with the complete answer.
     pub(super) fn finish_complete(&mut self, start: &Start, attempt: Attempt, out: &mut Vec<Output>) {
         if start.mark == Mark::Once {
-            out.push(Output::Settle(Fate::Ran));
+            out.push(Output::Settle(ClaimOutcome::Ran));
         }
         if self.detached {
             let failure = Failure {
@@ -122,6 +122,6 @@
         if attempt.reply == Reply::Holding {
             out.push(Output::Release);
         }
-        self.finish(Final::Whole, out);
+        self.finish(Final::Complete, out);
     }
 }
--- a/crates/request/src/life/failed.rs
+++ b/crates/request/src/life/failed.rs
@@ -43,7 +43,7 @@
         let target = attempt.target;
         if failed.verdict != Verdict::NotRun {
             let fault = failed.fault;
-            out.push(Output::Blame { target, fault });
+            out.push(Output::ReportFault { target, fault });
         }
         self.avoid.push(target);
         // A head proves that the target began to run the request, whatever the failure
--- a/crates/request/src/message.rs
+++ b/crates/request/src/message.rs
@@ -40,7 +40,7 @@
     pub enum ClaimReply {
         /// The claim is granted: this request may be sent, and no other with the same
         /// key.
-        Yours,
+        Granted,
         /// Another request with the same key is running.
         Running,
         /// A request with the key ran before.
@@ -55,14 +55,14 @@
         /// The key is older than the claims that are remembered.
         TooOld,
         /// The claim could not be made.
-        NotNow {
+        Deferred {
             /// When to retry.
             retry: Duration,
         },
     }
 
     /// The outcome of a claimed request, by which its claim is settled.
-    pub enum Fate {
+    pub enum ClaimOutcome {
         /// The request certainly did not run.
         NotRun,
         /// The request ran; the driver adds the answer if it is small enough to keep.
@@ -86,7 +86,7 @@
     /// How a request ended.
     pub enum Final {
         /// The complete answer was passed on.
-        Whole,
+        Complete,
         /// The answer kept from an earlier run is to be sent to the caller.
         Replay,
         /// Nothing was passed on; the caller gets this failure.
@@ -110,7 +110,7 @@
         target: TargetNo,
     },
     /// No target was found, or the retry budget is used up.
-    NoPlace(Failure),
+    NotPlaced(Failure),
     /// An attempt failed without an answer, or in the middle of it.
     AttemptFailed {
         /// The attempt.
@@ -145,7 +145,7 @@
         /// The attempt that it belongs to.
         attempt: AttemptNo,
         /// Whether the answer ended properly.
-        whole: bool,
+        complete: bool,
     },
     /// The caller left.
     CallerGone,
@@ -162,7 +162,7 @@
     Place {
         /// Targets that failed this request.
         avoid: Vec<TargetNo>,
-        /// Whether this is a retry, which uses the retry budget; [`Input::NoPlace`] is
+        /// Whether this is a retry, which uses the retry budget; [`Input::NotPlaced`] is
         /// the answer when that is used up.
         retry: bool,
     },
@@ -192,9 +192,9 @@
     /// Send the caller everything that was held back.
     Release,
     /// Settle the claim with the request's outcome.
-    Settle(Fate),
+    Settle(ClaimOutcome),
     /// Record a fault of a target.
-    Blame {
+    ReportFault {
         /// The target.
         target: TargetNo,
         /// The fault.
--- a/crates/request/tests/every_step.rs
+++ b/crates/request/tests/every_step.rs
@@ -8,7 +8,7 @@
 use std::{collections::HashSet, time::Duration};
 
 use base::{AdapterKey, AdapterNo, Failure, Mark, Refusal, TargetNo, Time, Verdict, Version};
-use request::{AttemptNo, ClaimReply, Fate, Final, Input, Output, Part, RanOn, Request, Start};
+use request::{AttemptNo, ClaimReply, ClaimOutcome, Final, Input, Output, Part, RanOn, Request, Start};
 
 const DEADLINE: Time = Time(1_000);
 const DEPTH: usize = 10;
@@ -44,7 +44,7 @@
     claiming: bool,
     placing: bool,
     granted: bool,
-    settled: Option<Fate>,
+    settled: Option<ClaimOutcome>,
     sent: Vec<Sent>,
     /// Tokens passed to the caller, in order.
     got: Vec<u32>,
@@ -69,7 +69,7 @@
     let mut all = Vec::new();
     if env.claiming {
         let retry = Duration::from_millis(1);
-        let (yes, no) = (ClaimReply::Yours, ClaimReply::NotNow { retry });
+        let (yes, no) = (ClaimReply::Granted, ClaimReply::Deferred { retry });
         let kept = ClaimReply::Ran { kept: true };
         let replies = [yes, no, kept, ClaimReply::Running, ClaimReply::MayHaveRun];
         all.extend(replies.map(|reply| (Input::Claimed(reply), vec![])));
@@ -78,7 +78,7 @@
         let target = TargetNo(env.sent.len() as u32);
         all.push((Input::Placed { target }, vec![]));
         let none = Failure::not_run(Refusal::Unavailable);
-        all.push((Input::NoPlace(none), vec![]));
+        all.push((Input::NotPlaced(none), vec![]));
     }
     for sent in env.sent.iter().filter(|sent| !sent.over) {
         all.extend(events_of(sent, env.raw));
@@ -124,7 +124,7 @@
         return all.into_iter().map(|input| (input, vec![])).collect();
     }
     let piece = |part| Input::Piece { attempt, part };
-    let end = |whole| Input::End { attempt, whole };
+    let end = |complete| Input::End { attempt, complete };
     // A target that says `not run` after it began to answer is wrong.
     let wrong = failed(Verdict::NotRun);
     let may_have_run = failed(Verdict::MayHaveRun);
@@ -161,9 +161,9 @@
         match input {
             Input::Claimed(reply) => {
                 self.claiming = false;
-                self.granted = *reply == ClaimReply::Yours;
+                self.granted = *reply == ClaimReply::Granted;
             }
-            Input::Placed { .. } | Input::NoPlace(_) => self.placing = false,
+            Input::Placed { .. } | Input::NotPlaced(_) => self.placing = false,
             Input::CallerGone => self.gone = true,
             Input::Wake => self.late = true,
             Input::AttemptFailed {
@@ -251,18 +251,18 @@
             Output::Hold => self.held.extend(tokens),
             Output::DropHeld => self.held.clear(),
             Output::Release => self.got.append(&mut self.held),
-            Output::Settle(fate) => {
-                assert_eq!(self.settled.replace(*fate), None, "settled twice");
+            Output::Settle(outcome) => {
+                assert_eq!(self.settled.replace(*outcome), None, "settled twice");
                 assert!(self.granted, "settled without a claim");
                 let ran = self.sent.iter().any(|sent| sent.ran);
-                assert!(!ran || *fate != Fate::NotRun, "settled as not run, but it ran");
+                assert!(!ran || *outcome != ClaimOutcome::NotRun, "settled as not run, but it ran");
             }
             Output::Finish(end) => {
                 assert!(!over, "two final answers");
                 self.check_end(end);
                 self.end = Some(Ended(format!("{end:?}")));
             }
-            Output::Blame { .. } | Output::Wake { .. } => {}
+            Output::ReportFault { .. } | Output::Wake { .. } => {}
         }
     }
 
@@ -278,7 +278,7 @@
     fn check_end(&self, end: &Final) {
         let ran = self.sent.iter().any(|sent| sent.ran);
         match end {
-            Final::Whole => {
+            Final::Complete => {
                 let error = self.sent.last().is_some_and(|sent| sent.wrong);
                 let all: Vec<u32> = (0..TOKENS).collect();
                 assert!(error || self.got == all, "complete answer with tokens {:?}", self.got);
@@ -397,7 +397,7 @@
     search.explore(&request, &env, DEPTH, &mut *on_panic.0);
     // The search proves nothing unless it reaches both successful and failed ends.
     let reached = |what: &str| search.ends.iter().any(|end| end.contains(what));
-    for what in ["Whole", "NotRun", "MayHaveRun", "Deadline", "CallerGone"] {
+    for what in ["Complete", "NotRun", "MayHaveRun", "Deadline", "CallerGone"] {
         assert!(reached(what), "no path ends with {what}");
     }
     assert_eq!(
--- a/crates/request/tests/paths.rs
+++ b/crates/request/tests/paths.rs
@@ -7,7 +7,7 @@
 };
 use googletest::prelude::*;
 use request::{
-    AttemptNo, ClaimReply, Fate, Fault, Final, Input, Output, Part, RanOn, Request, Start,
+    AttemptNo, ClaimReply, ClaimOutcome, Fault, Final, Input, Output, Part, RanOn, Request, Start,
 };
 
 const DEADLINE: Time = Time(1_000_000);
@@ -85,9 +85,9 @@
     Input::Piece { attempt, part }
 }
 
-fn end(no: u32, whole: bool) -> Input {
+fn end(no: u32, complete: bool) -> Input {
     let attempt = AttemptNo(no);
-    Input::End { attempt, whole }
+    Input::End { attempt, complete }
 }
 
 fn failed(no: u32, verdict: Verdict) -> Input {
@@ -134,7 +134,7 @@
     expect_that!(run.give(piece(2, Part::Preamble)), is_empty());
     expect_that!(run.give(piece(2, Part::Tokens(1))), eq(&vec![Output::Pass]));
     let done = run.give(end(2, true));
-    expect_that!(done, eq(&vec![Output::Finish(Final::Whole)]));
+    expect_that!(done, eq(&vec![Output::Finish(Final::Complete)]));
 }
 
 /// An interrupted stream that the engines can't resume ends with an error, never like a
@@ -171,7 +171,7 @@
                 attempt: AttemptNo(1)
             }))
         );
-        expect_that!(out, contains(eq(&Output::Blame { target, fault })));
+        expect_that!(out, contains(eq(&Output::ReportFault { target, fault })));
         expect_that!(out, not(contains(eq(&Output::PassHead))));
         let avoid = vec![target];
         expect_that!(out, contains(eq(&Output::Place { avoid, retry: true })));
@@ -222,11 +222,11 @@
 fn a_marked_request_in_doubt_is_not_sent_again() {
     covers!(marked_not_retried);
     let mut run = Run::new(marked());
-    run.give(Input::Claimed(ClaimReply::Yours));
+    run.give(Input::Claimed(ClaimReply::Granted));
     run.sent(1);
     let out = run.give(failed(1, Verdict::MayHaveRun));
     let failure = failure(Refusal::TargetFailed, Verdict::MayHaveRun, RETRY);
-    expect_that!(out, contains(eq(&Output::Settle(Fate::MayHaveRun))));
+    expect_that!(out, contains(eq(&Output::Settle(ClaimOutcome::MayHaveRun))));
     assert_that!(out, contains(eq(&Output::Finish(Final::Failed(failure)))));
 }
 
@@ -239,14 +239,14 @@
         outlives: true,
         ..marked()
     });
-    run.give(Input::Claimed(ClaimReply::Yours));
+    run.give(Input::Claimed(ClaimReply::Granted));
     run.sent(1);
     expect_that!(run.give(Input::CallerGone), is_empty());
     run.give(head(1, RanOn::Unnamed, None));
     let out = run.give(end(1, true));
     let failure = failure(Refusal::CallerGone, Verdict::Ran, None);
     let end = Output::Finish(Final::Failed(failure));
-    assert_that!(out, eq(&vec![Output::Settle(Fate::Ran), end]));
+    assert_that!(out, eq(&vec![Output::Settle(ClaimOutcome::Ran), end]));
 }
 
 /// A claim is granted after its caller was told that the request did not run: the claim
@@ -257,8 +257,8 @@
     let mut run = Run::new(marked());
     run.at(DEADLINE, Input::Wake);
     expect_that!(run.request.is_over(), eq(false));
-    let out = run.at(DEADLINE, Input::Claimed(ClaimReply::Yours));
-    assert_that!(out, eq(&vec![Output::Settle(Fate::NotRun)]));
+    let out = run.at(DEADLINE, Input::Claimed(ClaimReply::Granted));
+    assert_that!(out, eq(&vec![Output::Settle(ClaimOutcome::NotRun)]));
     assert_that!(run.request.is_over(), eq(true));
 }
 
@@ -290,7 +290,7 @@
     run.give(piece(1, Part::Tokens(1)));
     run.give(piece(1, Part::Last));
     let out = run.give(end(1, false));
-    assert_that!(out, eq(&vec![Output::Finish(Final::Whole)]));
+    assert_that!(out, eq(&vec![Output::Finish(Final::Complete)]));
 }
 
 /// A batch request is preempted again and again, and its engines change owners in a
@@ -369,6 +369,6 @@
         in_doubt: (ClaimReply::MayHaveRun, Refusal::Duplicate, Verdict::MayHaveRun, None),
         too_old: (ClaimReply::TooOld, Refusal::Duplicate, Verdict::MayHaveRun, None),
         other_body: (ClaimReply::OtherBody, Refusal::KeyReused, Verdict::NotRun, None),
-        no_quorum: (ClaimReply::NotNow { retry: HALF }, Refusal::NoQuorum, Verdict::NotRun, Some(HALF)),
+        no_quorum: (ClaimReply::Deferred { retry: HALF }, Refusal::NoQuorum, Verdict::NotRun, Some(HALF)),
     }
 }
