--- a/crates/measure/src/ours.rs
+++ b/crates/measure/src/ours.rs
@@ -9,8 +9,8 @@
     stable_hash,
 };
 use route::{
-    Ask, Attempts, Engine, Input, LoadEnd, News, Ordering, Output, PoolNo, Residents, RetryBudget,
-    Router, Scheduler, Target, ZoneNo,
+    Attempts, Engine, Input, LoadEnd, LoadPolicy, Output, PoolNo, RequestSpec, Residents,
+    RetryBudget, Router, RouterUpdate, Scheduler, Target, ZoneNo,
 };
 
 use crate::{
@@ -41,7 +41,7 @@
 #[derive(Clone, Debug)]
 enum Mail {
     ToOwner(usize, Input),
-    ToRouter(usize, News),
+    ToRouter(usize, RouterUpdate),
     Beat,
 }
 
@@ -94,18 +94,18 @@
         for adapter in (0..self.sizes.adapters).map(AdapterNo) {
             let hash = stable_hash(&[&adapter.0.to_le_bytes()]);
             for i in 0..self.sizes.entries {
-                self.routers[i].note(Time::ZERO, News::Adapter { adapter, hash });
+                self.routers[i].apply(Time::ZERO, RouterUpdate::Adapter { adapter, hash });
                 self.scheduler(Time::ZERO, i, Input::Adapter { adapter, hash }, &mut out);
             }
         }
         for i in 0..self.sizes.portals {
             let target = self.target(portal_no(&self.sizes, i), i, PORTALS);
-            self.tell_all(Time::ZERO, &News::Target(target));
+            self.tell_all(Time::ZERO, &RouterUpdate::Target(target));
         }
         for i in 0..self.sizes.engines {
             let target = self.target(target_no(i), i, ENGINES);
-            self.tell_all(Time::ZERO, &News::Target(target));
-            self.own(Time::ZERO, i, Ordering::Full, &mut out);
+            self.tell_all(Time::ZERO, &RouterUpdate::Target(target));
+            self.own(Time::ZERO, i, LoadPolicy::Full, &mut out);
         }
         self.beat(Time::ZERO, &mut out);
     }
@@ -127,13 +127,13 @@
         }
     }
 
-    fn own(&mut self, now: Time, i: usize, ordering: Ordering, out: &mut Vec<Action>) {
+    fn own(&mut self, now: Time, i: usize, policy: LoadPolicy, out: &mut Vec<Action>) {
         let engine = Engine {
             target: target_no(i),
             incarnation: Incarnation(self.lives[i]),
             slots: self.sizes.slots,
             batch: self.sizes.batch,
-            ordering,
+            policy,
         };
         let input = Input::Owned {
             engine,
@@ -179,16 +179,16 @@
                 );
             }
             Event::Down(target) => {
-                self.tell_all(now, &News::Reachable(target, false));
-                self.own(now, target.0 as usize, Ordering::None, out);
+                self.tell_all(now, &RouterUpdate::Reachable(target, false));
+                self.own(now, target.0 as usize, LoadPolicy::None, out);
             }
             Event::Up(target) => {
                 let i = target.0 as usize;
                 self.lives[i] += 1;
                 let known = self.target(target, i, ENGINES);
-                self.tell_all(now, &News::Target(known));
-                self.tell_all(now, &News::Reachable(target, true));
-                self.own(now, i, Ordering::Full, out);
+                self.tell_all(now, &RouterUpdate::Target(known));
+                self.tell_all(now, &RouterUpdate::Reachable(target, true));
+                self.own(now, i, LoadPolicy::Full, out);
             }
             Event::Cut(zone) => self.reach(now, Some(zone), out),
             Event::Joined => self.reach(now, None, out),
@@ -216,7 +216,7 @@
             return;
         };
         let target = choice.target;
-        self.routers[entry].note(now, News::Started(target));
+        self.routers[entry].apply(now, RouterUpdate::AttemptSent(target));
         if track.tried.is_empty() {
             self.retries[entry].earn(target);
         }
@@ -231,7 +231,7 @@
         let input = Input::Arrive {
             ticket,
             target,
-            ask,
+            spec: ask,
         };
         self.ask_owner(now, entry, target, input, out);
     }
@@ -253,10 +253,10 @@
         };
         let after = now.since(track.placed);
         let (entry, target) = (track.arrival.entry, track.target);
-        self.routers[entry].note(now, News::Began(target, after));
+        self.routers[entry].apply(now, RouterUpdate::ResponseBegan(target, after));
         if track.arrival.key.is_some() {
             let owner = self.owner(target);
-            self.scheduler(now, owner, Input::Began(Ticket(id as u64)), out);
+            self.scheduler(now, owner, Input::FirstToken(Ticket(id as u64)), out);
         }
     }
 
@@ -266,7 +266,7 @@
             return;
         };
         let target = track.target;
-        self.routers[track.arrival.entry].note(now, News::Ended { target, ok });
+        self.routers[track.arrival.entry].apply(now, RouterUpdate::AttemptEnded { target, ok });
     }
 
     fn finish(&mut self, now: Time, id: usize, ok: bool, out: &mut Vec<Action>) {
@@ -285,7 +285,7 @@
             return;
         };
         let (entry, target) = (track.arrival.entry, track.target);
-        self.routers[entry].note(now, News::Ended { target, ok: true });
+        self.routers[entry].apply(now, RouterUpdate::AttemptEnded { target, ok: true });
         let again = reason == Refusal::Unavailable
             && track.attempts.another()
             && self.retries[entry].spend(target);
@@ -320,22 +320,22 @@
             Output::Unload { target, key } => out.push(Action::Unload(target, key)),
             Output::Residents {
                 target,
-                whole,
+                full,
                 added,
                 removed,
                 running,
                 queued,
-                worth,
+                evict_cost,
             } => {
-                let news = News::Residents(Residents {
+                let news = RouterUpdate::Residents(Residents {
                     target,
                     fence: Fence(1),
-                    whole,
+                    full,
                     added,
                     removed,
                     running,
                     queued,
-                    worth,
+                    evict_cost,
                 });
                 for to in 0..self.sizes.entries {
                     if !self.joined(i, to) {
@@ -382,7 +382,7 @@
                 Mail::ToOwner(_, Input::Arrive { ticket, .. })
                     if !self.tracks.contains_key(&id_of(ticket)) => {}
                 Mail::ToOwner(i, input) => self.scheduler(now, i, input, out),
-                Mail::ToRouter(i, news) => self.routers[i].note(now, news),
+                Mail::ToRouter(i, news) => self.routers[i].apply(now, news),
                 Mail::Beat => self.beat(now, out),
             }
         }
@@ -429,29 +429,29 @@
             for entry in 0..self.sizes.entries {
                 let apart =
                     cut.is_some_and(|z| (zone_of(entry, zones) == z) != (zone_of(i, zones) == z));
-                self.routers[entry].note(now, News::Reachable(target, !apart));
+                self.routers[entry].apply(now, RouterUpdate::Reachable(target, !apart));
             }
         }
         for i in 0..self.sizes.engines {
             self.scheduler(
                 now,
                 self.owner(target_no(i)),
-                Input::Asked(target_no(i)),
+                Input::ResidentsRequested(target_no(i)),
                 out,
             );
         }
     }
 
-    fn tell_all(&mut self, now: Time, news: &News) {
+    fn tell_all(&mut self, now: Time, news: &RouterUpdate) {
         for router in &mut self.routers {
-            router.note(now, news.clone());
+            router.apply(now, news.clone());
         }
     }
 }
 
-fn ask_of(arrival: &Arrival) -> Ask {
+fn ask_of(arrival: &Arrival) -> RequestSpec {
     let plain = arrival.key.is_none();
-    Ask {
+    RequestSpec {
         pool: if plain { PORTALS } else { ENGINES },
         key: arrival.key,
         brand: arrival.brand,
--- a/crates/node/src/engines.rs
+++ b/crates/node/src/engines.rs
@@ -23,7 +23,7 @@
 };
 use member::Watch;
 use owner::Holder;
-use route::{Input as SchedulerInput, News, Output as SchedulerOutput, Scheduler};
+use route::{Input as SchedulerInput, Output as SchedulerOutput, RouterUpdate, Scheduler};
 use wire::platform::State;
 
 use self::{
@@ -132,7 +132,7 @@
                 let engine = self.engines.entry(target).or_default();
                 engine.using.insert(ticket, key);
             }
-            Msg::Began(ticket) => self.scheduler(shared, now, SchedulerInput::Began(ticket), out),
+            Msg::Began(ticket) => self.scheduler(shared, now, SchedulerInput::FirstToken(ticket), out),
             Msg::Ended { ticket, ok } => self.on_ended(shared, now, ticket, ok, out),
             Msg::TextChanged => self.on_text(shared, now, out),
             Msg::FleetChanged => self.on_fleet(shared, now, out),
@@ -158,7 +158,7 @@
         now: Time,
         ticket: Ticket,
         target: TargetNo,
-        ask: route::Ask,
+        ask: route::RequestSpec,
         out: &mut Out,
     ) {
         let known = self.engines.get(&target);
@@ -177,7 +177,7 @@
         let input = SchedulerInput::Arrive {
             ticket,
             target,
-            ask,
+            spec: ask,
         };
         self.scheduler(shared, now, input, out);
     }
@@ -239,12 +239,12 @@
             }
             SchedulerOutput::Residents {
                 target,
-                whole,
+                full: whole,
                 added,
                 removed,
                 running,
                 queued,
-                worth,
+                evict_cost: worth,
             } => {
                 let change = residents::Change {
                     whole,
@@ -292,7 +292,7 @@
     fn teach(&mut self, shared: &mut Shared, now: Time, out: &mut Out) {
         for (adapter, hash) in shared.names.take_fresh() {
             self.scheduler(shared, now, SchedulerInput::Adapter { adapter, hash }, out);
-            out.tell(ENTRY, Msg::News(News::Adapter { adapter, hash }));
+            out.tell(ENTRY, Msg::News(RouterUpdate::Adapter { adapter, hash }));
         }
     }
 
@@ -362,8 +362,8 @@
         self.teach(shared, now, out);
         self.retire(shared, now, out);
         for (old, new) in rolled {
-            self.scheduler(shared, now, SchedulerInput::Rolled { old, new }, out);
-            out.tell(ENTRY, Msg::News(News::Rolled { old, new }));
+            self.scheduler(shared, now, SchedulerInput::VersionChanged { old, new }, out);
+            out.tell(ENTRY, Msg::News(RouterUpdate::VersionChanged { old, new }));
         }
     }
 }
--- a/crates/node/src/engines/own.rs
+++ b/crates/node/src/engines/own.rs
@@ -2,7 +2,7 @@
 
 use base::{Fence, Incarnation, TargetName, TargetNo, Time};
 use owner::{Input as HolderInput, Output as HolderOutput, Own};
-use route::{Engine as Owned, Input as SchedulerInput, Ordering};
+use route::{Engine as Owned, Input as SchedulerInput, LoadPolicy};
 use wire::call::{BeatReply, Call};
 
 use super::{Engines, orders::Sent};
@@ -217,17 +217,17 @@
 
 fn owned(shared: &Shared, target: TargetNo, own: Own, life: Incarnation) -> Option<Owned> {
     let engine = shared.targets.get(&target)?.engine()?;
-    let ordering = match own {
-        Own::Full { .. } => Ordering::Full,
-        Own::Restricted { .. } if engine.fencing => Ordering::Full,
-        Own::Restricted { .. } => Ordering::FreeSlotsOnly,
-        Own::None => Ordering::None,
+    let policy = match own {
+        Own::Full { .. } => LoadPolicy::Full,
+        Own::Restricted { .. } if engine.fencing => LoadPolicy::Full,
+        Own::Restricted { .. } => LoadPolicy::FreeSlotsOnly,
+        Own::None => LoadPolicy::None,
     };
     Some(Owned {
         target,
         incarnation: life,
         slots: engine.slots,
         batch: engine.batch,
-        ordering,
+        policy,
     })
 }
--- a/crates/node/src/engines/reports.rs
+++ b/crates/node/src/engines/reports.rs
@@ -6,7 +6,7 @@
 use base::{AdapterKey, TargetName, TargetNo, Time};
 use member::{Look, Watch};
 use owner::Own;
-use route::{Input as SchedulerInput, News, Report};
+use route::{Input as SchedulerInput, Report, RouterUpdate};
 use wire::engine;
 
 use super::{Engines, measure};
@@ -44,7 +44,7 @@
         let Some(report) = report else {
             if shared.watched.failed(&name, poll.watch).is_ok() {
                 self.note_silent(target, &name, true, out);
-                out.tell(ENTRY, Msg::News(News::Reachable(target, false)));
+                out.tell(ENTRY, Msg::News(RouterUpdate::Reachable(target, false)));
             }
             return;
         };
@@ -56,7 +56,7 @@
             return;
         };
         self.note_silent(target, &name, false, out);
-        out.tell(ENTRY, Msg::News(News::Reachable(target, true)));
+        out.tell(ENTRY, Msg::News(RouterUpdate::Reachable(target, true)));
         if look == Look::Restarted {
             let input = owner::Input::Restarted {
                 target: name.clone(),
@@ -116,7 +116,7 @@
             waiting: report.waiting,
             cached: report.cached,
         };
-        out.tell(ENTRY, Msg::News(News::Report(load)));
+        out.tell(ENTRY, Msg::News(RouterUpdate::Report(load)));
         let input = SchedulerInput::Report {
             target,
             incarnation: report.incarnation,
--- a/crates/node/src/engines/residents.rs
+++ b/crates/node/src/engines/residents.rs
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 
 use base::{AdapterKey, InstanceName, TargetName, TargetNo, Time};
-use route::{News, Residents};
+use route::{Residents, RouterUpdate};
 use wire::call::{self, Call, Reply};
 
 use super::Engines;
@@ -51,14 +51,14 @@
         let news = Residents {
             target,
             fence,
-            whole: change.whole,
+            full: change.whole,
             added: change.added.clone(),
             removed: change.removed.clone(),
             running: change.running,
             queued: change.queued,
-            worth: change.worth,
+            evict_cost: change.worth,
         };
-        out.tell(ENTRY, Msg::News(News::Residents(news)));
+        out.tell(ENTRY, Msg::News(RouterUpdate::Residents(news)));
         self.remember(target, &change);
         let serial = self.serials.entry(target).or_default();
         *serial += 1;
@@ -136,15 +136,15 @@
         let residents = Residents {
             target,
             fence: news.fence,
-            whole: news.whole,
+            full: news.whole,
             added: keys(news.added),
             removed: keys(news.removed),
             running: news.in_flight,
             queued: news.queued,
-            worth: news.worth,
+            evict_cost: news.worth,
         };
         self.teach(shared, now, out);
-        out.tell(ENTRY, Msg::News(News::Residents(residents)));
+        out.tell(ENTRY, Msg::News(RouterUpdate::Residents(residents)));
         true
     }
 
--- a/crates/node/src/entry.rs
+++ b/crates/node/src/entry.rs
@@ -17,7 +17,7 @@
 
 use base::{Failure, Fence, InstanceName, Mark, Refusal, TargetNo, Ticket, Time, Verdict};
 use request::{AttemptNo, Input as Step, Part, RanOn};
-use route::{News, RetryBudget, Router};
+use route::{RetryBudget, Router, RouterUpdate};
 use wire::{
     call::{Call, ClaimReply, Reply, Settle},
     engine::{BadResident, Resident},
@@ -89,7 +89,7 @@
                 step,
                 progress,
             }) => self.progress(shared, now, (ticket, attempt, step), progress, out),
-            Msg::News(news) => self.router.note(now, news),
+            Msg::News(news) => self.router.apply(now, news),
             Msg::Owner(target, owner, fence) => self.note_owner(target, owner, fence),
             Msg::Turn { ticket, priority } => self.turn(shared, now, ticket, priority, out),
             Msg::Refused { ticket, failure } => self.refused(shared, now, ticket, failure, out),
@@ -269,7 +269,7 @@
         }
         if !std::mem::replace(&mut sent.began, true) {
             let took = now.since(sent.at);
-            self.router.note(now, News::Began(sent.target, took));
+            self.router.apply(now, RouterUpdate::ResponseBegan(sent.target, took));
             if sent.local {
                 out.tell(ENGINES, Msg::Began(ticket));
             }
@@ -292,7 +292,7 @@
             return;
         };
         let target = sent.target;
-        self.router.note(now, News::Ended { target, ok });
+        self.router.apply(now, RouterUpdate::AttemptEnded { target, ok });
         if sent.local {
             out.tell(ENGINES, Msg::Ended { ticket, ok });
         }
--- a/crates/node/src/entry/explain.rs
+++ b/crates/node/src/entry/explain.rs
@@ -1,7 +1,7 @@
 //! Says why requests go where they do, for operators.
 
 use base::{BrandName, ServiceName, Time, Tokens, Version};
-use route::{Ask, Candidate as Known, Explanation, Standing as Seen};
+use route::{Candidate as Known, Eligibility as Seen, Explanation, RequestSpec};
 use text::model::{Model, Service, ServiceKind};
 use wire::{
     call::Reply,
@@ -41,7 +41,7 @@
                 (Some(Resident { adapter, version }), Some(serves))
             }
         };
-        let ask = Ask {
+        let ask = RequestSpec {
             pool: shared.names.pool(&service.pool),
             key: resident.as_ref().map(|r| shared.names.key(r)),
             brand: shared.names.brand(&asked.brand),
@@ -89,9 +89,9 @@
             holds: known.holds,
             // Loads are small and never negative.
             load: (known.load * 100.0) as u32,
-            standing: match known.standing {
+            standing: match known.eligibility {
                 Seen::Usable => Standing::Usable,
-                Seen::LeftOut => Standing::LeftOut,
+                Seen::Ejected => Standing::LeftOut,
                 Seen::Leaving => Standing::Leaving,
                 Seen::Unreachable => Standing::Unreachable,
             },
--- a/crates/node/src/entry/hop.rs
+++ b/crates/node/src/entry/hop.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 
 use base::{Failure, Mark, Refusal, TargetNo, Ticket, Time, Verdict};
-use route::Ask;
+use route::RequestSpec;
 use wire::engine::Resident;
 
 use super::live;
@@ -24,7 +24,7 @@
 struct Passed {
     hop: Hop,
     target: TargetNo,
-    ask: Ask,
+    ask: RequestSpec,
     sent: bool,
     began: bool,
     headed: bool,
@@ -57,7 +57,7 @@
             adapter: hop.adapter.clone(),
             version: hop.version,
         };
-        let ask = Ask {
+        let ask = RequestSpec {
             pool: shared.names.pool(&pool),
             key: Some(shared.names.key(&resident)),
             brand: shared.names.brand(&hop.brand),
--- a/crates/node/src/entry/live.rs
+++ b/crates/node/src/entry/live.rs
@@ -6,7 +6,7 @@
     BrandName, Class, Failure, InstanceName, Mark, Refusal, TargetNo, Ticket, Time, Version,
 };
 use request::{AttemptNo, Request, Start};
-use route::{Ask, Router};
+use route::{RequestSpec, Router};
 use text::model::{Limits, Service, ServiceKind};
 use wire::{call::Answer, engine::Resident};
 
@@ -23,7 +23,7 @@
 pub(super) struct Live {
     pub(super) request: Request,
     pub(super) start: Start,
-    pub(super) ask: Ask,
+    pub(super) ask: RequestSpec,
     pub(super) brand: BrandName,
     pub(super) resident: Option<Resident>,
     pub(super) key: Option<IdempotencyKey>,
@@ -113,7 +113,7 @@
             adapter: key,
             attempts: model.limits.attempts,
         };
-        let ask = Ask {
+        let ask = RequestSpec {
             pool: shared.names.pool(&service.pool),
             key,
             brand: shared.names.brand(&arrival.brand),
--- a/crates/node/src/entry/place.rs
+++ b/crates/node/src/entry/place.rs
@@ -6,7 +6,7 @@
 use request::{
     AttemptNo, ClaimOutcome, ClaimReply as Claimed, Fault, Final, Input as Step, Output as Want,
 };
-use route::News;
+use route::RouterUpdate;
 use wire::call::{self, Call, Claim, ClaimReply, Reply, Settle};
 
 use super::Entry;
@@ -307,7 +307,7 @@
         if let Some(owner) = owner {
             self.watch_owner(shared, now, owner);
         }
-        self.router.note(now, News::Started(target));
+        self.router.apply(now, RouterUpdate::AttemptSent(target));
         if attempt.0 == 1 {
             self.budget.earn(target);
         }
--- a/crates/node/src/fleet.rs
+++ b/crates/node/src/fleet.rs
@@ -6,7 +6,7 @@
 use std::{collections::BTreeMap, net::SocketAddr};
 
 use base::{Incarnation, TargetNo, Time, stable_hash};
-use route::{News, Target};
+use route::{RouterUpdate, Target};
 use text::model::{Model, PoolKind};
 use wire::platform::{self, List, State};
 
@@ -92,7 +92,7 @@
         for no in gone {
             shared.targets.remove(&no);
             self.lives.remove(&no);
-            out.tell(ENTRY, Msg::News(News::Removed(no)));
+            out.tell(ENTRY, Msg::News(RouterUpdate::Removed(no)));
         }
     }
 
@@ -109,7 +109,7 @@
             return;
         };
         if info.listed.state == State::Leaving {
-            out.tell(ENTRY, Msg::News(News::Leaving(no)));
+            out.tell(ENTRY, Msg::News(RouterUpdate::Leaving(no)));
             return;
         }
         let (batch, slots) = match info.pool.as_ref().map(|pool| &pool.kind) {
@@ -128,7 +128,7 @@
             batch,
             slots,
         };
-        out.tell(ENTRY, Msg::News(News::Target(target)));
+        out.tell(ENTRY, Msg::News(RouterUpdate::Target(target)));
     }
 }
 
--- a/crates/node/src/msg.rs
+++ b/crates/node/src/msg.rs
@@ -4,7 +4,7 @@
 
 use base::{AdapterKey, Failure, Fence, Incarnation, InstanceName, TargetNo, Ticket, Verdict};
 use kernel::Name;
-use route::{Ask, News};
+use route::{RequestSpec, RouterUpdate};
 use wire::call::{BeatReply, Call, Reply};
 
 use crate::{io::Input, shared::Purpose};
@@ -56,7 +56,7 @@
     /// This process is to stop.
     Drain,
     /// For the router's directory.
-    News(News),
+    News(RouterUpdate),
     /// Who owns an engine, by the leader's roster.
     Owner(TargetNo, InstanceName, Fence),
     /// A request was sent to an engine owned here and uses this.
@@ -71,7 +71,7 @@
     Queue {
         ticket: Ticket,
         target: TargetNo,
-        ask: Ask,
+        ask: RequestSpec,
     },
     /// The request needs no place any more.
     Dequeue(Ticket),
--- a/crates/route/benches/decisions.rs
+++ b/crates/route/benches/decisions.rs
@@ -9,7 +9,7 @@
 };
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use route::{
-    Ask, Engine, Input, News, Ordering, PoolNo, Residents, Router, Scheduler, Target, ZoneNo,
+    RequestSpec, Engine, Input, RouterUpdate, LoadPolicy, PoolNo, Residents, Router, Scheduler, Target, ZoneNo,
 };
 
 /// Adapter slots of an engine.
@@ -28,8 +28,8 @@
     }
 }
 
-fn ask(adapter: u32) -> Ask {
-    Ask {
+fn spec(adapter: u32) -> RequestSpec {
+    RequestSpec {
         pool: PoolNo(0),
         key: Some(key(adapter)),
         brand: BrandNo(adapter % 3),
@@ -46,7 +46,7 @@
     let mut router = Router::new(ZoneNo(0), 1);
     for adapter in (0..adapters).map(AdapterNo) {
         let hash = stable_hash(&[&adapter.0.to_le_bytes()]);
-        router.note(Time::ZERO, News::Adapter { adapter, hash });
+        router.apply(Time::ZERO, RouterUpdate::Adapter { adapter, hash });
     }
     for no in 0..engines {
         let target = Target {
@@ -58,19 +58,19 @@
             batch: CONCURRENCY,
             slots: SLOTS,
         };
-        router.note(Time::ZERO, News::Target(target));
+        router.apply(Time::ZERO, RouterUpdate::Target(target));
         let held = (0..SLOTS).map(|slot| key(no * SLOTS + slot));
         let residents = Residents {
             target: TargetNo(no),
             fence: Fence(1),
-            whole: true,
+            full: true,
             added: held.collect(),
             removed: Vec::new(),
             running: no % 100,
             queued: 0,
-            worth: no % 50,
+            evict_cost: no % 50,
         };
-        router.note(Time::ZERO, News::Residents(residents));
+        router.apply(Time::ZERO, RouterUpdate::Residents(residents));
     }
     router
 }
@@ -87,7 +87,7 @@
             group.bench_function(id, |b| {
                 b.iter(|| {
                     adapter = if adapter + 1 >= to { from } else { adapter + 1 };
-                    black_box(router.choose(Time::from_millis(5), &ask(adapter), &[]))
+                    black_box(router.choose(Time::from_millis(5), &spec(adapter), &[]))
                 });
             });
         }
@@ -105,7 +105,7 @@
             incarnation: Incarnation(1),
             slots: SLOTS,
             batch: CONCURRENCY,
-            ordering: Ordering::Full,
+            policy: LoadPolicy::Full,
         };
         let owned = Input::Owned {
             engine,
@@ -114,14 +114,14 @@
         };
         scheduler.handle(Time::ZERO, owned, &mut out);
         for ticket in 0..queued {
-            let ask = Ask {
+            let spec = RequestSpec {
                 class: Class::Batch,
-                ..ask(SLOTS + (ticket % 1_000) as u32)
+                ..spec(SLOTS + (ticket % 1_000) as u32)
             };
             let arrive = Input::Arrive {
                 ticket: Ticket(ticket),
                 target: TargetNo(0),
-                ask,
+                spec,
             };
             scheduler.handle(Time::ZERO, arrive, &mut out);
         }
@@ -130,13 +130,13 @@
             b.iter(|| {
                 ticket += 1;
                 out.clear();
-                let (target, ask) = (TargetNo(0), ask((ticket % 8) as u32));
+                let (target, spec) = (TargetNo(0), spec((ticket % 8) as u32));
                 let ticket = Ticket(ticket);
                 let now = Time::from_millis(5);
                 let arrive = Input::Arrive {
                     ticket,
                     target,
-                    ask,
+                    spec,
                 };
                 scheduler.handle(now, arrive, &mut out);
                 scheduler.handle(now, Input::Finished { ticket, ok: true }, &mut out);
--- a/crates/route/src/ask.rs
+++ b/crates/route/src/ask.rs
@@ -12,7 +12,7 @@
     pub struct ZoneNo(pub u32);
 
     /// The properties of a request that routing and scheduling depend on.
-    pub struct Ask {
+    pub struct RequestSpec {
         /// The pool whose targets may run the request.
         pub pool: PoolNo,
         /// The adapter version that the request is pinned to; `None` for a plain service,
--- a/crates/route/src/lib.rs
+++ b/crates/route/src/lib.rs
@@ -16,10 +16,10 @@
 mod scheduler_io;
 
 pub use crate::{
-    ask::{Ask, Choice, PoolNo, ZoneNo},
-    news::{News, Report, Residents, Target},
+    ask::{RequestSpec, Choice, PoolNo, ZoneNo},
+    news::{RouterUpdate, Report, Residents, Target},
     retry::{Attempts, RetryBudget},
-    router::{Candidate, Explanation, Router, Standing},
+    router::{Candidate, Explanation, Router, Eligibility},
     scheduler::Scheduler,
-    scheduler_io::{BrandShare, Engine, Input, LoadEnd, Ordering, Output},
+    scheduler_io::{BrandShare, Engine, Input, LoadEnd, LoadPolicy, Output},
 };
--- a/crates/route/src/news.rs
+++ b/crates/route/src/news.rs
@@ -8,7 +8,7 @@
 
 /// One change of what the router knows.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum News {
+pub enum RouterUpdate {
     /// An adapter exists.
     Adapter {
         /// Number of the adapter.
@@ -32,19 +32,19 @@
     /// An engine reported its load.
     Report(Report),
     /// This instance sent an attempt to the target.
-    Started(TargetNo),
+    AttemptSent(TargetNo),
     /// The answer began, with its first token or its head, this long after the attempt was
     /// sent.
-    Began(TargetNo, Duration),
+    ResponseBegan(TargetNo, Duration),
     /// An attempt of this instance ended.
-    Ended {
+    AttemptEnded {
         /// The target that the attempt was sent to.
         target: TargetNo,
         /// False when the target failed; true when it answered or the caller left.
         ok: bool,
     },
     /// The text in force now names version `new` of an adapter instead of `old`.
-    Rolled {
+    VersionChanged {
         /// The version that requests were pinned to until now.
         old: AdapterKey,
         /// The version to pin requests to once it is resident somewhere.
@@ -81,7 +81,7 @@
     /// The owner's fencing number; updates with a lower one than seen before are dropped.
     pub fence: Fence,
     /// Whether `added` is the full list of resident adapters rather than a delta.
-    pub whole: bool,
+    pub full: bool,
     /// Adapters that became resident.
     pub added: Vec<AdapterKey>,
     /// Adapters that are no longer resident.
@@ -93,7 +93,7 @@
     pub queued: u32,
     /// Usage rate of the adapter that the next load on the engine would evict, in
     /// thousandths of a live request a second; zero while a slot is free.
-    pub worth: u32,
+    pub evict_cost: u32,
 }
 
 /// An engine's report of its own load.
--- a/crates/route/src/router.rs
+++ b/crates/route/src/router.rs
@@ -10,19 +10,19 @@
 use place::Demand;
 
 use crate::{
-    Ask, Choice, News, PoolNo, Report, Residents, Target, ZoneNo,
+    RequestSpec, Choice, RouterUpdate, PoolNo, Report, Residents, Target, ZoneNo,
     rng::Rng,
     router::{known::TargetState, prefixes::Prefixes},
 };
 
-pub use self::explain::{Candidate, Explanation, Standing};
+pub use self::explain::{Candidate, Explanation, Eligibility};
 
 /// Load below which a holder takes more requests. The fullest holder below it is
 /// preferred: an engine generates more tokens a second with a fuller batch.
 const PACK_LOAD: f32 = 0.9;
 
 /// Weight of an engine's load against its eviction cost when home engines are compared: a
-/// fully loaded engine is worth this many thousandths of a use a second, because a
+/// fully loaded engine makes up for this many thousandths of a use a second, because a
 /// request added to a batch that runs anyway costs less.
 const HOME_LOAD_WEIGHT: f32 = 20.0;
 
@@ -107,19 +107,19 @@
     }
 
     /// Applies one update.
-    pub fn note(&mut self, now: Time, news: News) {
-        match news {
-            News::Adapter { adapter, hash } => self.adapter(adapter, hash),
-            News::Target(target) => self.target(now, target),
-            News::Leaving(target) => self.update_target(target, |state| state.leaving = true),
-            News::Reachable(target, yes) => self.update_target(target, |state| state.reachable = yes),
-            News::Removed(target) => self.removed(target),
-            News::Residents(news) => self.residents(&news),
-            News::Report(report) => self.report(&report),
-            News::Started(target) => self.update_target(target, |state| state.in_flight += 1),
-            News::Began(target, after) => self.began(target, after),
-            News::Ended { target, ok } => self.update_target(target, |state| state.ended(now, ok)),
-            News::Rolled { old, new } => {
+    pub fn apply(&mut self, now: Time, update: RouterUpdate) {
+        match update {
+            RouterUpdate::Adapter { adapter, hash } => self.adapter(adapter, hash),
+            RouterUpdate::Target(target) => self.target(now, target),
+            RouterUpdate::Leaving(target) => self.update_target(target, |state| state.leaving = true),
+            RouterUpdate::Reachable(target, yes) => self.update_target(target, |state| state.reachable = yes),
+            RouterUpdate::Removed(target) => self.removed(target),
+            RouterUpdate::Residents(update) => self.residents(&update),
+            RouterUpdate::Report(report) => self.report(&report),
+            RouterUpdate::AttemptSent(target) => self.update_target(target, |state| state.in_flight += 1),
+            RouterUpdate::ResponseBegan(target, after) => self.began(target, after),
+            RouterUpdate::AttemptEnded { target, ok } => self.update_target(target, |state| state.ended(now, ok)),
+            RouterUpdate::VersionChanged { old, new } => {
                 let upgrade = Upgrade {
                     old: old.version,
                     at: now,
@@ -134,16 +134,16 @@
     /// # Errors
     ///
     /// Fails as `not run` when no target of the pool can take the request.
-    pub fn choose(&mut self, now: Time, ask: &Ask, avoid: &[TargetNo]) -> Result<Choice, Failure> {
-        let Some(key) = ask.key else {
-            return self.choose_plain(now, ask.pool, avoid);
+    pub fn choose(&mut self, now: Time, spec: &RequestSpec, avoid: &[TargetNo]) -> Result<Choice, Failure> {
+        let Some(key) = spec.key else {
+            return self.choose_plain(now, spec.pool, avoid);
         };
         self.demand.note(now, key.adapter, 1.0);
-        let Some(target) = self.pick(now, ask, key, avoid) else {
+        let Some(target) = self.pick(now, spec, key, avoid) else {
             return Err(self.unavailable());
         };
-        self.prefixes.note(now, ask.prefix, target);
-        self.update_target(target, |state| state.count_chosen(ask.class));
+        self.prefixes.note(now, spec.prefix, target);
+        self.update_target(target, |state| state.count_chosen(spec.class));
         let resident = self
             .state(target)
             .is_some_and(|k| k.residents.contains(&key));
@@ -169,12 +169,12 @@
     }
 
     /// Returns the engine for a request that is pinned to `key`.
-    fn pick(&self, now: Time, ask: &Ask, key: AdapterKey, avoid: &[TargetNo]) -> Option<TargetNo> {
-        let holder = self.best_holder(now, ask, key, avoid);
-        let limit = self.spread_limit(now, ask.class, key);
+    fn pick(&self, now: Time, spec: &RequestSpec, key: AdapterKey, avoid: &[TargetNo]) -> Option<TargetNo> {
+        let holder = self.best_holder(now, spec, key, avoid);
+        let limit = self.spread_limit(now, spec.class, key);
         match holder {
             Some((target, load)) if load < limit => Some(target),
-            _ => match (self.best_home(now, ask, key, avoid), holder) {
+            _ => match (self.best_home(now, spec, key, avoid), holder) {
                 (Some((home, at)), Some((target, load)))
                     if at + SWITCH_MARGIN > load || home == target =>
                 {
@@ -191,19 +191,19 @@
     fn best_holder(
         &self,
         now: Time,
-        ask: &Ask,
+        spec: &RequestSpec,
         key: AdapterKey,
         avoid: &[TargetNo],
     ) -> Option<(TargetNo, f32)> {
         let holders = self.holders.get(&key)?;
-        let cached = self.prefixes.get(now, ask.prefix);
+        let cached = self.prefixes.get(now, spec.prefix);
         let mut packed: Option<(f32, TargetNo, f32)> = None;
         let mut least: Option<(TargetNo, f32)> = None;
         for target in holders.iter().filter(|t| !avoid.contains(t)) {
             let Some(state) = self.state(*target).filter(|k| k.usable() && !k.is_ejected(now)) else {
                 continue;
             };
-            let load = state.load(now, ask.class, self.first_token);
+            let load = state.load(now, spec.class, self.first_token);
             if load < PACK_LOAD && cached == Some(*target) {
                 return Some((*target, load));
             }
@@ -237,11 +237,11 @@
     fn best_home(
         &self,
         now: Time,
-        ask: &Ask,
+        spec: &RequestSpec,
         key: AdapterKey,
         avoid: &[TargetNo],
     ) -> Option<(TargetNo, f32)> {
-        let pool = self.pools.get(ask.pool.0 as usize)?;
+        let pool = self.pools.get(spec.pool.0 as usize)?;
         let hash = self.hash(key.adapter);
         let mut homes: [(u64, Option<TargetNo>); HOME_CANDIDATES] = [(0, None); HOME_CANDIDATES];
         let mut fallback: Option<(u64, TargetNo)> = None;
@@ -253,7 +253,7 @@
             let Some(state) = self.state(member.target).filter(|k| k.usable()) else {
                 continue;
             };
-            if state.is_ejected(now) || state.load(now, ask.class, self.first_token) >= 1.0 {
+            if state.is_ejected(now) || state.load(now, spec.class, self.first_token) >= 1.0 {
                 fallback = fallback.max(Some((rank, member.target)));
                 continue;
             }
@@ -263,8 +263,8 @@
         let homes = homes.iter().filter_map(|(_, target)| *target);
         let costs = homes.filter_map(|target| {
             let state = self.state(target)?;
-            let load = state.load(now, ask.class, self.first_token);
-            Some((state.worth as f32 - HOME_LOAD_WEIGHT * load, target, load))
+            let load = state.load(now, spec.class, self.first_token);
+            Some((state.evict_cost as f32 - HOME_LOAD_WEIGHT * load, target, load))
         });
         let best = costs.min_by(|a, b| a.0.total_cmp(&b.0));
         // If every engine is full or ejected, the highest-ranked one that is reachable
@@ -272,7 +272,7 @@
         best.map(|(_, target, load)| (target, load)).or_else(|| {
             let (_, target) = fallback?;
             base::hit!(all_ejected_fallback);
-            Some((target, self.state(target)?.load(now, ask.class, self.first_token)))
+            Some((target, self.state(target)?.load(now, spec.class, self.first_token)))
         })
     }
 
@@ -391,29 +391,29 @@
         self.prefixes.forget(target);
     }
 
-    fn residents(&mut self, news: &Residents) {
-        let Some(state) = self.state_mut(news.target) else {
+    fn residents(&mut self, update: &Residents) {
+        let Some(state) = self.state_mut(update.target) else {
             return;
         };
-        if news.fence < state.fence {
+        if update.fence < state.fence {
             base::hit!(old_owner_ignored);
             return;
         }
-        state.fence = news.fence;
-        state.owner_reported(news.running, news.queued, news.worth);
-        if news.whole {
+        state.fence = update.fence;
+        state.owner_reported(update.running, update.queued, update.evict_cost);
+        if update.full {
             for key in std::mem::take(&mut state.residents) {
-                self.remove_holder(key, news.target);
+                self.remove_holder(key, update.target);
             }
         }
-        for key in &news.removed {
-            if let Some(state) = self.state_mut(news.target) {
+        for key in &update.removed {
+            if let Some(state) = self.state_mut(update.target) {
                 state.residents.retain(|k| k != key);
             }
-            self.remove_holder(*key, news.target);
+            self.remove_holder(*key, update.target);
         }
-        for key in &news.added {
-            self.add_holder(*key, news.target);
+        for key in &update.added {
+            self.add_holder(*key, update.target);
         }
     }
 
--- a/crates/route/src/router/explain.rs
+++ b/crates/route/src/router/explain.rs
@@ -3,7 +3,7 @@
 use base::{TargetNo, Time};
 
 use super::{Member, Router, known::TargetState};
-use crate::Ask;
+use crate::RequestSpec;
 
 /// The target that a request would be sent to, and all targets considered.
 #[derive(Clone, Debug, PartialEq)]
@@ -25,16 +25,16 @@
     /// one, requests queue.
     pub load: f32,
     /// Whether the target may be chosen.
-    pub standing: Standing,
+    pub eligibility: Eligibility,
 }
 
 /// Whether a target may be chosen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum Eligibility {
     /// The target may be chosen.
     Usable,
     /// The target failed too often and is not chosen for a while.
-    LeftOut,
+    Ejected,
     /// The platform announced that the target will stop.
     Leaving,
     /// The target can't be reached from this instance.
@@ -47,46 +47,46 @@
     /// equally loaded targets of a plain service [`Router::choose`] picks at random; the
     /// first of them is returned here.
     #[must_use]
-    pub fn explain(&self, now: Time, ask: &Ask) -> Explanation {
-        let next = match ask.key {
-            Some(key) => self.pick(now, ask, key, &[]),
-            None => self.least_loaded(now, ask.pool, &[], 0.0),
+    pub fn explain(&self, now: Time, spec: &RequestSpec) -> Explanation {
+        let next = match spec.key {
+            Some(key) => self.pick(now, spec, key, &[]),
+            None => self.least_loaded(now, spec.pool, &[], 0.0),
         };
-        let members = self.pools.get(ask.pool.0 as usize);
+        let members = self.pools.get(spec.pool.0 as usize);
         let mut members = members.cloned().unwrap_or_default();
-        if let Some(key) = ask.key {
+        if let Some(key) = spec.key {
             let hash = self.hash(key.adapter);
             members.sort_by_key(|m| std::cmp::Reverse(place::home_rank(hash, m.hash)));
         }
-        let candidates = members.iter().filter_map(|m| self.candidate(now, ask, m));
+        let candidates = members.iter().filter_map(|m| self.candidate(now, spec, m));
         Explanation {
             next,
             candidates: candidates.collect(),
         }
     }
 
-    fn candidate(&self, now: Time, ask: &Ask, member: &Member) -> Option<Candidate> {
+    fn candidate(&self, now: Time, spec: &RequestSpec, member: &Member) -> Option<Candidate> {
         let state = self.state(member.target)?;
         Some(Candidate {
             target: member.target,
-            holds: ask.key.is_some_and(|key| state.residents.contains(&key)),
-            load: state.load(now, ask.class, self.first_token),
-            standing: state.standing(now),
+            holds: spec.key.is_some_and(|key| state.residents.contains(&key)),
+            load: state.load(now, spec.class, self.first_token),
+            eligibility: state.eligibility(now),
         })
     }
 }
 
 impl TargetState {
-    fn standing(&self, now: Time) -> Standing {
+    fn eligibility(&self, now: Time) -> Eligibility {
         if self.leaving {
-            return Standing::Leaving;
+            return Eligibility::Leaving;
         }
         if !self.reachable {
-            return Standing::Unreachable;
+            return Eligibility::Unreachable;
         }
         match self.is_ejected(now) {
-            true => Standing::LeftOut,
-            false => Standing::Usable,
+            true => Eligibility::Ejected,
+            false => Eligibility::Usable,
         }
     }
 }
--- a/crates/route/src/router/known.rs
+++ b/crates/route/src/router/known.rs
@@ -61,7 +61,7 @@
     owner_load: Option<Load>,
     /// Usage rate of the adapter that the next load would evict, as published by the
     /// owner, in thousandths of a live request a second.
-    pub(super) worth: u32,
+    pub(super) evict_cost: u32,
     failures: f32,
     successes: f32,
     decayed_at: Time,
@@ -84,7 +84,7 @@
             others: 0.0,
             reported_at: now,
             owner_load: None,
-            worth: 0,
+            evict_cost: 0,
             failures: 0.0,
             successes: 0.0,
             decayed_at: now,
@@ -114,9 +114,9 @@
     }
 
     /// Applies the load published by the owner.
-    pub(super) fn owner_reported(&mut self, urgent: u32, batch: u32, worth: u32) {
+    pub(super) fn owner_reported(&mut self, urgent: u32, batch: u32, evict_cost: u32) {
         self.owner_load = Some(Load { urgent, batch });
-        self.worth = worth;
+        self.evict_cost = evict_cost;
     }
 
     /// Counts a request chosen for the target, until the owner publishes its load again.
--- a/crates/route/src/scheduler.rs
+++ b/crates/route/src/scheduler.rs
@@ -15,7 +15,7 @@
 use place::{Backoff, Budget, Demand};
 
 use crate::{
-    Ask, BrandShare, Input, Output,
+    RequestSpec, BrandShare, Input, Output,
     rng::Rng,
     scheduler::{owned::OwnedEngine, queue::Item},
 };
@@ -48,7 +48,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Request {
     target: TargetNo,
-    ask: Ask,
+    spec: RequestSpec,
     since: Time,
     state: State,
 }
@@ -105,10 +105,10 @@
             Input::Arrive {
                 ticket,
                 target,
-                ask,
-            } => self.arrive(now, ticket, target, ask, out),
+                spec,
+            } => self.arrive(now, ticket, target, spec, out),
             Input::Cancel(ticket) => self.cancel(ticket),
-            Input::Began(_) => {}
+            Input::FirstToken(_) => {}
             Input::Finished { ticket, ok } => self.finished(now, ticket, ok),
             Input::Report {
                 target,
@@ -119,9 +119,9 @@
             Input::Loaded { target, key, end } => self.loaded(now, target, key, end, out),
             Input::Unloaded { target, key, ok } => self.unloaded(now, target, key, ok, out),
             Input::Budget(rate) => self.budget.set_rate(now, rate),
-            Input::Rolled { old, new } => self.rolled(old, new),
+            Input::VersionChanged { old, new } => self.version_changed(old, new),
             Input::Retired(keys) => self.retired(keys),
-            Input::Asked(target) => {
+            Input::ResidentsRequested(target) => {
                 if let Some(owned) = self.engines.get_mut(&target) {
                     owned.publish_full(now, out);
                 }
@@ -162,20 +162,20 @@
         now: Time,
         ticket: Ticket,
         target: TargetNo,
-        ask: Ask,
+        spec: RequestSpec,
         out: &mut Vec<Output>,
     ) {
-        if let Some(key) = ask.key {
-            self.demand.note(now, key.adapter, use_weight(ask.class));
+        if let Some(key) = spec.key {
+            self.demand.note(now, key.adapter, use_weight(spec.class));
         }
-        if let Err(failure) = self.admit(now, target, &ask) {
-            self.brand(ask.brand).share.refused += 1;
+        if let Err(failure) = self.admit(now, target, &spec) {
+            self.brand(spec.brand).share.refused += 1;
             out.push(Output::Refuse { ticket, failure });
             return;
         }
         let request = Request {
             target,
-            ask,
+            spec,
             since: now,
             state: State::Queued,
         };
@@ -192,8 +192,8 @@
             true => owned.queue.push_front(item),
             false => owned.queue.push(item),
         }
-        owned.due[item.class as usize].insert((request.ask.deadline, ticket));
-        owned.count_batch(&item, request.ask.deadline, true);
+        owned.due[item.class as usize].insert((request.spec.deadline, ticket));
+        owned.count_batch(&item, request.spec.deadline, true);
         self.brand(item.brand).share.queued += 1;
     }
 
@@ -201,10 +201,10 @@
         if let Some(owned) = self.engines.get_mut(&request.target) {
             let item = request.item(ticket);
             owned.queue.remove(&item);
-            owned.due[item.class as usize].remove(&(request.ask.deadline, ticket));
-            owned.count_batch(&item, request.ask.deadline, false);
+            owned.due[item.class as usize].remove(&(request.spec.deadline, ticket));
+            owned.count_batch(&item, request.spec.deadline, false);
         }
-        self.brand(request.ask.brand).share.queued -= 1;
+        self.brand(request.spec.brand).share.queued -= 1;
     }
 
     fn cancel(&mut self, ticket: Ticket) {
@@ -230,7 +230,7 @@
             self.dequeue(ticket, &request);
             return;
         };
-        self.brand(request.ask.brand).share.running -= 1;
+        self.brand(request.spec.brand).share.running -= 1;
         let Some(owned) = self.engines.get_mut(&request.target) else {
             return;
         };
@@ -242,7 +242,7 @@
         // A request of a former incarnation must not release a pin on the same adapter
         // loaded again since: the adapter would look unused while a request is running on
         // it.
-        let slot = request.ask.key.and_then(|key| owned.slots.get_mut(key));
+        let slot = request.spec.key.and_then(|key| owned.slots.get_mut(key));
         if let Some(slot) = slot.filter(|_| incarnation == owned.engine.incarnation) {
             slot.pins = slot.pins.saturating_sub(1);
             slot.last_used = now;
@@ -250,7 +250,7 @@
         if ok && !sent.preempted {
             owned.record_speed(sent.item.tokens, now.since(sent.at));
         }
-        owned.count_batch(&sent.item, request.ask.deadline, false);
+        owned.count_batch(&sent.item, request.spec.deadline, false);
         if sent.preempted && !sent.caller_gone {
             request.state = State::Queued;
             self.requests.insert(ticket, request);
@@ -277,7 +277,7 @@
             return;
         };
         self.dequeue(ticket, &request);
-        self.brand(request.ask.brand).share.refused += 1;
+        self.brand(request.spec.brand).share.refused += 1;
         out.push(Output::Refuse { ticket, failure });
     }
 
@@ -315,10 +315,10 @@
     fn item(&self, ticket: Ticket) -> Item {
         Item {
             ticket,
-            brand: self.ask.brand,
-            key: self.ask.key,
-            class: self.ask.class,
-            tokens: self.ask.tokens.get(),
+            brand: self.spec.brand,
+            key: self.spec.key,
+            class: self.spec.class,
+            tokens: self.spec.tokens.get(),
             since: self.since,
         }
     }
--- a/crates/route/src/scheduler/admit.rs
+++ b/crates/route/src/scheduler/admit.rs
@@ -5,7 +5,7 @@
 use base::{BrandNo, Class, Failure, Refusal, TargetNo, Time};
 
 use crate::{
-    Ask,
+    RequestSpec,
     scheduler::{Scheduler, owned::OwnedEngine},
 };
 
@@ -35,29 +35,29 @@
     ///
     /// Fails as `not run` when the request can't be served in time or its brand is over
     /// its share of the queue.
-    pub(super) fn admit(&mut self, now: Time, target: TargetNo, ask: &Ask) -> Result<(), Failure> {
+    pub(super) fn admit(&mut self, now: Time, target: TargetNo, spec: &RequestSpec) -> Result<(), Failure> {
         let Some(owned) = self.engines.get(&target) else {
             return Err(Failure::not_run(Refusal::Unavailable));
         };
-        let backed_off = ask.key.and_then(|key| self.backoff.until(now, target, key));
-        if let Some(until) = backed_off.filter(|until| !self.can_wait(ask, *until)) {
+        let backed_off = spec.key.and_then(|key| self.backoff.until(now, target, key));
+        if let Some(until) = backed_off.filter(|until| !self.can_wait(spec, *until)) {
             let wait = self.retry_after(until.since(now).as_secs_f64());
             return Err(Failure::not_run(Refusal::Unavailable).retry_after(wait));
         }
-        if ask.class == Class::Critical {
+        if spec.class == Class::Critical {
             return Ok(());
         }
-        let secs = self.wait_secs(owned, ask);
-        if self.over_share(owned, ask) {
+        let secs = self.wait_secs(owned, spec);
+        if self.over_share(owned, spec) {
             base::hit!(brand_over_share);
             let wait = self.retry_after(secs);
             return Err(Failure::not_run(Refusal::Overloaded).retry_after(wait));
         }
-        let tail = match ask.class {
-            Class::Batch => owned.run_secs(ask.tokens.get()),
+        let tail = match spec.class {
+            Class::Batch => owned.run_secs(spec.tokens.get()),
             _ => 0.0,
         };
-        if now + Duration::from_secs_f64(secs + tail) > ask.deadline {
+        if now + Duration::from_secs_f64(secs + tail) > spec.deadline {
             base::hit!(deadline_out_of_reach);
             let wait = self.retry_after(secs);
             return Err(Failure::not_run(Refusal::Deadline).retry_after(wait));
@@ -73,16 +73,16 @@
     }
 
     /// Estimates the seconds that a request would wait before being sent.
-    fn wait_secs(&self, owned: &OwnedEngine, ask: &Ask) -> f64 {
-        let ahead: u64 = match ask.class {
+    fn wait_secs(&self, owned: &OwnedEngine, spec: &RequestSpec) -> f64 {
+        let ahead: u64 = match spec.class {
             Class::Batch => Class::ALL.into_iter().map(|c| owned.queue.tokens(c)).sum(),
-            _ => owned.queue.tokens(Class::Critical) + self.ahead_of_brand(owned, ask),
+            _ => owned.queue.tokens(Class::Critical) + self.ahead_of_brand(owned, spec),
         };
         let queue = owned.drain_secs(ahead);
-        let load = match ask.key {
+        let load = match spec.key {
             Some(key) if owned.slots.is_ready(key) => 0.0,
             Some(key) if owned.slots.has_or_loads(key) => self.load_secs,
-            Some(_) => self.load_wait(ask.class) * LOAD_MARGIN,
+            Some(_) => self.load_wait(spec.class) * LOAD_MARGIN,
             _ => 0.0,
         };
         queue.max(load)
@@ -90,28 +90,28 @@
 
     /// Returns the tokens served before a live request of this brand: at most the brand's
     /// own queue, scaled by the other brands' weights.
-    fn ahead_of_brand(&self, owned: &OwnedEngine, ask: &Ask) -> u64 {
-        let (_, own) = owned.queue.of_brand(ask.class, ask.brand);
-        let weight = u64::from(self.weight(ask.brand));
-        let others = self.others_weight(owned, ask.class, ask.brand);
-        let fair = (own + u64::from(ask.tokens.get())) * (weight + others) / weight;
-        fair.min(owned.queue.tokens(ask.class))
+    fn ahead_of_brand(&self, owned: &OwnedEngine, spec: &RequestSpec) -> u64 {
+        let (_, own) = owned.queue.of_brand(spec.class, spec.brand);
+        let weight = u64::from(self.weight(spec.brand));
+        let others = self.others_weight(owned, spec.class, spec.brand);
+        let fair = (own + u64::from(spec.tokens.get())) * (weight + others) / weight;
+        fair.min(owned.queue.tokens(spec.class))
     }
 
     /// Returns whether the queue is so long that brands are held to their shares, and the
     /// brand has used up its own; or whether the queue is full.
-    fn over_share(&self, owned: &OwnedEngine, ask: &Ask) -> bool {
-        let most = match ask.class {
+    fn over_share(&self, owned: &OwnedEngine, spec: &RequestSpec) -> bool {
+        let most = match spec.class {
             Class::Batch => BATCH_QUEUE_MAX,
             _ => owned.engine.batch * LIVE_QUEUE_BATCHES,
         };
-        let queued = owned.queue.queued(ask.class);
+        let queued = owned.queue.queued(spec.class);
         if queued < most / 2 {
             return false;
         }
-        let (own, _) = owned.queue.of_brand(ask.class, ask.brand);
-        let weight = self.weight(ask.brand);
-        let others = self.others_weight(owned, ask.class, ask.brand);
+        let (own, _) = owned.queue.of_brand(spec.class, spec.brand);
+        let weight = self.weight(spec.brand);
+        let others = self.others_weight(owned, spec.class, spec.brand);
         let part = u64::from(most) * u64::from(weight) / (u64::from(weight) + others);
         u64::from(own) >= part || queued >= most * 2
     }
--- a/crates/route/src/scheduler/engines.rs
+++ b/crates/route/src/scheduler/engines.rs
@@ -137,7 +137,7 @@
         }
     }
 
-    pub(super) fn rolled(&mut self, old: AdapterKey, new: AdapterKey) {
+    pub(super) fn version_changed(&mut self, old: AdapterKey, new: AdapterKey) {
         for owned in self.engines.values_mut() {
             let live = owned.slots.has_or_loads(old) || owned.queue.waits_for(old, Class::Batch);
             if live && !owned.slots.has_or_loads(new) {
--- a/crates/route/src/scheduler/loads.rs
+++ b/crates/route/src/scheduler/loads.rs
@@ -6,7 +6,7 @@
 use place::{Budget, SlotState};
 
 use crate::{
-    Ask, LoadEnd, Ordering, Output,
+    RequestSpec, LoadEnd, LoadPolicy, Output,
     scheduler::{Scheduler, State, queue::Waiting, room::Room},
 };
 
@@ -184,9 +184,9 @@
         let until = self.backoff.failed(now, target, key);
         let waits = self.requests.iter().filter(|(_, r)| {
             r.target == target
-                && r.ask.key == Some(key)
+                && r.spec.key == Some(key)
                 && r.state == State::Queued
-                && !self.can_wait(&r.ask, until)
+                && !self.can_wait(&r.spec, until)
         });
         let waits: Vec<_> = waits.map(|(ticket, _)| *ticket).collect();
         for ticket in waits {
@@ -197,11 +197,11 @@
     }
 
     /// Returns whether a request may wait for a load that is backed off.
-    pub(super) fn can_wait(&self, ask: &Ask, until: Time) -> bool {
-        match ask.class {
+    pub(super) fn can_wait(&self, spec: &RequestSpec, until: Time) -> bool {
+        match spec.class {
             Class::Batch => true,
             Class::Live => false,
-            Class::Critical => until + Duration::from_secs_f64(self.load_secs) < ask.deadline,
+            Class::Critical => until + Duration::from_secs_f64(self.load_secs) < spec.deadline,
         }
     }
 
@@ -250,7 +250,7 @@
     fn any_waiting(&self) -> bool {
         self.engines.values().any(|owned| {
             let mut waiting = Class::ALL.into_iter().flat_map(|c| owned.queue.waiting(c));
-            owned.engine.ordering != Ordering::None
+            owned.engine.policy != LoadPolicy::None
                 && waiting.any(|w| !owned.slots.has_or_loads(w.key))
         })
     }
@@ -309,7 +309,7 @@
             });
         }
         self.engines.iter().find_map(|(target, owned)| {
-            let free = owned.engine.ordering != Ordering::None && owned.slots.has_free();
+            let free = owned.engine.policy != LoadPolicy::None && owned.slots.has_free();
             Some(Pick {
                 target: *target,
                 key: *owned.prefetch.front().filter(|_| free)?,
--- a/crates/route/src/scheduler/owned.rs
+++ b/crates/route/src/scheduler/owned.rs
@@ -34,11 +34,11 @@
 const PUBLISH_INTERVAL: Duration = Duration::from_millis(50);
 
 /// A change of the eviction cost is published when it exceeds one part in this many.
-const WORTH_CHANGE: u32 = 4;
+const COST_CHANGE: u32 = 4;
 
 /// Eviction cost published while every slot is in use, so that entry instances prefer
 /// other engines.
-const ALL_IN_USE_WORTH: u32 = 1_000_000;
+const ALL_IN_USE_COST: u32 = 1_000_000;
 
 /// A request sent to the engine.
 #[derive(Clone, Copy, Debug)]
@@ -78,7 +78,7 @@
     pub(crate) owned_at: Time,
     token_secs: f64,
     published: (u32, u32),
-    published_worth: u32,
+    published_cost: u32,
     published_at: Time,
 }
 
@@ -100,7 +100,7 @@
             owned_at: now,
             token_secs: TOKEN_SECS,
             published: (0, 0),
-            published_worth: 0,
+            published_cost: 0,
             published_at: now,
         }
     }
@@ -209,29 +209,29 @@
         out: &mut Vec<Output>,
     ) {
         self.published = self.admitted();
-        self.published_worth = self.worth(now);
+        self.published_cost = self.evict_cost(now);
         self.published_at = now;
         out.push(Output::Residents {
             target: self.engine.target,
-            whole: false,
+            full: false,
             added,
             removed,
             running: self.published.0,
             queued: self.published.1,
-            worth: self.published_worth,
+            evict_cost: self.published_cost,
         });
     }
 
     /// Returns the usage rate of the adapter that the next load would evict, in
     /// thousandths of a live request a second; zero while a slot is free.
-    fn worth(&self, now: Time) -> u32 {
+    fn evict_cost(&self, now: Time) -> u32 {
         if self.slots.has_free() {
             return 0;
         }
         let victim = self.slots.victim(|slot| Some(slot_usage(now, slot)));
         match victim {
-            Some((_, worth)) => (worth.max(0.0) * 1_000.0) as u32 + 1,
-            None => ALL_IN_USE_WORTH,
+            Some((_, usage)) => (usage.max(0.0) * 1_000.0) as u32 + 1,
+            None => ALL_IN_USE_COST,
         }
     }
 
@@ -241,12 +241,12 @@
         let (running, queued) = self.admitted();
         out.push(Output::Residents {
             target: self.engine.target,
-            whole: true,
+            full: true,
             added: ready.map(|s| s.key).collect(),
             removed: Vec::new(),
             running,
             queued,
-            worth: self.worth(now),
+            evict_cost: self.evict_cost(now),
         });
     }
 
@@ -256,8 +256,8 @@
         let load = self.admitted();
         let moved = load.0.abs_diff(self.published.0) + load.1.abs_diff(self.published.1);
         let step = (self.engine.batch / 16).max(1);
-        let worth = self.worth(now);
-        let shifted = worth.abs_diff(self.published_worth) * WORTH_CHANGE > self.published_worth.max(worth);
+        let cost = self.evict_cost(now);
+        let shifted = cost.abs_diff(self.published_cost) * COST_CHANGE > self.published_cost.max(cost);
         if (moved >= step || shifted) && now.since(self.published_at) >= PUBLISH_INTERVAL {
             self.publish(now, Vec::new(), Vec::new(), out);
         }
--- a/crates/route/src/scheduler/retire.rs
+++ b/crates/route/src/scheduler/retire.rs
@@ -5,7 +5,7 @@
 use base::{AdapterKey, Class, Time};
 use place::SlotState;
 
-use crate::{Ordering, Output, scheduler::Scheduler};
+use crate::{LoadPolicy, Output, scheduler::Scheduler};
 
 impl Scheduler {
     /// Replaces the set of adapter versions that are resident somewhere but no longer
@@ -23,7 +23,7 @@
             return;
         }
         for owned in self.engines.values_mut() {
-            if owned.engine.ordering != Ordering::Full {
+            if owned.engine.policy != LoadPolicy::Full {
                 continue;
             }
             let target = owned.engine.target;
--- a/crates/route/src/scheduler/room.rs
+++ b/crates/route/src/scheduler/room.rs
@@ -6,7 +6,7 @@
 use place::{Slot, SlotState};
 
 use crate::{
-    Ordering, Output,
+    LoadPolicy, Output,
     scheduler::{
         Scheduler,
         owned::{OwnedEngine, slot_usage},
@@ -31,13 +31,13 @@
 impl Scheduler {
     /// Returns the slot for a load for `class` at the engine, if there is one.
     pub(super) fn room(&self, now: Time, owned: &OwnedEngine, class: Class) -> Option<Room> {
-        if owned.engine.ordering == Ordering::None {
+        if owned.engine.policy == LoadPolicy::None {
             return None;
         }
         if owned.slots.has_free() {
             return Some(Room::Free);
         }
-        if owned.engine.ordering == Ordering::FreeSlotsOnly {
+        if owned.engine.policy == LoadPolicy::FreeSlotsOnly {
             base::hit!(restricted_keeps_slots);
             return None;
         }
@@ -45,8 +45,8 @@
         let urgent = class != Class::Batch || starved();
         let victim = owned.slots.victim(|slot| {
             let is_reserved = self.is_reserved(now, owned, slot, class);
-            let worth = slot_usage(now, slot);
-            (!is_reserved && (urgent || worth < BATCH_EVICT_MAX_RATE)).then_some(worth)
+            let usage = slot_usage(now, slot);
+            (!is_reserved && (urgent || usage < BATCH_EVICT_MAX_RATE)).then_some(usage)
         });
         victim.map(|(key, _)| Room::Evict(key))
     }
@@ -79,7 +79,7 @@
                 owned.clearing = None;
                 continue;
             };
-            if owned.engine.ordering != Ordering::Full || owned.clearing.is_some() {
+            if owned.engine.policy != LoadPolicy::Full || owned.clearing.is_some() {
                 continue;
             }
             let may_wait = class != Class::Critical && now.since(oldest) < CLEAR_AFTER;
--- a/crates/route/src/scheduler/send.rs
+++ b/crates/route/src/scheduler/send.rs
@@ -72,7 +72,7 @@
         let Some(request) = self.requests.get_mut(&item.ticket) else {
             return false;
         };
-        owned.due[class as usize].remove(&(request.ask.deadline, item.ticket));
+        owned.due[class as usize].remove(&(request.spec.deadline, item.ticket));
         request.state = State::Sent(owned.engine.incarnation);
         owned.running[class as usize] += 1;
         let slot = item.key.and_then(|key| owned.slots.get_mut(key));
--- a/crates/route/src/scheduler_io.rs
+++ b/crates/route/src/scheduler_io.rs
@@ -6,11 +6,11 @@
     AdapterKey, AdapterNo, BrandNo, Failure, Incarnation, StableHash, TargetNo, Ticket, Time,
 };
 
-use crate::Ask;
+use crate::RequestSpec;
 
 base::value! {
     /// Which orders the owner may send to an engine.
-    pub enum Ordering {
+    pub enum LoadPolicy {
         /// Loads and unloads.
         Full,
         /// Loads into free slots only. Used while a newer owner may exist and the engine
@@ -32,7 +32,7 @@
         /// Requests that it runs concurrently at most.
         pub batch: u32,
         /// Which orders may be sent.
-        pub ordering: Ordering,
+        pub policy: LoadPolicy,
     }
 
     /// How a load order ended.
@@ -84,13 +84,13 @@
         /// The engine that the entry instance chose.
         target: TargetNo,
         /// The request's properties.
-        ask: Ask,
+        spec: RequestSpec,
     },
     /// The request's caller left. A running request is still to be ended by
     /// [`Input::Finished`].
     Cancel(Ticket),
     /// The request's first token arrived.
-    Began(Ticket),
+    FirstToken(Ticket),
     /// A sent request ended at the engine. After [`Output::Preempt`] the request returns
     /// to the queue and is sent again later.
     Finished {
@@ -132,14 +132,14 @@
     /// second.
     Budget(u32),
     /// The text in force names version `new` of an adapter instead of `old`.
-    Rolled {
+    VersionChanged {
         /// The version to evict first, once it is unused and `new` is resident.
         old: AdapterKey,
         /// The version to load.
         new: AdapterKey,
     },
     /// An entry instance missed updates of the engine: its full state is published again.
-    Asked(TargetNo),
+    ResidentsRequested(TargetNo),
     /// The adapter versions that are resident somewhere but no longer named by the text in
     /// force. Replaces the set given before.
     Retired(BTreeSet<AdapterKey>),
@@ -189,7 +189,7 @@
         /// The engine.
         target: TargetNo,
         /// Whether `added` is the full list of resident adapters rather than a delta.
-        whole: bool,
+        full: bool,
         /// Adapters that became resident.
         added: Vec<AdapterKey>,
         /// Adapters that are no longer resident.
@@ -201,7 +201,7 @@
         queued: u32,
         /// Usage rate of the adapter that the next load on the engine would evict, in
         /// thousandths of a live request a second; zero while a slot is free.
-        worth: u32,
+        evict_cost: u32,
     },
     /// Hand in [`Input::Wake`] at this time, unless another input comes before.
     Wake(Time),
--- a/crates/route/tests/explain.rs
+++ b/crates/route/tests/explain.rs
@@ -5,7 +5,7 @@
     stable_hash,
 };
 use googletest::prelude::*;
-use route::{Ask, News, PoolNo, Residents, Router, Standing, Target, ZoneNo};
+use route::{RequestSpec, RouterUpdate, PoolNo, Residents, Router, Eligibility, Target, ZoneNo};
 
 const ENGINES: u32 = 4;
 const NOW: Time = Time(1_000_000);
@@ -17,8 +17,8 @@
     }
 }
 
-fn ask(adapter: Option<u32>) -> Ask {
-    Ask {
+fn spec(adapter: Option<u32>) -> RequestSpec {
+    RequestSpec {
         pool: PoolNo(u32::from(adapter.is_none())),
         key: adapter.map(key),
         brand: BrandNo(0),
@@ -49,28 +49,28 @@
     for adapter in 0..2 {
         let hash = stable_hash(&[&[adapter as u8]]);
         let adapter = AdapterNo(adapter);
-        router.note(NOW, News::Adapter { adapter, hash });
+        router.apply(NOW, RouterUpdate::Adapter { adapter, hash });
     }
     for i in 0..2 * ENGINES {
-        router.note(NOW, News::Target(target(i)));
+        router.apply(NOW, RouterUpdate::Target(target(i)));
     }
     let residents = Residents {
         target: TargetNo(2),
         fence: Fence(1),
-        whole: true,
+        full: true,
         added: vec![key(0)],
         removed: Vec::new(),
         running: 0,
         queued: 0,
-        worth: 0,
+        evict_cost: 0,
     };
-    router.note(NOW, News::Residents(residents));
+    router.apply(NOW, RouterUpdate::Residents(residents));
     router
 }
 
 #[test]
 fn the_named_target_is_the_chosen_one() {
-    for (query, holds) in [(ask(Some(0)), true), (ask(Some(1)), false)] {
+    for (query, holds) in [(spec(Some(0)), true), (spec(Some(1)), false)] {
         let mut router = router();
         let explanation = router.explain(NOW, &query);
         let chosen = router.choose(NOW, &query, &[]).unwrap();
@@ -89,12 +89,12 @@
 fn a_question_changes_no_choice() {
     let (mut explained, mut control) = (router(), router());
     for i in 0..200 {
-        let ask = ask([None, Some(0), Some(1)][i % 3]);
+        let spec = spec([None, Some(0), Some(1)][i % 3]);
         let at = Time(NOW.0 + i as u64 * 10_000);
         for _ in 0..5 {
-            let _ = explained.explain(at, &ask);
+            let _ = explained.explain(at, &spec);
         }
-        let both = [&mut explained, &mut control].map(|r| r.choose(at, &ask, &[]).unwrap());
+        let both = [&mut explained, &mut control].map(|r| r.choose(at, &spec, &[]).unwrap());
         assert_that!(both[0], eq(both[1]));
     }
 }
@@ -102,26 +102,26 @@
 #[test]
 fn what_may_not_be_chosen_says_why() {
     let mut router = router();
-    router.note(NOW, News::Leaving(TargetNo(2)));
-    router.note(NOW, News::Reachable(TargetNo(1), false));
-    let ended = News::Ended {
+    router.apply(NOW, RouterUpdate::Leaving(TargetNo(2)));
+    router.apply(NOW, RouterUpdate::Reachable(TargetNo(1), false));
+    let ended = RouterUpdate::AttemptEnded {
         target: TargetNo(0),
         ok: false,
     };
     for _ in 0..4 {
-        router.note(NOW, News::Started(TargetNo(0)));
-        router.note(NOW, ended.clone());
+        router.apply(NOW, RouterUpdate::AttemptSent(TargetNo(0)));
+        router.apply(NOW, ended.clone());
     }
-    let explanation = router.explain(NOW, &ask(Some(0)));
-    let standing = |no| {
+    let explanation = router.explain(NOW, &spec(Some(0)));
+    let eligibility = |no| {
         let mut candidates = explanation.candidates.iter();
         candidates
             .find(|c| c.target == TargetNo(no))
             .unwrap()
-            .standing
+            .eligibility
     };
-    assert_that!(standing(0), eq(Standing::LeftOut));
-    assert_that!(standing(1), eq(Standing::Unreachable));
-    assert_that!(standing(2), eq(Standing::Leaving));
+    assert_that!(eligibility(0), eq(Eligibility::Ejected));
+    assert_that!(eligibility(1), eq(Eligibility::Unreachable));
+    assert_that!(eligibility(2), eq(Eligibility::Leaving));
     assert_that!(explanation.next, some(eq(TargetNo(3))));
 }
--- a/crates/route/tests/router.rs
+++ b/crates/route/tests/router.rs
@@ -7,7 +7,7 @@
     Version, stable_hash,
 };
 use googletest::prelude::*;
-use route::{Ask, Attempts, News, PoolNo, Report, Residents, RetryBudget, Router, Target, ZoneNo};
+use route::{RequestSpec, Attempts, RouterUpdate, PoolNo, Report, Residents, RetryBudget, Router, Target, ZoneNo};
 
 const ENGINES: PoolNo = PoolNo(0);
 const PLAIN: PoolNo = PoolNo(1);
@@ -29,8 +29,8 @@
 fn router() -> Router {
     let mut router = Router::new(ZoneNo(0), 7);
     for i in 0..4 {
-        router.note(Time::ZERO, News::Target(target(i, ENGINES, i % 2, 1)));
-        router.note(Time::ZERO, News::Target(target(10 + i, PLAIN, i % 2, 1)));
+        router.apply(Time::ZERO, RouterUpdate::Target(target(i, ENGINES, i % 2, 1)));
+        router.apply(Time::ZERO, RouterUpdate::Target(target(10 + i, PLAIN, i % 2, 1)));
     }
     router
 }
@@ -42,8 +42,8 @@
     }
 }
 
-fn ask(key: Option<AdapterKey>, class: Class) -> Ask {
-    Ask {
+fn spec(key: Option<AdapterKey>, class: Class) -> RequestSpec {
+    RequestSpec {
         pool: if key.is_some() { ENGINES } else { PLAIN },
         key,
         brand: BrandNo(0),
@@ -55,22 +55,22 @@
 }
 
 /// Returns an owner's full update of an engine.
-fn residents(engine: u32, fence: u64, added: &[AdapterKey], running: u32) -> News {
-    News::Residents(Residents {
+fn residents(engine: u32, fence: u64, added: &[AdapterKey], running: u32) -> RouterUpdate {
+    RouterUpdate::Residents(Residents {
         target: TargetNo(engine),
         fence: Fence(fence),
-        whole: true,
+        full: true,
         added: added.to_vec(),
         removed: Vec::new(),
         running,
         queued: 0,
-        worth: 0,
+        evict_cost: 0,
     })
 }
 
-fn chosen(router: &mut Router, now: u64, ask: &Ask) -> u32 {
+fn chosen(router: &mut Router, now: u64, spec: &RequestSpec) -> u32 {
     router
-        .choose(Time::from_millis(now), ask, &[])
+        .choose(Time::from_millis(now), spec, &[])
         .unwrap()
         .target
         .0
@@ -95,10 +95,10 @@
 fn check_holder((holders, class, expected): Row) {
     let mut router = router();
     for (engine, running) in holders {
-        router.note(Time::ZERO, residents(*engine, 1, &[key(5, 1)], *running));
+        router.apply(Time::ZERO, residents(*engine, 1, &[key(5, 1)], *running));
     }
     assert_that!(
-        chosen(&mut router, 0, &ask(Some(key(5, 1)), class)),
+        chosen(&mut router, 0, &spec(Some(key(5, 1)), class)),
         eq(expected)
     );
 }
@@ -106,13 +106,13 @@
 #[test]
 fn a_full_holder_is_left_for_an_engine_that_loads() {
     let mut router = router();
-    router.note(Time::ZERO, residents(3, 1, &[key(5, 1)], 30));
+    router.apply(Time::ZERO, residents(3, 1, &[key(5, 1)], 30));
     let choice = router
-        .choose(Time::ZERO, &ask(Some(key(5, 1)), Class::Live), &[])
+        .choose(Time::ZERO, &spec(Some(key(5, 1)), Class::Live), &[])
         .unwrap();
     assert_that!(choice.target, not(eq(TargetNo(3))));
     assert_that!(choice.resident, eq(false));
-    let batch = ask(Some(key(5, 1)), Class::Batch);
+    let batch = spec(Some(key(5, 1)), Class::Batch);
     assert_that!(chosen(&mut router, 0, &batch), eq(3));
 }
 
@@ -121,11 +121,11 @@
     let mut one = router();
     let mut other = Router::new(ZoneNo(1), 99);
     for i in (0..4).rev() {
-        other.note(Time::ZERO, News::Target(target(i, ENGINES, i % 2, 1)));
+        other.note(Time::ZERO, RouterUpdate::Target(target(i, ENGINES, i % 2, 1)));
     }
     for adapter in 0..50 {
-        let ask = ask(Some(key(adapter, 1)), Class::Live);
-        assert_that!(chosen(&mut other, 0, &ask), eq(chosen(&mut one, 0, &ask)));
+        let spec = spec(Some(key(adapter, 1)), Class::Live);
+        assert_that!(chosen(&mut other, 0, &spec), eq(chosen(&mut one, 0, &spec)));
     }
 }
 
@@ -134,10 +134,10 @@
 #[test]
 fn a_cached_prompt_draws_its_conversation() {
     let mut router = router();
-    router.note(Time::ZERO, residents(0, 1, &[key(5, 1)], 1));
-    router.note(Time::ZERO, residents(2, 1, &[key(5, 1)], 5));
+    router.apply(Time::ZERO, residents(0, 1, &[key(5, 1)], 1));
+    router.apply(Time::ZERO, residents(2, 1, &[key(5, 1)], 5));
     let report = |cached| {
-        News::Report(Report {
+        RouterUpdate::Report(Report {
             target: TargetNo(0),
             incarnation: Incarnation(1),
             taken: Time::ZERO,
@@ -146,13 +146,13 @@
             cached,
         })
     };
-    let ask = Ask {
+    let spec = RequestSpec {
         prefix: 77,
-        ..ask(Some(key(5, 1)), Class::Live)
+        ..spec(Some(key(5, 1)), Class::Live)
     };
-    router.note(Time::ZERO, report(vec![77]));
-    assert_that!(chosen(&mut router, 10, &ask), eq(0));
-    assert_that!(chosen(&mut router, 300_000, &ask), eq(2));
+    router.apply(Time::ZERO, report(vec![77]));
+    assert_that!(chosen(&mut router, 10, &spec), eq(0));
+    assert_that!(chosen(&mut router, 300_000, &spec), eq(2));
 }
 
 /// Guards against updates of a former owner that is cut off from the rest: a newer owner
@@ -162,9 +162,9 @@
 fn news_of_an_old_owner_is_dropped() {
     base::covers!(old_owner_ignored);
     let mut router = router();
-    router.note(Time::ZERO, residents(1, 5, &[key(5, 1)], 0));
-    router.note(Time::ZERO, residents(1, 4, &[key(6, 1)], 0));
-    let choice = router.choose(Time::ZERO, &ask(Some(key(5, 1)), Class::Live), &[]);
+    router.apply(Time::ZERO, residents(1, 5, &[key(5, 1)], 0));
+    router.apply(Time::ZERO, residents(1, 4, &[key(6, 1)], 0));
+    let choice = router.choose(Time::ZERO, &spec(Some(key(5, 1)), Class::Live), &[]);
     assert_that!(choice.unwrap().resident, eq(true));
 }
 
@@ -176,16 +176,16 @@
     let mut router = router();
     let now = Time::from_millis(60_000);
     for no in [11, 12, 13] {
-        router.note(now, News::Removed(TargetNo(no)));
+        router.apply(now, RouterUpdate::Removed(TargetNo(no)));
     }
-    router.note(now, News::Target(target(12, PLAIN, 0, 1)));
-    router.note(now, News::Target(target(10, PLAIN, 0, 2)));
+    router.apply(now, RouterUpdate::Target(target(12, PLAIN, 0, 1)));
+    router.apply(now, RouterUpdate::Target(target(10, PLAIN, 0, 2)));
     for _ in 0..5 {
-        router.note(now, News::Started(TargetNo(12)));
+        router.apply(now, RouterUpdate::AttemptSent(TargetNo(12)));
     }
-    router.note(
+    router.apply(
         now,
-        News::Report(Report {
+        RouterUpdate::Report(Report {
             target: TargetNo(10),
             incarnation: Incarnation(1),
             taken: now + Duration::from_millis(1),
@@ -196,7 +196,7 @@
     );
     let later = now.as_millis() + 10_000;
     assert_that!(
-        chosen(&mut router, later, &ask(None, Class::Critical)),
+        chosen(&mut router, later, &spec(None, Class::Critical)),
         eq(10)
     );
 }
@@ -209,18 +209,18 @@
     base::covers!(failing_target_ejected);
     let mut router = router();
     for no in [11, 12] {
-        router.note(Time::ZERO, News::Removed(TargetNo(no)));
+        router.apply(Time::ZERO, RouterUpdate::Removed(TargetNo(no)));
     }
-    router.note(Time::ZERO, News::Started(TargetNo(13)));
+    router.apply(Time::ZERO, RouterUpdate::AttemptSent(TargetNo(13)));
     for _ in 0..3 {
-        router.note(Time::ZERO, News::Started(TargetNo(10)));
-        let end = News::Ended {
+        router.apply(Time::ZERO, RouterUpdate::AttemptSent(TargetNo(10)));
+        let end = RouterUpdate::AttemptEnded {
             target: TargetNo(10),
             ok: false,
         };
-        router.note(Time::ZERO, end);
+        router.apply(Time::ZERO, end);
     }
-    let plain = ask(None, Class::Critical);
+    let plain = spec(None, Class::Critical);
     assert_that!(chosen(&mut router, 100, &plain), eq(13));
     assert_that!(chosen(&mut router, 30_000, &plain), eq(10));
 }
@@ -233,15 +233,15 @@
     let mut router = router();
     for no in 0..4 {
         for _ in 0..4 {
-            let end = News::Ended {
+            let end = RouterUpdate::AttemptEnded {
                 target: TargetNo(no),
                 ok: false,
             };
-            router.note(Time::ZERO, end);
+            router.apply(Time::ZERO, end);
         }
     }
     assert_that!(
-        router.choose(Time::ZERO, &ask(Some(key(5, 1)), Class::Live), &[]),
+        router.choose(Time::ZERO, &spec(Some(key(5, 1)), Class::Live), &[]),
         ok(anything())
     );
 }
@@ -259,26 +259,26 @@
             .pin(Time::from_millis(ms), AdapterNo(5), Version(2))
             .0
     };
-    router.note(Time::ZERO, residents(1, 1, &[key(5, 1)], 0));
+    router.apply(Time::ZERO, residents(1, 1, &[key(5, 1)], 0));
     assert_that!(pin(&router, 0), eq(2));
-    let rolled = News::Rolled {
+    let rolled = RouterUpdate::VersionChanged {
         old: key(5, 1),
         new: key(5, 2),
     };
-    router.note(Time::ZERO, rolled);
+    router.apply(Time::ZERO, rolled);
     assert_that!(pin(&router, 1_999), eq(1));
     assert_that!(pin(&router, 2_000), eq(2));
-    router.note(Time::ZERO, residents(2, 1, &[key(5, 2)], 0));
+    router.apply(Time::ZERO, residents(2, 1, &[key(5, 2)], 0));
     assert_that!(pin(&router, 10), eq(2));
 }
 
 #[test]
 fn leaving_unreachable_and_avoided_targets_get_nothing() {
     let mut router = router();
-    router.note(Time::ZERO, News::Leaving(TargetNo(10)));
-    router.note(Time::ZERO, News::Reachable(TargetNo(11), false));
-    router.note(Time::ZERO, News::Removed(TargetNo(12)));
-    let plain = ask(None, Class::Critical);
+    router.apply(Time::ZERO, RouterUpdate::Leaving(TargetNo(10)));
+    router.apply(Time::ZERO, RouterUpdate::Reachable(TargetNo(11), false));
+    router.apply(Time::ZERO, RouterUpdate::Removed(TargetNo(12)));
+    let plain = spec(None, Class::Critical);
     assert_that!(chosen(&mut router, 0, &plain), eq(13));
     let failure = router
         .choose(Time::ZERO, &plain, &[TargetNo(13)])
@@ -292,8 +292,8 @@
     let mut router = router();
     let mut zones = Vec::new();
     for _ in 0..10 {
-        let no = chosen(&mut router, 0, &ask(None, Class::Critical));
-        router.note(Time::ZERO, News::Started(TargetNo(no)));
+        let no = chosen(&mut router, 0, &spec(None, Class::Critical));
+        router.apply(Time::ZERO, RouterUpdate::AttemptSent(TargetNo(no)));
         zones.push(no % 2);
     }
     // Two replicas of the zone take three each; then their load exceeds the margin for
--- a/crates/route/tests/scheduler.rs
+++ b/crates/route/tests/scheduler.rs
@@ -6,7 +6,7 @@
 
 use base::{AdapterKey, AdapterNo, BrandNo, Incarnation, TargetNo, Ticket, Time, Tokens, Version};
 use googletest::prelude::*;
-use route::{Ask, Engine, Input, LoadEnd, Ordering, Output, PoolNo, Scheduler};
+use route::{RequestSpec, Engine, Input, LoadEnd, LoadPolicy, Output, PoolNo, Scheduler};
 
 base::cases! {
     /// Each guard of the scheduler; the first value is the coverage mark that the fixture
@@ -98,10 +98,10 @@
                 incarnation: Incarnation(count("incarnation", 1)),
                 slots: count("slots", 2) as u32,
                 batch: count("batch", 4) as u32,
-                ordering: if has("restricted") {
-                    Ordering::FreeSlotsOnly
+                policy: if has("restricted") {
+                    LoadPolicy::FreeSlotsOnly
                 } else {
-                    Ordering::Full
+                    LoadPolicy::Full
                 },
             },
             held: option("held")
@@ -114,7 +114,7 @@
         "arrive" => Input::Arrive {
             ticket: Ticket(number(first)),
             target: TargetNo(0),
-            ask: Ask {
+            spec: RequestSpec {
                 pool: PoolNo(0),
                 key: Some(key(words[3])),
                 brand: BrandNo(count("brand", 0) as u32),
@@ -154,7 +154,7 @@
                 .collect(),
         },
         "budget" => Input::Budget(number(first) as u32),
-        "rolled" => Input::Rolled {
+        "rolled" => Input::VersionChanged {
             old: key(first),
             new: key(words[2]),
         },
