--- a/crates/request/src/lib.rs
+++ b/crates/request/src/lib.rs
@@ -6,12 +6,12 @@
 //! no clock and holds no bodies: its driver hands in what happened and carries out the
 //! outputs in order.
 
-mod life;
+mod machine;
 mod message;
 mod start;
 
 pub use crate::{
-    life::Request,
+    machine::Request,
     message::{AttemptNo, ClaimReply, ClaimOutcome, Fault, Final, Input, Output, Part, RanOn},
     start::{ATTEMPTS_MAX, Start},
 };
--- a/crates/route/src/lib.rs
+++ b/crates/route/src/lib.rs
@@ -7,17 +7,17 @@
 //! and orders loads and unloads. Both are deterministic: time is an argument, and random
 //! numbers come from a seed.
 
-mod ask;
-mod draw;
-mod news;
+mod spec;
+mod rng;
+mod update;
 mod retry;
 mod router;
 mod scheduler;
 mod scheduler_io;
 
 pub use crate::{
-    ask::{RequestSpec, Choice, PoolNo, ZoneNo},
-    news::{RouterUpdate, Report, Residents, Target},
+    spec::{RequestSpec, Choice, PoolNo, ZoneNo},
+    update::{RouterUpdate, Report, Residents, Target},
     retry::{Attempts, RetryBudget},
     router::{Candidate, Explanation, Router, Eligibility},
     scheduler::Scheduler,
--- a/crates/route/src/router.rs
+++ b/crates/route/src/router.rs
@@ -1,7 +1,7 @@
 //! The entry instance's choice of a target for each request.
 
 mod explain;
-mod known;
+mod target_state;
 mod prefixes;
 
 use std::{collections::BTreeMap, time::Duration};
@@ -12,7 +12,7 @@
 use crate::{
     RequestSpec, Choice, RouterUpdate, PoolNo, Report, Residents, Target, ZoneNo,
     rng::Rng,
-    router::{known::TargetState, prefixes::Prefixes},
+    router::{target_state::TargetState, prefixes::Prefixes},
 };
 
 pub use self::explain::{Candidate, Explanation, Eligibility};
--- a/crates/route/src/router/explain.rs
+++ b/crates/route/src/router/explain.rs
@@ -2,7 +2,7 @@
 
 use base::{TargetNo, Time};
 
-use super::{Member, Router, known::TargetState};
+use super::{Member, Router, target_state::TargetState};
 use crate::RequestSpec;
 
 /// The target that a request would be sent to, and all targets considered.
