--- a/crates/route/src/router.rs
+++ b/crates/route/src/router.rs
@@ -42,14 +42,15 @@
 const HOT_RATE: f32 = 0.5;
 
 /// Load difference that justifies a target of another zone, or a load on another engine
-/// instead of the least loaded holder.
+/// instead of the preferred holder.
 const SWITCH_MARGIN: f32 = 0.25;
 
 /// How long requests are pinned to the previous version while the new one is loaded.
 /// Short, since an accepted text must be in force within seconds.
 const OLD_VERSION_GRACE: Duration = Duration::from_secs(2);
 
-/// Number of highest-ranked home engines that are compared for a load.
+/// Number of highest-ranked home engines, see [`place::home_rank`], that are compared for a
+/// load.
 const HOME_CANDIDATES: usize = 4;
 
 /// Mean of `Retry-After`, in seconds, when no target can be used.
@@ -80,7 +81,7 @@
     target: TargetNo,
 }
 
-/// A change of an adapter's version, until the new version is resident.
+/// The last change of an adapter's version in the text in force.
 #[derive(Clone, Copy, Debug)]
 struct Upgrade {
     old: Version,
--- a/crates/route/src/router/target_state.rs
+++ b/crates/route/src/router/target_state.rs
@@ -145,6 +145,8 @@
     /// be sent to engines where their adapter is not resident.
     pub(super) fn load(&self, now: Time, class: Class, usual_first_token: f32) -> f32 {
         let capacity = self.target.batch.max(1) as f32 * self.ramp(now);
+        // A target whose first tokens take more than twice as long as usual counts as loaded
+        // up to four times as much.
         let slow = match usual_first_token > 0.0 {
             true => (self.first_token / usual_first_token / 2.0).clamp(1.0, 4.0),
             false => 1.0,
