--- a/crates/request/tests/paths.rs
+++ b/crates/request/tests/paths.rs
@@ -204,7 +204,7 @@
 /// Guards against an engine that answers after its attempt was given up: its pieces must
 /// not be mixed into the answer of the second attempt.
 #[gtest]
-fn a_late_answer_meets_nobody() {
+fn a_late_answer_is_ignored() {
     covers!(late_attempt_ignored);
     let mut run = Run::new(live());
     run.sent(1);
@@ -219,7 +219,7 @@
 /// Guards against running a marked request twice: its connection breaks, and it may have
 /// run.
 #[gtest]
-fn a_marked_request_in_doubt_is_not_sent_again() {
+fn a_marked_request_with_unknown_outcome_is_not_retried() {
     covers!(marked_not_retried);
     let mut run = Run::new(marked());
     run.give(Input::Claimed(ClaimReply::Granted));
@@ -282,7 +282,7 @@
 /// Guards against an error or a second answer after `[DONE]`, when the connection breaks
 /// just after it: the caller has the complete answer.
 #[gtest]
-fn a_cut_after_the_end_spoils_nothing() {
+fn a_cut_after_the_end_marker_changes_nothing() {
     covers!(cut_after_the_end);
     let mut run = Run::new(live());
     run.sent(1);
@@ -330,7 +330,7 @@
 /// A long stream is interrupted again and again, each time further on. It is resumed to
 /// its end; without progress three attempts are the limit.
 #[gtest]
-fn a_stream_that_gets_on_is_not_given_up() {
+fn a_stream_that_makes_progress_is_not_given_up() {
     covers!(progress_not_counted);
     let mut run = Run::new(live());
     let mut no = 0;
@@ -366,7 +366,7 @@
     claims_refused: claim_reply => {
         running: (ClaimReply::Running, Refusal::Duplicate, Verdict::MayHaveRun, RETRY),
         ran: (ClaimReply::Ran { kept: false }, Refusal::Duplicate, Verdict::Ran, None),
-        in_doubt: (ClaimReply::MayHaveRun, Refusal::Duplicate, Verdict::MayHaveRun, None),
+        unknown_outcome: (ClaimReply::MayHaveRun, Refusal::Duplicate, Verdict::MayHaveRun, None),
         too_old: (ClaimReply::TooOld, Refusal::Duplicate, Verdict::MayHaveRun, None),
         other_body: (ClaimReply::OtherBody, Refusal::KeyReused, Verdict::NotRun, None),
         no_quorum: (ClaimReply::Deferred { retry: HALF }, Refusal::NoQuorum, Verdict::NotRun, Some(HALF)),
--- a/crates/route/src/router.rs
+++ b/crates/route/src/router.rs
@@ -397,7 +397,7 @@
             return;
         };
         if update.fence < state.fence {
-            base::hit!(old_owner_ignored);
+            base::hit!(former_owner_ignored);
             return;
         }
         state.fence = update.fence;
--- a/crates/route/tests/explain.rs
+++ b/crates/route/tests/explain.rs
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn the_named_target_is_the_chosen_one() {
+fn the_explained_target_is_the_chosen_one() {
     for (query, holds) in [(spec(Some(0)), true), (spec(Some(1)), false)] {
         let mut router = router();
         let explanation = router.explain(NOW, &query);
@@ -86,7 +86,7 @@
 /// Guards against queries counted as demand: an operator who asks about an unused adapter
 /// repeatedly would make it look busy, and it would evict others.
 #[test]
-fn a_question_changes_no_choice() {
+fn an_explanation_changes_no_choice() {
     let (mut explained, mut control) = (router(), router());
     for i in 0..200 {
         let spec = spec([None, Some(0), Some(1)][i % 3]);
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn what_may_not_be_chosen_says_why() {
+fn a_target_that_may_not_be_chosen_has_a_reason() {
     let mut router = router();
     router.apply(NOW, RouterUpdate::Leaving(TargetNo(2)));
     router.apply(NOW, RouterUpdate::Reachable(TargetNo(1), false));
--- a/crates/route/tests/router.rs
+++ b/crates/route/tests/router.rs
@@ -132,7 +132,7 @@
 /// A request goes to the holder that has its prompt's beginning cached, while that holder
 /// has capacity.
 #[test]
-fn a_cached_prompt_draws_its_conversation() {
+fn a_request_goes_where_its_prefix_is_cached() {
     let mut router = router();
     router.apply(Time::ZERO, residents(0, 1, &[key(5, 1)], 1));
     router.apply(Time::ZERO, residents(2, 1, &[key(5, 1)], 5));
@@ -159,8 +159,8 @@
 /// may have loaded other adapters since, and requests would go where their adapter is not
 /// resident.
 #[test]
-fn news_of_an_old_owner_is_dropped() {
-    base::covers!(old_owner_ignored);
+fn updates_of_a_former_owner_are_dropped() {
+    base::covers!(former_owner_ignored);
     let mut router = router();
     router.apply(Time::ZERO, residents(1, 5, &[key(5, 1)], 0));
     router.apply(Time::ZERO, residents(1, 4, &[key(6, 1)], 0));
@@ -205,7 +205,7 @@
 /// the least loaded choice would send it every request. It is ejected for a while, then
 /// its capacity is ramped up.
 #[test]
-fn a_failing_target_is_eased_out_and_in() {
+fn a_failing_target_is_ejected_and_ramped_up() {
     base::covers!(failing_target_ejected);
     let mut router = router();
     for no in [11, 12] {
@@ -228,7 +228,7 @@
 /// Guards against ejecting all engines, as when the store fails for a moment: no request
 /// would be answered until the longest ejection ended.
 #[test]
-fn never_are_all_targets_left_out() {
+fn not_all_engines_are_ejected() {
     base::covers!(all_ejected_fallback);
     let mut router = router();
     for no in 0..4 {
@@ -305,7 +305,7 @@
 /// Guards against retries of every failure while a target is down: they would double the
 /// load of the other targets, which then fail too.
 #[test]
-fn repeats_are_limited_per_target_and_request() {
+fn retries_are_limited_per_target_and_request() {
     base::covers!(retry_budget_spent);
     base::covers!(attempts_capped);
     let mut budget = RetryBudget::new();
--- a/crates/route/tests/scheduler.rs
+++ b/crates/route/tests/scheduler.rs
@@ -14,9 +14,9 @@
     guards: check => {
         used_slot_kept: ("used_slot_kept", include_str!("scheduler/used_slot_kept.txt")),
         inherited_kept: ("report_before_ownership", include_str!("scheduler/inherited_kept.txt")),
-        other_life: ("report_of_other_incarnation", include_str!("scheduler/other_life.txt")),
+        other_incarnation: ("report_of_other_incarnation", include_str!("scheduler/other_incarnation.txt")),
         restricted: ("restricted_keeps_slots", include_str!("scheduler/restricted.txt")),
-        batch_gives_way: ("batch_preempted", include_str!("scheduler/batch_gives_way.txt")),
+        batch_preempted: ("batch_preempted", include_str!("scheduler/batch_preempted.txt")),
         batch_share: ("batch_share_guaranteed", include_str!("scheduler/batch_share.txt")),
         batch_load: ("batch_load_due", include_str!("scheduler/batch_load.txt")),
         slot_cleared: ("slot_cleared", include_str!("scheduler/slot_cleared.txt")),
@@ -30,7 +30,7 @@
         one_load_for_many: include_str!("scheduler/one_load_for_many.txt"),
         class_order: include_str!("scheduler/class_order.txt"),
         fair_shares: include_str!("scheduler/fair_shares.txt"),
-        roll: include_str!("scheduler/roll.txt"),
+        version_change: include_str!("scheduler/version_change.txt"),
         restart: include_str!("scheduler/restart.txt"),
     }
 }
