--- a/crates/request/src/machine/rules.rs
+++ b/crates/request/src/machine/rules.rs
@@ -13,8 +13,9 @@
     /// the target's fault, if any.
     ///
     /// Guards against an engine that was restarted or reloaded and answers with another
-    /// adapter or version, so that a caller would get an answer of another brand's adapter. The head
-    /// comes before the first byte of the answer, so nothing of it has been passed on.
+    /// adapter or version, so that a caller would get an answer of another brand's adapter.
+    /// The head comes before the first byte of the answer, so nothing of it has been passed
+    /// on.
     pub(super) fn head_fault(
         &self,
         start: &Start,
--- a/crates/route/src/router.rs
+++ b/crates/route/src/router.rs
@@ -85,6 +85,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Upgrade {
     old: Version,
+    /// When the new version was named.
     at: Time,
 }
 
--- a/crates/route/src/scheduler.rs
+++ b/crates/route/src/scheduler.rs
@@ -49,6 +49,7 @@
 struct Request {
     target: TargetNo,
     spec: RequestSpec,
+    /// When the request arrived.
     since: Time,
     state: State,
 }
--- a/crates/route/src/scheduler/owned.rs
+++ b/crates/route/src/scheduler/owned.rs
@@ -71,12 +71,15 @@
     /// The adapter whose slot is being cleared: no more live or batch requests are sent
     /// to it.
     pub(crate) clearing: Option<AdapterKey>,
+    /// Requests sent and not ended, indexed by class.
     pub(crate) running: [u32; 3],
+    /// Running batch requests whose preemption was requested.
     pub(crate) preempting: u32,
     /// When this instance took over; only a report taken later shows that an inherited
     /// adapter is unused.
     pub(crate) owned_at: Time,
     token_secs: f64,
+    /// Admitted requests published last: critical and live ones, and batch ones.
     published: (u32, u32),
     published_cost: u32,
     published_at: Time,
@@ -195,6 +198,7 @@
         f64::from(tokens) * self.token_secs
     }
 
+    /// Updates the seconds per token from a request that has ended.
     pub(crate) fn record_speed(&mut self, tokens: u32, took: Duration) {
         let secs = took.as_secs_f64() / f64::from(tokens.max(1));
         self.token_secs += TOKEN_GAIN * (secs - self.token_secs);
--- a/crates/route/src/scheduler/queue.rs
+++ b/crates/route/src/scheduler/queue.rs
@@ -15,7 +15,9 @@
     pub(crate) brand: BrandNo,
     pub(crate) key: Option<AdapterKey>,
     pub(crate) class: Class,
+    /// Upper limit of the answer's length.
     pub(crate) tokens: u32,
+    /// When the request arrived.
     pub(crate) since: Time,
 }
 
@@ -49,6 +51,7 @@
 pub(crate) struct Waiting {
     pub(crate) key: AdapterKey,
     pub(crate) count: u32,
+    /// When the first of them arrived.
     pub(crate) since: Time,
 }
 
--- a/crates/route/src/scheduler/room.rs
+++ b/crates/route/src/scheduler/room.rs
@@ -24,7 +24,9 @@
 /// Which slot a load goes into.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Room {
+    /// A free slot.
     Free,
+    /// The slot of this adapter version, which is unloaded first.
     Evict(AdapterKey),
 }
 
