--- a/crates/node/src/engines.rs
+++ b/crates/node/src/engines.rs
@@ -132,7 +132,9 @@
                 let engine = self.engines.entry(target).or_default();
                 engine.using.insert(ticket, key);
             }
-            Msg::Began(ticket) => self.scheduler(shared, now, SchedulerInput::FirstToken(ticket), out),
+            Msg::Began(ticket) => {
+                self.scheduler(shared, now, SchedulerInput::FirstToken(ticket), out)
+            }
             Msg::Ended { ticket, ok } => self.on_ended(shared, now, ticket, ok, out),
             Msg::TextChanged => self.on_text(shared, now, out),
             Msg::FleetChanged => self.on_fleet(shared, now, out),
@@ -362,7 +364,12 @@
         self.teach(shared, now, out);
         self.retire(shared, now, out);
         for (old, new) in rolled {
-            self.scheduler(shared, now, SchedulerInput::VersionChanged { old, new }, out);
+            self.scheduler(
+                shared,
+                now,
+                SchedulerInput::VersionChanged { old, new },
+                out,
+            );
             out.tell(ENTRY, Msg::News(RouterUpdate::VersionChanged { old, new }));
         }
     }
--- a/crates/node/src/entry.rs
+++ b/crates/node/src/entry.rs
@@ -269,7 +269,8 @@
         }
         if !std::mem::replace(&mut sent.began, true) {
             let took = now.since(sent.at);
-            self.router.apply(now, RouterUpdate::ResponseBegan(sent.target, took));
+            self.router
+                .apply(now, RouterUpdate::ResponseBegan(sent.target, took));
             if sent.local {
                 out.tell(ENGINES, Msg::Began(ticket));
             }
@@ -292,7 +293,8 @@
             return;
         };
         let target = sent.target;
-        self.router.apply(now, RouterUpdate::AttemptEnded { target, ok });
+        self.router
+            .apply(now, RouterUpdate::AttemptEnded { target, ok });
         if sent.local {
             out.tell(ENGINES, Msg::Ended { ticket, ok });
         }
--- a/crates/node/src/entry/place.rs
+++ b/crates/node/src/entry/place.rs
@@ -184,7 +184,9 @@
             let choice = choice.or_else(|_| self.router.choose(now, &live.ask, &live.turned_away));
             let target = match choice {
                 Ok(choice) => choice.target,
-                Err(failure) if live.turned_away.is_empty() => return Some(Step::NotPlaced(failure)),
+                Err(failure) if live.turned_away.is_empty() => {
+                    return Some(Step::NotPlaced(failure));
+                }
                 Err(failure) => return self.park(shared, now, ticket, failure),
             };
             live.local = false;
@@ -322,7 +324,13 @@
         self.end_attempt(now, ticket, attempt, true, out);
     }
 
-    fn settle_claim(&mut self, shared: &mut Shared, ticket: Ticket, outcome: ClaimOutcome, out: &mut Out) {
+    fn settle_claim(
+        &mut self,
+        shared: &mut Shared,
+        ticket: Ticket,
+        outcome: ClaimOutcome,
+        out: &mut Out,
+    ) {
         let Some(live) = self.requests.get_mut(&ticket) else {
             return;
         };
--- a/crates/place/src/budget.rs
+++ b/crates/place/src/budget.rs
@@ -98,7 +98,11 @@
     /// a load in progress or the rate is zero.
     #[must_use]
     pub fn next_at(&self, now: Time, spare: bool) -> Option<Time> {
-        let need = if spare { LOAD_COST + SPARE_RESERVE } else { LOAD_COST };
+        let need = if spare {
+            LOAD_COST + SPARE_RESERVE
+        } else {
+            LOAD_COST
+        };
         let most = if spare { 1 } else { CONCURRENT_MAX };
         if self.in_progress >= most || self.rate == 0 {
             return None;
--- a/crates/place/src/lib.rs
+++ b/crates/place/src/lib.rs
@@ -14,7 +14,7 @@
 pub use crate::{
     backoff::Backoff,
     budget::Budget,
-    demand::{Demand, DecayingRate},
+    demand::{DecayingRate, Demand},
     home::home_rank,
     slots::{Slot, SlotState, Slots},
 };
--- a/crates/place/tests/place.rs
+++ b/crates/place/tests/place.rs
@@ -2,7 +2,7 @@
 
 use base::{AdapterKey, AdapterNo, TargetNo, Time, Version, stable_hash};
 use googletest::prelude::*;
-use place::{Backoff, Budget, Demand, DecayingRate, home_rank};
+use place::{Backoff, Budget, DecayingRate, Demand, home_rank};
 
 fn secs(n: u64) -> Time {
     Time::from_millis(n * 1_000)
--- a/crates/request/src/lib.rs
+++ b/crates/request/src/lib.rs
@@ -12,6 +12,6 @@
 
 pub use crate::{
     machine::Request,
-    message::{AttemptNo, ClaimReply, ClaimOutcome, Fault, Final, Input, Output, Part, RanOn},
+    message::{AttemptNo, ClaimOutcome, ClaimReply, Fault, Final, Input, Output, Part, RanOn},
     start::{ATTEMPTS_MAX, Start},
 };
--- a/crates/request/src/machine.rs
+++ b/crates/request/src/machine.rs
@@ -10,7 +10,7 @@
 
 use crate::{
     Start,
-    message::{AttemptNo, ClaimReply, ClaimOutcome, Fault, Final, Input, Output},
+    message::{AttemptNo, ClaimOutcome, ClaimReply, Fault, Final, Input, Output},
 };
 
 /// `Retry-After` when neither a target nor the control plane gave one: long enough for a
@@ -288,7 +288,9 @@
             } => self.on_head(now, start, attempt, (status, ran_on, resumed), out),
             Input::Piece { part, .. } => self.on_piece(start, attempt, part, out),
             Input::End { complete: true, .. } => self.on_complete(now, start, attempt, out),
-            Input::End { complete: false, .. } => {
+            Input::End {
+                complete: false, ..
+            } => {
                 self.on_failed(now, start, attempt, Failed::broken(Fault::Failed), out);
             }
             Input::CallerGone => self.on_caller_gone(start, attempt, out),
--- a/crates/request/src/machine/answer.rs
+++ b/crates/request/src/machine/answer.rs
@@ -107,7 +107,12 @@
     }
 
     /// Ends the request with the complete answer.
-    pub(super) fn finish_complete(&mut self, start: &Start, attempt: Attempt, out: &mut Vec<Output>) {
+    pub(super) fn finish_complete(
+        &mut self,
+        start: &Start,
+        attempt: Attempt,
+        out: &mut Vec<Output>,
+    ) {
         if start.mark == Mark::Once {
             out.push(Output::Settle(ClaimOutcome::Ran));
         }
--- a/crates/request/tests/every_step.rs
+++ b/crates/request/tests/every_step.rs
@@ -8,7 +8,9 @@
 use std::{collections::HashSet, time::Duration};
 
 use base::{AdapterKey, AdapterNo, Failure, Mark, Refusal, TargetNo, Time, Verdict, Version};
-use request::{AttemptNo, ClaimReply, ClaimOutcome, Final, Input, Output, Part, RanOn, Request, Start};
+use request::{
+    AttemptNo, ClaimOutcome, ClaimReply, Final, Input, Output, Part, RanOn, Request, Start,
+};
 
 const DEADLINE: Time = Time(1_000);
 const DEPTH: usize = 10;
@@ -143,7 +145,12 @@
 
 /// Applies the event to the environment and to the request, carries out the outputs, and
 /// checks.
-fn step(start: &Start, request: &Request, env: &Environment, event: &Event) -> (Request, Environment) {
+fn step(
+    start: &Start,
+    request: &Request,
+    env: &Environment,
+    event: &Event,
+) -> (Request, Environment) {
     let (mut request, mut env) = (request.clone(), env.clone());
     env.happen(&event.0);
     let now = if env.late { DEADLINE } else { Time(1) };
@@ -210,12 +217,18 @@
             } => {
                 assert!(!over, "sent after the final answer");
                 let ran = self.sent.iter().any(|sent| sent.ran);
-                assert!(start.mark == Mark::Repeatable || !ran, "marked request sent again after it may have run");
+                assert!(
+                    start.mark == Mark::Repeatable || !ran,
+                    "marked request sent again after it may have run"
+                );
                 assert!(
                     start.mark == Mark::Repeatable || self.granted,
                     "marked request sent without a claim"
                 );
-                assert!(*resume_from == 0 || start.resumable, "resumed on an engine that can't resume");
+                assert!(
+                    *resume_from == 0 || start.resumable,
+                    "resumed on an engine that can't resume"
+                );
                 self.sent.push(Sent {
                     no: *attempt,
                     from: *resume_from,
@@ -236,7 +249,10 @@
                 self.attempt(*attempt).cancelled = true;
             }
             Output::Pass | Output::PassHead => {
-                assert!(!over && !self.gone, "passed on after the final answer or after the caller left");
+                assert!(
+                    !over && !self.gone,
+                    "passed on after the final answer or after the caller left"
+                );
                 self.check_source(input);
                 assert!(!self.ended, "passed on after the end marker");
                 self.ended = matches!(
@@ -255,7 +271,10 @@
                 assert_eq!(self.settled.replace(*outcome), None, "settled twice");
                 assert!(self.granted, "settled without a claim");
                 let ran = self.sent.iter().any(|sent| sent.ran);
-                assert!(!ran || *outcome != ClaimOutcome::NotRun, "settled as not run, but it ran");
+                assert!(
+                    !ran || *outcome != ClaimOutcome::NotRun,
+                    "settled as not run, but it ran"
+                );
             }
             Output::Finish(end) => {
                 assert!(!over, "two final answers");
@@ -281,14 +300,24 @@
             Final::Complete => {
                 let error = self.sent.last().is_some_and(|sent| sent.wrong);
                 let all: Vec<u32> = (0..TOKENS).collect();
-                assert!(error || self.got == all, "complete answer with tokens {:?}", self.got);
+                assert!(
+                    error || self.got == all,
+                    "complete answer with tokens {:?}",
+                    self.got
+                );
             }
             Final::Replay => assert!(!ran),
             Final::Failed(failure) | Final::Broken(failure) => {
-                assert!(!ran || failure.verdict != Verdict::NotRun, "verdict is not run, but it ran");
+                assert!(
+                    !ran || failure.verdict != Verdict::NotRun,
+                    "verdict is not run, but it ran"
+                );
                 let uncertain = !ran && failure.verdict != Verdict::NotRun;
                 let other = failure.reason == Refusal::Duplicate;
-                assert!(!uncertain || other, "not run, but the verdict is uncertain: {failure:?}");
+                assert!(
+                    !uncertain || other,
+                    "not run, but the verdict is uncertain: {failure:?}"
+                );
                 assert!(self.got.is_empty() || matches!(end, Final::Broken(_)));
                 assert!(!self.ended, "error after the end marker");
             }
@@ -316,7 +345,13 @@
 }
 
 impl Search {
-    fn explore(&mut self, request: &Request, env: &Environment, left: usize, path: &mut Vec<Input>) {
+    fn explore(
+        &mut self,
+        request: &Request,
+        env: &Environment,
+        left: usize,
+        path: &mut Vec<Input>,
+    ) {
         if !self.seen.insert(format!("{left}{request:?}{env:?}")) {
             return;
         }
--- a/crates/request/tests/paths.rs
+++ b/crates/request/tests/paths.rs
@@ -7,7 +7,7 @@
 };
 use googletest::prelude::*;
 use request::{
-    AttemptNo, ClaimReply, ClaimOutcome, Fault, Final, Input, Output, Part, RanOn, Request, Start,
+    AttemptNo, ClaimOutcome, ClaimReply, Fault, Final, Input, Output, Part, RanOn, Request, Start,
 };
 
 const DEADLINE: Time = Time(1_000_000);
--- a/crates/route/benches/decisions.rs
+++ b/crates/route/benches/decisions.rs
@@ -9,7 +9,8 @@
 };
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use route::{
-    RequestSpec, Engine, Input, RouterUpdate, LoadPolicy, PoolNo, Residents, Router, Scheduler, Target, ZoneNo,
+    Engine, Input, LoadPolicy, PoolNo, RequestSpec, Residents, Router, RouterUpdate, Scheduler,
+    Target, ZoneNo,
 };
 
 /// Adapter slots of an engine.
--- a/crates/route/src/lib.rs
+++ b/crates/route/src/lib.rs
@@ -7,19 +7,19 @@
 //! and orders loads and unloads. Both are deterministic: time is an argument, and random
 //! numbers come from a seed.
 
-mod spec;
-mod rng;
-mod update;
 mod retry;
+mod rng;
 mod router;
 mod scheduler;
 mod scheduler_io;
+mod spec;
+mod update;
 
 pub use crate::{
-    spec::{RequestSpec, Choice, PoolNo, ZoneNo},
-    update::{RouterUpdate, Report, Residents, Target},
     retry::{Attempts, RetryBudget},
-    router::{Candidate, Explanation, Router, Eligibility},
+    router::{Candidate, Eligibility, Explanation, Router},
     scheduler::Scheduler,
     scheduler_io::{BrandShare, Engine, Input, LoadEnd, LoadPolicy, Output},
+    spec::{Choice, PoolNo, RequestSpec, ZoneNo},
+    update::{Report, Residents, RouterUpdate, Target},
 };
--- a/crates/route/src/router.rs
+++ b/crates/route/src/router.rs
@@ -1,8 +1,8 @@
 //! The entry instance's choice of a target for each request.
 
 mod explain;
-mod target_state;
 mod prefixes;
+mod target_state;
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -10,12 +10,12 @@
 use place::Demand;
 
 use crate::{
-    RequestSpec, Choice, RouterUpdate, PoolNo, Report, Residents, Target, ZoneNo,
+    Choice, PoolNo, Report, RequestSpec, Residents, RouterUpdate, Target, ZoneNo,
     rng::Rng,
-    router::{target_state::TargetState, prefixes::Prefixes},
+    router::{prefixes::Prefixes, target_state::TargetState},
 };
 
-pub use self::explain::{Candidate, Explanation, Eligibility};
+pub use self::explain::{Candidate, Eligibility, Explanation};
 
 /// Load below which a holder takes more requests. The fullest holder below it is
 /// preferred: an engine generates more tokens a second with a fuller batch.
@@ -113,14 +113,22 @@
         match update {
             RouterUpdate::Adapter { adapter, hash } => self.adapter(adapter, hash),
             RouterUpdate::Target(target) => self.target(now, target),
-            RouterUpdate::Leaving(target) => self.update_target(target, |state| state.leaving = true),
-            RouterUpdate::Reachable(target, yes) => self.update_target(target, |state| state.reachable = yes),
+            RouterUpdate::Leaving(target) => {
+                self.update_target(target, |state| state.leaving = true)
+            }
+            RouterUpdate::Reachable(target, yes) => {
+                self.update_target(target, |state| state.reachable = yes)
+            }
             RouterUpdate::Removed(target) => self.removed(target),
             RouterUpdate::Residents(update) => self.residents(&update),
             RouterUpdate::Report(report) => self.report(&report),
-            RouterUpdate::AttemptSent(target) => self.update_target(target, |state| state.in_flight += 1),
+            RouterUpdate::AttemptSent(target) => {
+                self.update_target(target, |state| state.in_flight += 1)
+            }
             RouterUpdate::ResponseBegan(target, after) => self.began(target, after),
-            RouterUpdate::AttemptEnded { target, ok } => self.update_target(target, |state| state.ended(now, ok)),
+            RouterUpdate::AttemptEnded { target, ok } => {
+                self.update_target(target, |state| state.ended(now, ok))
+            }
             RouterUpdate::VersionChanged { old, new } => {
                 let upgrade = Upgrade {
                     old: old.version,
@@ -136,7 +144,12 @@
     /// # Errors
     ///
     /// Fails as `not run` when no target of the pool can take the request.
-    pub fn choose(&mut self, now: Time, spec: &RequestSpec, avoid: &[TargetNo]) -> Result<Choice, Failure> {
+    pub fn choose(
+        &mut self,
+        now: Time,
+        spec: &RequestSpec,
+        avoid: &[TargetNo],
+    ) -> Result<Choice, Failure> {
         let Some(key) = spec.key else {
             return self.choose_plain(now, spec.pool, avoid);
         };
@@ -171,7 +184,13 @@
     }
 
     /// Returns the engine for a request that is pinned to `key`.
-    fn pick(&self, now: Time, spec: &RequestSpec, key: AdapterKey, avoid: &[TargetNo]) -> Option<TargetNo> {
+    fn pick(
+        &self,
+        now: Time,
+        spec: &RequestSpec,
+        key: AdapterKey,
+        avoid: &[TargetNo],
+    ) -> Option<TargetNo> {
         let holder = self.best_holder(now, spec, key, avoid);
         let limit = self.spread_limit(now, spec.class, key);
         match holder {
@@ -202,7 +221,10 @@
         let mut packed: Option<(f32, TargetNo, f32)> = None;
         let mut least: Option<(TargetNo, f32)> = None;
         for target in holders.iter().filter(|t| !avoid.contains(t)) {
-            let Some(state) = self.state(*target).filter(|k| k.usable() && !k.is_ejected(now)) else {
+            let Some(state) = self
+                .state(*target)
+                .filter(|k| k.usable() && !k.is_ejected(now))
+            else {
                 continue;
             };
             let load = state.load(now, spec.class, self.first_token);
@@ -266,7 +288,11 @@
         let costs = homes.filter_map(|target| {
             let state = self.state(target)?;
             let load = state.load(now, spec.class, self.first_token);
-            Some((state.evict_cost as f32 - HOME_LOAD_WEIGHT * load, target, load))
+            Some((
+                state.evict_cost as f32 - HOME_LOAD_WEIGHT * load,
+                target,
+                load,
+            ))
         });
         let best = costs.min_by(|a, b| a.0.total_cmp(&b.0));
         // If every engine is full or ejected, the highest-ranked one that is reachable
@@ -274,7 +300,10 @@
         best.map(|(_, target, load)| (target, load)).or_else(|| {
             let (_, target) = fallback?;
             base::hit!(all_ejected_fallback);
-            Some((target, self.state(target)?.load(now, spec.class, self.first_token)))
+            Some((
+                target,
+                self.state(target)?.load(now, spec.class, self.first_token),
+            ))
         })
     }
 
@@ -320,8 +349,8 @@
                 continue;
             }
             let far = state.target.zone != self.zone;
-            let load =
-                state.load(now, Class::Critical, self.first_token) + if far { SWITCH_MARGIN } else { 0.0 };
+            let load = state.load(now, Class::Critical, self.first_token)
+                + if far { SWITCH_MARGIN } else { 0.0 };
             let cost = (state.is_ejected(now), load, target);
             if best.is_none_or(|b| (cost.0, cost.1) < (b.0, b.1)) {
                 best = Some(cost);
--- a/crates/route/src/router/target_state.rs
+++ b/crates/route/src/router/target_state.rs
@@ -194,7 +194,10 @@
             return;
         }
         self.failures += 1.0;
-        if self.failures < EJECT_FAILURES_MIN || self.failures < self.successes / 2.0 || self.is_ejected(now) {
+        if self.failures < EJECT_FAILURES_MIN
+            || self.failures < self.successes / 2.0
+            || self.is_ejected(now)
+        {
             return;
         }
         base::hit!(failing_target_ejected);
--- a/crates/route/src/scheduler.rs
+++ b/crates/route/src/scheduler.rs
@@ -15,7 +15,7 @@
 use place::{Backoff, Budget, Demand};
 
 use crate::{
-    RequestSpec, BrandShare, Input, Output,
+    BrandShare, Input, Output, RequestSpec,
     rng::Rng,
     scheduler::{owned::OwnedEngine, queue::Item},
 };
--- a/crates/route/src/scheduler/admit.rs
+++ b/crates/route/src/scheduler/admit.rs
@@ -35,11 +35,18 @@
     ///
     /// Fails as `not run` when the request can't be served in time or its brand is over
     /// its share of the queue.
-    pub(super) fn admit(&mut self, now: Time, target: TargetNo, spec: &RequestSpec) -> Result<(), Failure> {
+    pub(super) fn admit(
+        &mut self,
+        now: Time,
+        target: TargetNo,
+        spec: &RequestSpec,
+    ) -> Result<(), Failure> {
         let Some(owned) = self.engines.get(&target) else {
             return Err(Failure::not_run(Refusal::Unavailable));
         };
-        let backed_off = spec.key.and_then(|key| self.backoff.until(now, target, key));
+        let backed_off = spec
+            .key
+            .and_then(|key| self.backoff.until(now, target, key));
         if let Some(until) = backed_off.filter(|until| !self.can_wait(spec, *until)) {
             let wait = self.retry_after(until.since(now).as_secs_f64());
             return Err(Failure::not_run(Refusal::Unavailable).retry_after(wait));
--- a/crates/route/src/scheduler/loads.rs
+++ b/crates/route/src/scheduler/loads.rs
@@ -6,7 +6,7 @@
 use place::{Budget, SlotState};
 
 use crate::{
-    RequestSpec, LoadEnd, LoadPolicy, Output,
+    LoadEnd, LoadPolicy, Output, RequestSpec,
     scheduler::{Scheduler, State, queue::Waiting, room::Room},
 };
 
@@ -77,7 +77,8 @@
             };
             self.start(now, pick, out);
         }
-        self.blocked.spare = self.any_waiting() || self.engines.values().any(|b| !b.prefetch.is_empty());
+        self.blocked.spare =
+            self.any_waiting() || self.engines.values().any(|b| !b.prefetch.is_empty());
     }
 
     /// Returns the number of adapters that wait to be loaded.
--- a/crates/route/src/scheduler/owned.rs
+++ b/crates/route/src/scheduler/owned.rs
@@ -261,7 +261,8 @@
         let moved = load.0.abs_diff(self.published.0) + load.1.abs_diff(self.published.1);
         let step = (self.engine.batch / 16).max(1);
         let cost = self.evict_cost(now);
-        let shifted = cost.abs_diff(self.published_cost) * COST_CHANGE > self.published_cost.max(cost);
+        let shifted =
+            cost.abs_diff(self.published_cost) * COST_CHANGE > self.published_cost.max(cost);
         if (moved >= step || shifted) && now.since(self.published_at) >= PUBLISH_INTERVAL {
             self.publish(now, Vec::new(), Vec::new(), out);
         }
--- a/crates/route/src/scheduler/queue.rs
+++ b/crates/route/src/scheduler/queue.rs
@@ -98,9 +98,12 @@
         if class_queue.queued == 0 {
             return None;
         }
-        let least = class_queue.brands.iter().filter(|(_, queue)| queue.queued > 0);
-        let least =
-            least.filter_map(|(brand, queue)| Some((queue.finish, *brand, queue.next(class, ready)?)));
+        let least = class_queue
+            .brands
+            .iter()
+            .filter(|(_, queue)| queue.queued > 0);
+        let least = least
+            .filter_map(|(brand, queue)| Some((queue.finish, *brand, queue.next(class, ready)?)));
         let (start, brand, key) = least.min()?;
         let queue = class_queue.brands.get_mut(&brand)?;
         let item = queue.waiting.get_mut(&key)?.pop_front()?;
@@ -144,7 +147,9 @@
     /// Returns the brands with requests queued in `class`.
     pub(crate) fn brands(&self, class: Class) -> impl Iterator<Item = BrandNo> {
         let queues = self.classes[class as usize].brands.iter();
-        queues.filter(|(_, queue)| queue.queued > 0).map(|(b, _)| *b)
+        queues
+            .filter(|(_, queue)| queue.queued > 0)
+            .map(|(b, _)| *b)
     }
 
     /// Returns the requests of `class` that wait for adapters, grouped by brand and
--- a/crates/route/tests/explain.rs
+++ b/crates/route/tests/explain.rs
@@ -5,7 +5,7 @@
     stable_hash,
 };
 use googletest::prelude::*;
-use route::{RequestSpec, RouterUpdate, PoolNo, Residents, Router, Eligibility, Target, ZoneNo};
+use route::{Eligibility, PoolNo, RequestSpec, Residents, Router, RouterUpdate, Target, ZoneNo};
 
 const ENGINES: u32 = 4;
 const NOW: Time = Time(1_000_000);
--- a/crates/route/tests/router.rs
+++ b/crates/route/tests/router.rs
@@ -7,7 +7,10 @@
     Version, stable_hash,
 };
 use googletest::prelude::*;
-use route::{RequestSpec, Attempts, RouterUpdate, PoolNo, Report, Residents, RetryBudget, Router, Target, ZoneNo};
+use route::{
+    Attempts, PoolNo, Report, RequestSpec, Residents, RetryBudget, Router, RouterUpdate, Target,
+    ZoneNo,
+};
 
 const ENGINES: PoolNo = PoolNo(0);
 const PLAIN: PoolNo = PoolNo(1);
@@ -29,8 +32,14 @@
 fn router() -> Router {
     let mut router = Router::new(ZoneNo(0), 7);
     for i in 0..4 {
-        router.apply(Time::ZERO, RouterUpdate::Target(target(i, ENGINES, i % 2, 1)));
-        router.apply(Time::ZERO, RouterUpdate::Target(target(10 + i, PLAIN, i % 2, 1)));
+        router.apply(
+            Time::ZERO,
+            RouterUpdate::Target(target(i, ENGINES, i % 2, 1)),
+        );
+        router.apply(
+            Time::ZERO,
+            RouterUpdate::Target(target(10 + i, PLAIN, i % 2, 1)),
+        );
     }
     router
 }
@@ -121,7 +130,10 @@
     let mut one = router();
     let mut other = Router::new(ZoneNo(1), 99);
     for i in (0..4).rev() {
-        other.note(Time::ZERO, RouterUpdate::Target(target(i, ENGINES, i % 2, 1)));
+        other.apply(
+            Time::ZERO,
+            RouterUpdate::Target(target(i, ENGINES, i % 2, 1)),
+        );
     }
     for adapter in 0..50 {
         let spec = spec(Some(key(adapter, 1)), Class::Live);
--- a/crates/route/tests/scheduler.rs
+++ b/crates/route/tests/scheduler.rs
@@ -6,7 +6,7 @@
 
 use base::{AdapterKey, AdapterNo, BrandNo, Incarnation, TargetNo, Ticket, Time, Tokens, Version};
 use googletest::prelude::*;
-use route::{RequestSpec, Engine, Input, LoadEnd, LoadPolicy, Output, PoolNo, Scheduler};
+use route::{Engine, Input, LoadEnd, LoadPolicy, Output, PoolNo, RequestSpec, Scheduler};
 
 base::cases! {
     /// Each guard of the scheduler; the first value is the coverage mark that the fixture
