--- a/crates/node/src/entry.rs
+++ b/crates/node/src/entry.rs
@@ -350,7 +350,7 @@
         let input = if again {
             self.find_place(shared, now, ticket, &[], out)
         } else {
-            Some(Step::NotPlaced(failure))
+            Some(Step::NoTarget(failure))
         };
         if let Some(input) = input {
             self.step(shared, now, ticket, 0, input, out);
--- a/crates/node/src/entry/place.rs
+++ b/crates/node/src/entry/place.rs
@@ -50,7 +50,7 @@
             Want::Place { avoid, retry } => {
                 if retry && !self.may_retry(&avoid) {
                     let failure = Failure::not_run(Refusal::Unavailable);
-                    return Some(Step::NotPlaced(failure));
+                    return Some(Step::NoTarget(failure));
                 }
                 return self.find_place(shared, now, ticket, &avoid, out);
             }
@@ -185,7 +185,7 @@
             let target = match choice {
                 Ok(choice) => choice.target,
                 Err(failure) if live.turned_away.is_empty() => {
-                    return Some(Step::NotPlaced(failure));
+                    return Some(Step::NoTarget(failure));
                 }
                 Err(failure) => return self.park(shared, now, ticket, failure),
             };
@@ -231,7 +231,7 @@
         let live = self.requests.get_mut(&ticket)?;
         let since = *live.parked.get_or_insert(now);
         if now.since(since) >= PARK_MAX {
-            return Some(Step::NotPlaced(failure));
+            return Some(Step::NoTarget(failure));
         }
         base::hit!(parked_without_owner);
         live.turned_away.clear();
--- a/crates/request/src/machine.rs
+++ b/crates/request/src/machine.rs
@@ -220,7 +220,7 @@
     fn on_placing(&mut self, now: Time, start: Start, input: Input, out: &mut Vec<Output>) {
         match input {
             Input::Placed { target } => self.send(start, target, out),
-            Input::NotPlaced(failure) => self.give_up(&start, failure, out),
+            Input::NoTarget(failure) => self.give_up(&start, failure, out),
             Input::CallerGone => {
                 self.give_up(&start, Failure::not_run(Refusal::CallerGone), out);
             }
--- a/crates/request/src/message.rs
+++ b/crates/request/src/message.rs
@@ -110,7 +110,7 @@
         target: TargetNo,
     },
     /// No target was found, or the retry budget is used up.
-    NotPlaced(Failure),
+    NoTarget(Failure),
     /// An attempt failed without an answer, or in the middle of it.
     AttemptFailed {
         /// The attempt.
@@ -162,7 +162,7 @@
     Place {
         /// Targets that failed this request.
         avoid: Vec<TargetNo>,
-        /// Whether this is a retry, which uses the retry budget; [`Input::NotPlaced`] is
+        /// Whether this is a retry, which uses the retry budget; [`Input::NoTarget`] is
         /// the answer when that is used up.
         retry: bool,
     },
--- a/crates/request/tests/every_step.rs
+++ b/crates/request/tests/every_step.rs
@@ -80,7 +80,7 @@
         let target = TargetNo(env.sent.len() as u32);
         all.push((Input::Placed { target }, vec![]));
         let none = Failure::not_run(Refusal::Unavailable);
-        all.push((Input::NotPlaced(none), vec![]));
+        all.push((Input::NoTarget(none), vec![]));
     }
     for sent in env.sent.iter().filter(|sent| !sent.over) {
         all.extend(events_of(sent, env.raw));
@@ -170,7 +170,7 @@
                 self.claiming = false;
                 self.granted = *reply == ClaimReply::Granted;
             }
-            Input::Placed { .. } | Input::NotPlaced(_) => self.placing = false,
+            Input::Placed { .. } | Input::NoTarget(_) => self.placing = false,
             Input::CallerGone => self.gone = true,
             Input::Wake => self.late = true,
             Input::AttemptFailed {
