--- a/crates/route/tests/scheduler.rs
+++ b/crates/route/tests/scheduler.rs
@@ -14,7 +14,10 @@
     guards: check => {
         used_slot_kept: ("used_slot_kept", include_str!("scheduler/used_slot_kept.txt")),
         inherited_kept: ("report_before_ownership", include_str!("scheduler/inherited_kept.txt")),
-        other_incarnation: ("report_of_other_incarnation", include_str!("scheduler/other_incarnation.txt")),
+        other_incarnation: (
+            "report_of_other_incarnation",
+            include_str!("scheduler/other_incarnation.txt"),
+        ),
         restricted: ("restricted_keeps_slots", include_str!("scheduler/restricted.txt")),
         batch_preempted: ("batch_preempted", include_str!("scheduler/batch_preempted.txt")),
         batch_share: ("batch_share_guaranteed", include_str!("scheduler/batch_share.txt")),
