--- a/crates/request/tests/paths.rs
+++ b/crates/request/tests/paths.rs
@@ -1,4 +1,4 @@
-//! Single paths through a request's life, told as a user sees them.
+//! Tests of single paths through a request's state machine.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 };
 use googletest::prelude::*;
 use request::{
-    AttemptNo, ClaimReply, Fate, Fault, Final, Input, Output, Part, RanOn, Request, Start,
+    AttemptNo, ClaimOutcome, ClaimReply, Fault, Final, Input, Output, Part, RanOn, Request, Start,
 };
 
 const DEADLINE: Time = Time(1_000_000);
@@ -36,7 +36,7 @@
         run
     }
 
-    /// Takes `input` just after the start and returns what it led to.
+    /// Handles `input` just after the start and returns the outputs.
     fn give(&mut self, input: Input) -> Vec<Output> {
         self.at(Time(1), input)
     }
@@ -48,7 +48,7 @@
         out
     }
 
-    /// Goes to the point where attempt `no` is under way.
+    /// Sends attempt `no` by placing the request on target `no`.
     fn sent(&mut self, no: u32) -> Vec<Output> {
         let target = TargetNo(no);
         self.give(Input::Placed { target })
@@ -85,9 +85,9 @@
     Input::Piece { attempt, part }
 }
 
-fn end(no: u32, whole: bool) -> Input {
+fn end(no: u32, complete: bool) -> Input {
     let attempt = AttemptNo(no);
-    Input::End { attempt, whole }
+    Input::End { attempt, complete }
 }
 
 fn failed(no: u32, verdict: Verdict) -> Input {
@@ -115,8 +115,8 @@
     }
 }
 
-/// A performer reads a draft as it is written. The engine breaks off after
-/// two tokens, another continues; the text shows no gap and no repetition.
+/// An engine breaks off a stream after two tokens and another engine resumes it: the
+/// caller's text has no gap and no repetition.
 #[gtest]
 fn a_broken_stream_is_continued() {
     covers!(second_frame_dropped);
@@ -134,11 +134,11 @@
     expect_that!(run.give(piece(2, Part::Preamble)), is_empty());
     expect_that!(run.give(piece(2, Part::Tokens(1))), eq(&vec![Output::Pass]));
     let done = run.give(end(2, true));
-    expect_that!(done, eq(&vec![Output::Finish(Final::Whole)]));
+    expect_that!(done, eq(&vec![Output::Finish(Final::Complete)]));
 }
 
-/// The same, but the engines can't continue. The caller must see an error at
-/// the end of what it has, never an end that looks proper.
+/// An interrupted stream that the engines can't resume ends with an error, never like a
+/// complete answer.
 #[gtest]
 fn a_stream_that_cannot_be_continued_ends_with_an_error() {
     covers!(stream_not_resumable);
@@ -155,8 +155,8 @@
     assert_that!(out, contains(eq(&Output::Finish(Final::Broken(failure)))));
 }
 
-/// An engine was reloaded behind the system's back and answers as another
-/// version. Nothing of that answer may reach the caller.
+/// Guards against an engine that was reloaded by someone else and answers with another
+/// version: nothing of that answer may reach the caller.
 #[gtest]
 fn an_answer_of_another_version_is_stopped() {
     covers!(wrong_adapter_stopped);
@@ -171,14 +171,15 @@
                 attempt: AttemptNo(1)
             }))
         );
-        expect_that!(out, contains(eq(&Output::Blame { target, fault })));
+        expect_that!(out, contains(eq(&Output::ReportFault { target, fault })));
         expect_that!(out, not(contains(eq(&Output::PassHead))));
         let avoid = vec![target];
         expect_that!(out, contains(eq(&Output::Place { avoid, retry: true })));
     }
 }
 
-/// An engine ignores the order to continue and starts from the beginning.
+/// Guards against an engine that ignores the request to resume and starts from the
+/// beginning.
 #[gtest]
 fn a_stream_that_starts_anew_is_not_passed_on() {
     covers!(wrong_resume_stopped);
@@ -200,10 +201,10 @@
     }
 }
 
-/// The first engine answers after it was given up. Its pieces must not be
-/// mixed into the second one's answer.
+/// Guards against an engine that answers after its attempt was given up: its pieces must
+/// not be mixed into the answer of the second attempt.
 #[gtest]
-fn a_late_answer_meets_nobody() {
+fn a_late_answer_is_ignored() {
     covers!(late_attempt_ignored);
     let mut run = Run::new(live());
     run.sent(1);
@@ -215,22 +216,22 @@
     expect_that!(run.request.tokens(), eq(0));
 }
 
-/// An application is sent and its connection breaks. Sending it again could
-/// hand it in twice.
+/// Guards against running a marked request twice: its connection breaks, and it may have
+/// run.
 #[gtest]
-fn a_marked_request_in_doubt_is_not_sent_again() {
-    covers!(marked_not_repeated);
+fn a_marked_request_with_unknown_outcome_is_not_retried() {
+    covers!(marked_not_retried);
     let mut run = Run::new(marked());
-    run.give(Input::Claimed(ClaimReply::Yours));
+    run.give(Input::Claimed(ClaimReply::Granted));
     run.sent(1);
     let out = run.give(failed(1, Verdict::MayHaveRun));
     let failure = failure(Refusal::TargetFailed, Verdict::MayHaveRun, RETRY);
-    expect_that!(out, contains(eq(&Output::Settle(Fate::MayHaveRun))));
+    expect_that!(out, contains(eq(&Output::Settle(ClaimOutcome::MayHaveRun))));
     assert_that!(out, contains(eq(&Output::Finish(Final::Failed(failure)))));
 }
 
-/// An application's caller loses its link amid the answer. The application
-/// runs out and is settled, so that a resend finds its answer.
+/// The caller of a marked request disconnects during the answer. The request continues to
+/// its end and is settled, so that a resend finds its answer.
 #[gtest]
 fn a_marked_request_outlives_its_caller() {
     covers!(marked_outlives_caller);
@@ -238,33 +239,34 @@
         outlives: true,
         ..marked()
     });
-    run.give(Input::Claimed(ClaimReply::Yours));
+    run.give(Input::Claimed(ClaimReply::Granted));
     run.sent(1);
     expect_that!(run.give(Input::CallerGone), is_empty());
     run.give(head(1, RanOn::Unnamed, None));
     let out = run.give(end(1, true));
     let failure = failure(Refusal::CallerGone, Verdict::Ran, None);
     let end = Output::Finish(Final::Failed(failure));
-    assert_that!(out, eq(&vec![Output::Settle(Fate::Ran), end]));
+    assert_that!(out, eq(&vec![Output::Settle(ClaimOutcome::Ran), end]));
 }
 
-/// A claim is granted after its caller was told that the request did not run.
+/// A claim is granted after its caller was told that the request did not run: the claim
+/// is settled as not run.
 #[gtest]
 fn a_late_claim_is_given_back() {
     covers!(late_claim_given_back);
     let mut run = Run::new(marked());
     run.at(DEADLINE, Input::Wake);
     expect_that!(run.request.is_over(), eq(false));
-    let out = run.at(DEADLINE, Input::Claimed(ClaimReply::Yours));
-    assert_that!(out, eq(&vec![Output::Settle(Fate::NotRun)]));
+    let out = run.at(DEADLINE, Input::Claimed(ClaimReply::Granted));
+    assert_that!(out, eq(&vec![Output::Settle(ClaimOutcome::NotRun)]));
     assert_that!(run.request.is_over(), eq(true));
 }
 
-/// A plain service's answer is passed on as it comes and then cut. Fetched
-/// anew, its beginning would stand twice in what the caller takes for whole.
+/// Guards against fetching an answer again after a part of it was passed on: the caller
+/// would get its beginning twice.
 #[gtest]
 fn bytes_passed_on_are_not_fetched_anew() {
-    covers!(bytes_not_repeated);
+    covers!(raw_not_retried);
     let mut run = Run::new(Start {
         adapter: None,
         ..live()
@@ -277,10 +279,10 @@
     assert_that!(out, contains(eq(&Output::Finish(Final::Broken(failure)))));
 }
 
-/// The connection breaks just after `[DONE]`. The caller has it all; an error
-/// or a second answer after it would spoil what is whole.
+/// Guards against an error or a second answer after `[DONE]`, when the connection breaks
+/// just after it: the caller has the complete answer.
 #[gtest]
-fn a_cut_after_the_end_spoils_nothing() {
+fn a_cut_after_the_end_marker_changes_nothing() {
     covers!(cut_after_the_end);
     let mut run = Run::new(live());
     run.sent(1);
@@ -288,15 +290,15 @@
     run.give(piece(1, Part::Tokens(1)));
     run.give(piece(1, Part::Last));
     let out = run.give(end(1, false));
-    assert_that!(out, eq(&vec![Output::Finish(Final::Whole)]));
+    assert_that!(out, eq(&vec![Output::Finish(Final::Complete)]));
 }
 
-/// Overnight work gives way to urgent work all evening, and engines change
-/// owners in a rolling restart. Neither may use up its attempts.
+/// A batch request is preempted again and again, and its engines change owners in a
+/// rolling restart. Neither may use up its attempts.
 #[gtest]
 fn giving_way_and_moving_are_no_failures() {
-    covers!(preempted_goes_on);
-    covers!(moved_goes_on);
+    covers!(preempted_not_counted);
+    covers!(moved_not_counted);
     let mut run = Run::new(live());
     for no in (1..40).step_by(2) {
         let reasons = [
@@ -325,11 +327,11 @@
     }
 }
 
-/// A long draft breaks again and again, each time further on. It goes on to
-/// its end; without progress, three attempts are all.
+/// A long stream is interrupted again and again, each time further on. It is resumed to
+/// its end; without progress three attempts are the limit.
 #[gtest]
-fn a_stream_that_gets_on_is_not_given_up() {
-    covers!(progress_uses_no_attempt);
+fn a_stream_that_makes_progress_is_not_given_up() {
+    covers!(progress_not_counted);
     let mut run = Run::new(live());
     let mut no = 0;
     for got in 0..20 {
@@ -360,13 +362,13 @@
 const HALF: Duration = Duration::from_millis(500);
 
 base::cases! {
-    /// A claim that is not granted is answered at once, honestly.
+    /// A claim that is not granted is answered at once, with the verdict that is known.
     claims_refused: claim_reply => {
         running: (ClaimReply::Running, Refusal::Duplicate, Verdict::MayHaveRun, RETRY),
         ran: (ClaimReply::Ran { kept: false }, Refusal::Duplicate, Verdict::Ran, None),
-        in_doubt: (ClaimReply::MayHaveRun, Refusal::Duplicate, Verdict::MayHaveRun, None),
+        unknown_outcome: (ClaimReply::MayHaveRun, Refusal::Duplicate, Verdict::MayHaveRun, None),
         too_old: (ClaimReply::TooOld, Refusal::Duplicate, Verdict::MayHaveRun, None),
         other_body: (ClaimReply::OtherBody, Refusal::KeyReused, Verdict::NotRun, None),
-        no_quorum: (ClaimReply::NotNow { retry: HALF }, Refusal::NoQuorum, Verdict::NotRun, Some(HALF)),
+        no_quorum: (ClaimReply::Deferred { retry: HALF }, Refusal::NoQuorum, Verdict::NotRun, Some(HALF)),
     }
 }
--- a/crates/route/benches/decisions.rs
+++ b/crates/route/benches/decisions.rs
@@ -1,5 +1,5 @@
-//! Time of one decision over sizes up to the plan: 48,000 adapters, 600
-//! engines.
+//! Time of one routing or scheduling decision, by size of the fleet. The largest size is
+//! the one that the system is designed for: 48,000 adapters and 600 engines.
 
 use std::hint::black_box;
 
@@ -9,16 +9,17 @@
 };
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use route::{
-    Ask, Engine, Input, News, Ordering, PoolNo, Residents, Router, Scheduler, Target, ZoneNo,
+    Engine, Input, LoadPolicy, PoolNo, RequestSpec, Residents, Router, RouterUpdate, Scheduler,
+    Target, ZoneNo,
 };
 
 /// Adapter slots of an engine.
 const SLOTS: u32 = 8;
 
-/// Places of an engine: so many that no choice of the run fills one.
-const PLACES: u32 = 100_000_000;
+/// Concurrent requests of an engine: so many that no benchmark fills one.
+const CONCURRENCY: u32 = 100_000_000;
 
-/// Adapters and engines: today's, and the plan's in steps.
+/// Numbers of adapters and engines.
 const SIZES: [(u32, u32); 4] = [(3_000, 12), (12_000, 150), (24_000, 300), (48_000, 600)];
 
 fn key(adapter: u32) -> AdapterKey {
@@ -28,8 +29,8 @@
     }
 }
 
-fn ask(adapter: u32) -> Ask {
-    Ask {
+fn spec(adapter: u32) -> RequestSpec {
+    RequestSpec {
         pool: PoolNo(0),
         key: Some(key(adapter)),
         brand: BrandNo(adapter % 3),
@@ -40,13 +41,13 @@
     }
 }
 
-/// A router that knows `adapters` and `engines`, each engine full; the first
-/// adapters are held.
+/// Returns a router with `adapters` adapters and `engines` engines whose slots are all
+/// full; the adapters with the lowest numbers are resident.
 fn router(adapters: u32, engines: u32) -> Router {
     let mut router = Router::new(ZoneNo(0), 1);
     for adapter in (0..adapters).map(AdapterNo) {
         let hash = stable_hash(&[&adapter.0.to_le_bytes()]);
-        router.note(Time::ZERO, News::Adapter { adapter, hash });
+        router.apply(Time::ZERO, RouterUpdate::Adapter { adapter, hash });
     }
     for no in 0..engines {
         let target = Target {
@@ -55,22 +56,22 @@
             zone: ZoneNo(no % 4),
             hash: stable_hash(&[&no.to_le_bytes()]),
             incarnation: Incarnation(1),
-            batch: PLACES,
+            batch: CONCURRENCY,
             slots: SLOTS,
         };
-        router.note(Time::ZERO, News::Target(target));
+        router.apply(Time::ZERO, RouterUpdate::Target(target));
         let held = (0..SLOTS).map(|slot| key(no * SLOTS + slot));
         let residents = Residents {
             target: TargetNo(no),
             fence: Fence(1),
-            whole: true,
+            full: true,
             added: held.collect(),
             removed: Vec::new(),
             running: no % 100,
             queued: 0,
-            worth: no % 50,
+            evict_cost: no % 50,
         };
-        router.note(Time::ZERO, News::Residents(residents));
+        router.apply(Time::ZERO, RouterUpdate::Residents(residents));
     }
     router
 }
@@ -87,7 +88,7 @@
             group.bench_function(id, |b| {
                 b.iter(|| {
                     adapter = if adapter + 1 >= to { from } else { adapter + 1 };
-                    black_box(router.choose(Time::from_millis(5), &ask(adapter), &[]))
+                    black_box(router.choose(Time::from_millis(5), &spec(adapter), &[]))
                 });
             });
         }
@@ -104,8 +105,8 @@
             target: TargetNo(0),
             incarnation: Incarnation(1),
             slots: SLOTS,
-            batch: PLACES,
-            ordering: Ordering::Full,
+            batch: CONCURRENCY,
+            policy: LoadPolicy::Full,
         };
         let owned = Input::Owned {
             engine,
@@ -114,14 +115,14 @@
         };
         scheduler.handle(Time::ZERO, owned, &mut out);
         for ticket in 0..queued {
-            let ask = Ask {
+            let spec = RequestSpec {
                 class: Class::Batch,
-                ..ask(SLOTS + (ticket % 1_000) as u32)
+                ..spec(SLOTS + (ticket % 1_000) as u32)
             };
             let arrive = Input::Arrive {
                 ticket: Ticket(ticket),
                 target: TargetNo(0),
-                ask,
+                spec,
             };
             scheduler.handle(Time::ZERO, arrive, &mut out);
         }
@@ -130,13 +131,13 @@
             b.iter(|| {
                 ticket += 1;
                 out.clear();
-                let (target, ask) = (TargetNo(0), ask((ticket % 8) as u32));
+                let (target, spec) = (TargetNo(0), spec((ticket % 8) as u32));
                 let ticket = Ticket(ticket);
                 let now = Time::from_millis(5);
                 let arrive = Input::Arrive {
                     ticket,
                     target,
-                    ask,
+                    spec,
                 };
                 scheduler.handle(now, arrive, &mut out);
                 scheduler.handle(now, Input::Finished { ticket, ok: true }, &mut out);
--- a/crates/route/src/router/explain.rs
+++ b/crates/route/src/router/explain.rs
@@ -1,91 +1,92 @@
-//! Says why a request goes where it does, by the very functions that choose.
+//! Explains where a request would go, by the same functions that choose the target.
 
 use base::{TargetNo, Time};
 
-use super::{Member, Router, known::Known};
-use crate::Ask;
+use super::{Member, Router, target_state::TargetState};
+use crate::RequestSpec;
 
-/// Where the next request would go, and among what.
+/// The target that a request would be sent to, and all targets considered.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Explanation {
-    /// The target that would be chosen.
+    /// The target that would be chosen; `None` if no target can take the request.
     pub next: Option<TargetNo>,
-    /// All targets of the pool; engines by their rank as the adapter's home.
+    /// All targets of the pool; engines are sorted by their rank as the adapter's home.
     pub candidates: Vec<Candidate>,
 }
 
 /// One target of a pool.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Candidate {
-    /// Its number.
+    /// Number of the target.
     pub target: TargetNo,
-    /// Whether it holds the adapter.
+    /// Whether the adapter is resident on it.
     pub holds: bool,
-    /// Part of its places in use, as far as they count for the class.
+    /// Part of its capacity in use, as far as it counts for the request's class; above
+    /// one, requests queue.
     pub load: f32,
-    /// Whether it may be chosen.
-    pub standing: Standing,
+    /// Whether the target may be chosen.
+    pub eligibility: Eligibility,
 }
 
 /// Whether a target may be chosen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
-    /// It may.
+pub enum Eligibility {
+    /// The target may be chosen.
     Usable,
-    /// It failed too often, and is left out for a while.
-    LeftOut,
-    /// The platform says that it is to stop.
+    /// The target failed too often and is not chosen for a while.
+    Ejected,
+    /// The platform announced that the target will stop.
     Leaving,
-    /// It can't be reached from here.
+    /// The target can't be reached from this instance.
     Unreachable,
 }
 
 impl Router {
-    /// Explains where a request would go, and changes nothing: no demand is
-    /// counted and nothing is drawn, so that looking never moves a request.
-    /// Among plain targets that are equally loaded the choice is drawn; the
-    /// first of them is named here.
+    /// Explains where a request would go, without side effects: neither is demand counted
+    /// nor a random number drawn, so that a query never changes later choices. Among
+    /// equally loaded targets of a plain service [`Router::choose`] picks at random; the
+    /// first of them is returned here.
     #[must_use]
-    pub fn explain(&self, now: Time, ask: &Ask) -> Explanation {
-        let next = match ask.key {
-            Some(key) => self.pick(now, ask, key, &[]),
-            None => self.least_loaded(now, ask.pool, &[], 0.0),
+    pub fn explain(&self, now: Time, spec: &RequestSpec) -> Explanation {
+        let next = match spec.key {
+            Some(key) => self.pick(now, spec, key, &[]),
+            None => self.least_loaded(now, spec.pool, &[], 0.0),
         };
-        let members = self.pools.get(ask.pool.0 as usize);
+        let members = self.pools.get(spec.pool.0 as usize);
         let mut members = members.cloned().unwrap_or_default();
-        if let Some(key) = ask.key {
+        if let Some(key) = spec.key {
             let hash = self.hash(key.adapter);
             members.sort_by_key(|m| std::cmp::Reverse(place::home_rank(hash, m.hash)));
         }
-        let candidates = members.iter().filter_map(|m| self.candidate(now, ask, m));
+        let candidates = members.iter().filter_map(|m| self.candidate(now, spec, m));
         Explanation {
             next,
             candidates: candidates.collect(),
         }
     }
 
-    fn candidate(&self, now: Time, ask: &Ask, member: &Member) -> Option<Candidate> {
-        let known = self.known(member.target)?;
+    fn candidate(&self, now: Time, spec: &RequestSpec, member: &Member) -> Option<Candidate> {
+        let state = self.state(member.target)?;
         Some(Candidate {
             target: member.target,
-            holds: ask.key.is_some_and(|key| known.residents.contains(&key)),
-            load: known.load(now, ask.class, self.begin),
-            standing: known.standing(now),
+            holds: spec.key.is_some_and(|key| state.residents.contains(&key)),
+            load: state.load(now, spec.class, self.first_token),
+            eligibility: state.eligibility(now),
         })
     }
 }
 
-impl Known {
-    fn standing(&self, now: Time) -> Standing {
+impl TargetState {
+    fn eligibility(&self, now: Time) -> Eligibility {
         if self.leaving {
-            return Standing::Leaving;
+            return Eligibility::Leaving;
         }
         if !self.reachable {
-            return Standing::Unreachable;
+            return Eligibility::Unreachable;
         }
-        match self.is_out(now) {
-            true => Standing::LeftOut,
-            false => Standing::Usable,
+        match self.is_ejected(now) {
+            true => Eligibility::Ejected,
+            false => Eligibility::Usable,
         }
     }
 }
--- a/crates/route/src/scheduler.rs
+++ b/crates/route/src/scheduler.rs
@@ -1,4 +1,4 @@
-//! The owner's side: queues before engines, loads and shares.
+//! The owner's scheduler: request queues, loads, and shares of classes and brands.
 
 mod admit;
 mod engines;
@@ -15,12 +15,12 @@
 use place::{Backoff, Budget, Demand};
 
 use crate::{
-    Ask, BrandShare, Input, Output,
-    draw::Draw,
+    BrandShare, Input, Output, RequestSpec,
+    rng::Rng,
     scheduler::{owned::OwnedEngine, queue::Item},
 };
 
-/// All engines that this instance owns, and the requests for them.
+/// The engines that this instance owns, and the requests for them.
 #[derive(Clone, Debug)]
 pub struct Scheduler {
     engines: BTreeMap<TargetNo, OwnedEngine>,
@@ -29,18 +29,18 @@
     budget: Budget,
     backoff: Backoff,
     brands: BTreeMap<BrandNo, Brand>,
-    draw: Draw,
-    /// Seconds that a load takes, measured.
+    rng: Rng,
+    /// Seconds that a load takes: moving average.
     load_secs: f64,
-    /// When each load under way began.
+    /// Start of each load in progress.
     loading: BTreeMap<(TargetNo, base::AdapterKey), Time>,
-    /// What the last look at the wanted loads found.
-    wanted: loads::Wanted,
-    /// Loads since the last one for batch work.
-    since_batch: u32,
-    /// What the text in force no longer names.
+    /// What kept loads from starting at the last check.
+    blocked: loads::Blocked,
+    /// Loads started since the last one for batch requests.
+    loads_since_batch: u32,
+    /// Resident adapter versions that the text in force no longer names.
     retired: BTreeSet<base::AdapterKey>,
-    /// The wake asked for last.
+    /// Time of the last [`Output::Wake`], until it has passed.
     wake: Option<Time>,
 }
 
@@ -48,7 +48,8 @@
 #[derive(Clone, Copy, Debug)]
 struct Request {
     target: TargetNo,
-    ask: Ask,
+    spec: RequestSpec,
+    /// When the request arrived.
     since: Time,
     state: State,
 }
@@ -56,11 +57,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
     Queued,
-    /// Sent to that life of the engine.
+    /// Sent to this incarnation of the engine.
     Sent(base::Incarnation),
 }
 
-/// A brand's weight and figures.
+/// A brand's weight and counters.
 #[derive(Clone, Debug)]
 struct Brand {
     weight: u32,
@@ -68,7 +69,7 @@
 }
 
 impl Scheduler {
-    /// Makes a scheduler without engines; `seed` spreads `Retry-After`.
+    /// Creates a scheduler without engines; `seed` is used to spread `Retry-After`.
     #[must_use]
     pub fn new(seed: u64) -> Self {
         Scheduler {
@@ -78,17 +79,17 @@
             budget: Budget::new(Time::ZERO, 0),
             backoff: Backoff::default(),
             brands: BTreeMap::new(),
-            draw: Draw::new(seed),
+            rng: Rng::new(seed),
             load_secs: loads::LOAD_SECS,
             loading: BTreeMap::new(),
-            wanted: loads::Wanted::default(),
-            since_batch: 0,
+            blocked: loads::Blocked::default(),
+            loads_since_batch: 0,
             retired: BTreeSet::new(),
             wake: None,
         }
     }
 
-    /// Takes in one event.
+    /// Handles one event at `now` and appends the actions that follow to `out`.
     pub fn handle(&mut self, now: Time, input: Input, out: &mut Vec<Output>) {
         if self.wake.is_some_and(|at| at <= now) {
             self.wake = None;
@@ -105,10 +106,10 @@
             Input::Arrive {
                 ticket,
                 target,
-                ask,
-            } => self.arrive(now, ticket, target, ask, out),
+                spec,
+            } => self.arrive(now, ticket, target, spec, out),
             Input::Cancel(ticket) => self.cancel(ticket),
-            Input::Began(_) => {}
+            Input::FirstToken(_) => {}
             Input::Finished { ticket, ok } => self.finished(now, ticket, ok),
             Input::Report {
                 target,
@@ -119,40 +120,42 @@
             Input::Loaded { target, key, end } => self.loaded(now, target, key, end, out),
             Input::Unloaded { target, key, ok } => self.unloaded(now, target, key, ok, out),
             Input::Budget(rate) => self.budget.set_rate(now, rate),
-            Input::Rolled { old, new } => self.rolled(old, new),
+            Input::VersionChanged { old, new } => self.version_changed(old, new),
             Input::Retired(keys) => self.retired(keys),
-            Input::Asked(target) => {
+            Input::ResidentsRequested(target) => {
                 if let Some(owned) = self.engines.get_mut(&target) {
-                    owned.tell_whole(now, out);
+                    owned.publish_full(now, out);
                 }
             }
             Input::Wake => {}
         }
-        self.settle(now, out);
+        self.advance(now, out);
     }
 
-    /// Returns the loads that wait, for this instance's part of the budget.
+    /// Returns the number of adapters waiting to be loaded, by which this instance's part
+    /// of the store's budget is computed.
     #[must_use]
     pub fn loads_wanted(&self) -> u32 {
-        self.count_wants()
+        self.count_waiting()
     }
 
-    /// Returns each brand's share and waits, for `status`.
+    /// Returns each brand's counters, for `status`.
     #[must_use]
     pub fn shares(&self) -> Vec<BrandShare> {
         self.brands.values().map(|b| b.share.clone()).collect()
     }
 
-    /// Does what has become possible: refuses what is late, sends, loads.
-    fn settle(&mut self, now: Time, out: &mut Vec<Output>) {
+    /// Does what has become possible: refuses requests past their deadline, sends
+    /// requests, starts loads, and publishes changes of load.
+    fn advance(&mut self, now: Time, out: &mut Vec<Output>) {
         self.expire(now, out);
         self.send_all(now, out);
         self.unload_retired(now, out);
         self.load(now, out);
         for owned in self.engines.values_mut() {
-            owned.tell_load(now, out);
+            owned.publish_load(now, out);
         }
-        self.ask_wake(now, out);
+        self.request_wake(now, out);
     }
 
     fn arrive(
@@ -160,20 +163,20 @@
         now: Time,
         ticket: Ticket,
         target: TargetNo,
-        ask: Ask,
+        spec: RequestSpec,
         out: &mut Vec<Output>,
     ) {
-        if let Some(key) = ask.key {
-            self.demand.note(now, key.adapter, use_weight(ask.class));
+        if let Some(key) = spec.key {
+            self.demand.note(now, key.adapter, use_weight(spec.class));
         }
-        if let Err(failure) = self.admit(now, target, &ask) {
-            self.brand(ask.brand).share.refused += 1;
+        if let Err(failure) = self.admit(now, target, &spec) {
+            self.brand(spec.brand).share.refused += 1;
             out.push(Output::Refuse { ticket, failure });
             return;
         }
         let request = Request {
             target,
-            ask,
+            spec,
             since: now,
             state: State::Queued,
         };
@@ -190,8 +193,8 @@
             true => owned.queue.push_front(item),
             false => owned.queue.push(item),
         }
-        owned.due[item.class as usize].insert((request.ask.deadline, ticket));
-        owned.count_batch(&item, request.ask.deadline, true);
+        owned.due[item.class as usize].insert((request.spec.deadline, ticket));
+        owned.count_batch(&item, request.spec.deadline, true);
         self.brand(item.brand).share.queued += 1;
     }
 
@@ -199,10 +202,10 @@
         if let Some(owned) = self.engines.get_mut(&request.target) {
             let item = request.item(ticket);
             owned.queue.remove(&item);
-            owned.due[item.class as usize].remove(&(request.ask.deadline, ticket));
-            owned.count_batch(&item, request.ask.deadline, false);
+            owned.due[item.class as usize].remove(&(request.spec.deadline, ticket));
+            owned.count_batch(&item, request.spec.deadline, false);
         }
-        self.brand(request.ask.brand).share.queued -= 1;
+        self.brand(request.spec.brand).share.queued -= 1;
     }
 
     fn cancel(&mut self, ticket: Ticket) {
@@ -216,7 +219,7 @@
         }
         let owned = self.engines.get_mut(&request.target);
         if let Some(sent) = owned.and_then(|b| b.sent.get_mut(&ticket)) {
-            sent.gone = true;
+            sent.caller_gone = true;
         }
     }
 
@@ -224,11 +227,11 @@
         let Some(mut request) = self.requests.remove(&ticket) else {
             return;
         };
-        let State::Sent(life) = request.state else {
+        let State::Sent(incarnation) = request.state else {
             self.dequeue(ticket, &request);
             return;
         };
-        self.brand(request.ask.brand).share.running -= 1;
+        self.brand(request.spec.brand).share.running -= 1;
         let Some(owned) = self.engines.get_mut(&request.target) else {
             return;
         };
@@ -236,19 +239,20 @@
             return;
         };
         owned.running[sent.item.class as usize] -= 1;
-        owned.yielding -= u32::from(sent.yields);
-        // A pin of an earlier life must not be taken off the same adapter
-        // loaded again since: it would look unused under a running request.
-        let slot = request.ask.key.and_then(|key| owned.slots.get_mut(key));
-        if let Some(slot) = slot.filter(|_| life == owned.engine.incarnation) {
+        owned.preempting -= u32::from(sent.preempted);
+        // A request of a former incarnation must not release a pin on the same adapter
+        // loaded again since: the adapter would look unused while a request is running on
+        // it.
+        let slot = request.spec.key.and_then(|key| owned.slots.get_mut(key));
+        if let Some(slot) = slot.filter(|_| incarnation == owned.engine.incarnation) {
             slot.pins = slot.pins.saturating_sub(1);
-            slot.last = now;
+            slot.last_used = now;
         }
-        if ok && !sent.yields {
-            owned.measured(sent.item.tokens, now.since(sent.at));
+        if ok && !sent.preempted {
+            owned.record_speed(sent.item.tokens, now.since(sent.at));
         }
-        owned.count_batch(&sent.item, request.ask.deadline, false);
-        if sent.yields && !sent.gone {
+        owned.count_batch(&sent.item, request.spec.deadline, false);
+        if sent.preempted && !sent.caller_gone {
             request.state = State::Queued;
             self.requests.insert(ticket, request);
             self.enqueue(ticket, &request, true);
@@ -274,11 +278,11 @@
             return;
         };
         self.dequeue(ticket, &request);
-        self.brand(request.ask.brand).share.refused += 1;
+        self.brand(request.spec.brand).share.refused += 1;
         out.push(Output::Refuse { ticket, failure });
     }
 
-    /// Refuses what can no longer be met, instead of holding it.
+    /// Refuses queued requests whose deadline has passed.
     fn expire(&mut self, now: Time, out: &mut Vec<Output>) {
         let mut late = Vec::new();
         for owned in self.engines.values() {
@@ -294,10 +298,10 @@
         }
     }
 
-    fn ask_wake(&mut self, now: Time, out: &mut Vec<Output>) {
+    fn request_wake(&mut self, now: Time, out: &mut Vec<Output>) {
         let due = self.engines.values().flat_map(|b| b.due.iter());
         let due = due.filter_map(|d| d.first().map(|(at, _)| *at)).min();
-        let load = self.wanted.next(now, &self.budget);
+        let load = self.blocked.next(now, &self.budget);
         let Some(at) = due.into_iter().chain(load).min() else {
             return;
         };
@@ -312,17 +316,17 @@
     fn item(&self, ticket: Ticket) -> Item {
         Item {
             ticket,
-            brand: self.ask.brand,
-            key: self.ask.key,
-            class: self.ask.class,
-            tokens: self.ask.tokens.get(),
+            brand: self.spec.brand,
+            key: self.spec.key,
+            class: self.spec.class,
+            tokens: self.spec.tokens.get(),
             since: self.since,
         }
     }
 }
 
-/// How much one use counts for keeping an adapter: batch work can wait for a
-/// load, somebody who watches can't.
+/// Returns the weight of one request in an adapter's usage rate, by which adapters are
+/// kept: batch requests can wait for a load, interactive ones can't.
 fn use_weight(class: Class) -> f32 {
     match class {
         Class::Critical | Class::Live => 1.0,
--- a/crates/route/src/scheduler/admit.rs
+++ b/crates/route/src/scheduler/admit.rs
@@ -1,57 +1,70 @@
-//! Admission: what can't be met is refused at once.
+//! Admission control: requests that can't be served in time are refused at once.
 
 use std::time::Duration;
 
 use base::{BrandNo, Class, Failure, Refusal, TargetNo, Time};
 
 use crate::{
-    Ask,
+    RequestSpec,
     scheduler::{Scheduler, owned::OwnedEngine},
 };
 
-/// Live requests that may wait for one engine, as a multiple of its batch.
-const LIVE_QUEUE: u32 = 8;
+/// Live requests that may queue for one engine, as a multiple of its batch size.
+const LIVE_QUEUE_BATCHES: u32 = 8;
 
-/// Batch requests that may wait for one engine. Bounds memory at some ten
-/// megabytes; a night's screening is spread over engines.
-const BATCH_QUEUE: u32 = 50_000;
+/// Batch requests that may queue for one engine. Bounds memory at about ten megabytes;
+/// large batch jobs are spread over engines.
+const BATCH_QUEUE_MAX: u32 = 50_000;
 
-/// How much longer than estimated a load may take: later requests for another
-/// adapter go first where more of them wait.
+/// Safety factor on the estimated wait for a load: it may take longer, because requests
+/// that arrive later for another adapter go first if more of them wait.
 const LOAD_MARGIN: f64 = 2.0;
 
-/// Longest time that a caller is told to stay away.
-const RETRY_MAX: f64 = 60.0;
+/// Longest `Retry-After` before it is spread, in seconds.
+const RETRY_AFTER_MAX_SECS: f64 = 60.0;
 
 impl Scheduler {
     /// Checks a new request against class, brand and deadline.
     ///
-    /// Guards against an overload that is held instead of turned away: queues
-    /// grow until every answer is late, and all work is done for callers that
-    /// have left. A critical request always passes.
-    pub(super) fn admit(&mut self, now: Time, target: TargetNo, ask: &Ask) -> Result<(), Failure> {
+    /// Guards against queueing during an overload: queues would grow until every answer
+    /// is late, and all work would be done for callers that have left. A critical request
+    /// is refused only where the engine is not owned or its adapter's load is backed off
+    /// beyond the deadline.
+    ///
+    /// # Errors
+    ///
+    /// Fails as `not run` when the request can't be served in time or its brand is over
+    /// its share of the queue.
+    pub(super) fn admit(
+        &mut self,
+        now: Time,
+        target: TargetNo,
+        spec: &RequestSpec,
+    ) -> Result<(), Failure> {
         let Some(owned) = self.engines.get(&target) else {
             return Err(Failure::not_run(Refusal::Unavailable));
         };
-        let backed_off = ask.key.and_then(|key| self.backoff.until(now, target, key));
-        if let Some(until) = backed_off.filter(|until| !self.can_wait(ask, *until)) {
+        let backed_off = spec
+            .key
+            .and_then(|key| self.backoff.until(now, target, key));
+        if let Some(until) = backed_off.filter(|until| !self.can_wait(spec, *until)) {
             let wait = self.retry_after(until.since(now).as_secs_f64());
             return Err(Failure::not_run(Refusal::Unavailable).retry_after(wait));
         }
-        if ask.class == Class::Critical {
+        if spec.class == Class::Critical {
             return Ok(());
         }
-        let secs = self.wait_secs(owned, ask);
-        if self.over_share(owned, ask) {
+        let secs = self.wait_secs(owned, spec);
+        if self.over_share(owned, spec) {
             base::hit!(brand_over_share);
             let wait = self.retry_after(secs);
             return Err(Failure::not_run(Refusal::Overloaded).retry_after(wait));
         }
-        let tail = match ask.class {
-            Class::Batch => owned.run_secs(ask.tokens.get()),
+        let tail = match spec.class {
+            Class::Batch => owned.run_secs(spec.tokens.get()),
             _ => 0.0,
         };
-        if now + Duration::from_secs_f64(secs + tail) > ask.deadline {
+        if now + Duration::from_secs_f64(secs + tail) > spec.deadline {
             base::hit!(deadline_out_of_reach);
             let wait = self.retry_after(secs);
             return Err(Failure::not_run(Refusal::Deadline).retry_after(wait));
@@ -59,53 +72,53 @@
         Ok(())
     }
 
-    /// Draws when to come back: from half to one and a half of `secs`, so
-    /// that callers turned away together don't return together.
+    /// Returns a random `Retry-After` from half to one and a half of `secs`, so that
+    /// callers refused at the same time don't return at the same time.
     pub(super) fn retry_after(&mut self, secs: f64) -> Duration {
-        let wait = secs.clamp(1.0, RETRY_MAX) * (0.5 + self.draw.part());
+        let wait = secs.clamp(1.0, RETRY_AFTER_MAX_SECS) * (0.5 + self.rng.next_f64());
         Duration::from_secs_f64(wait)
     }
 
-    /// Estimates how long a request would wait before being sent.
-    fn wait_secs(&self, owned: &OwnedEngine, ask: &Ask) -> f64 {
-        let ahead: u64 = match ask.class {
+    /// Estimates the seconds that a request would wait before being sent.
+    fn wait_secs(&self, owned: &OwnedEngine, spec: &RequestSpec) -> f64 {
+        let ahead: u64 = match spec.class {
             Class::Batch => Class::ALL.into_iter().map(|c| owned.queue.tokens(c)).sum(),
-            _ => owned.queue.tokens(Class::Critical) + self.ahead_of_brand(owned, ask),
+            _ => owned.queue.tokens(Class::Critical) + self.ahead_of_brand(owned, spec),
         };
         let queue = owned.drain_secs(ahead);
-        let load = match ask.key {
+        let load = match spec.key {
             Some(key) if owned.slots.is_ready(key) => 0.0,
-            Some(key) if owned.slots.has_or_gets(key) => self.load_secs,
-            Some(_) => self.load_wait(ask.class) * LOAD_MARGIN,
+            Some(key) if owned.slots.has_or_loads(key) => self.load_secs,
+            Some(_) => self.load_wait(spec.class) * LOAD_MARGIN,
             _ => 0.0,
         };
         queue.max(load)
     }
 
-    /// Tokens that go before a live request of this brand: never more than
-    /// its own queue stretched by the others' shares.
-    fn ahead_of_brand(&self, owned: &OwnedEngine, ask: &Ask) -> u64 {
-        let (_, own) = owned.queue.of_brand(ask.class, ask.brand);
-        let weight = u64::from(self.weight(ask.brand));
-        let others = self.others_weight(owned, ask.class, ask.brand);
-        let fair = (own + u64::from(ask.tokens.get())) * (weight + others) / weight;
-        fair.min(owned.queue.tokens(ask.class))
+    /// Returns the tokens served before a live request of this brand: at most the brand's
+    /// own queue, scaled by the other brands' weights.
+    fn ahead_of_brand(&self, owned: &OwnedEngine, spec: &RequestSpec) -> u64 {
+        let (_, own) = owned.queue.of_brand(spec.class, spec.brand);
+        let weight = u64::from(self.weight(spec.brand));
+        let others = self.others_weight(owned, spec.class, spec.brand);
+        let fair = (own + u64::from(spec.tokens.get())) * (weight + others) / weight;
+        fair.min(owned.queue.tokens(spec.class))
     }
 
-    /// Returns whether the queue is so long that shares count, and the brand
-    /// has more than its own.
-    fn over_share(&self, owned: &OwnedEngine, ask: &Ask) -> bool {
-        let most = match ask.class {
-            Class::Batch => BATCH_QUEUE,
-            _ => owned.engine.batch * LIVE_QUEUE,
+    /// Returns whether the queue is so long that brands are held to their shares, and the
+    /// brand has used up its own; or whether the queue is full.
+    fn over_share(&self, owned: &OwnedEngine, spec: &RequestSpec) -> bool {
+        let most = match spec.class {
+            Class::Batch => BATCH_QUEUE_MAX,
+            _ => owned.engine.batch * LIVE_QUEUE_BATCHES,
         };
-        let queued = owned.queue.queued(ask.class);
+        let queued = owned.queue.queued(spec.class);
         if queued < most / 2 {
             return false;
         }
-        let (own, _) = owned.queue.of_brand(ask.class, ask.brand);
-        let weight = self.weight(ask.brand);
-        let others = self.others_weight(owned, ask.class, ask.brand);
+        let (own, _) = owned.queue.of_brand(spec.class, spec.brand);
+        let weight = self.weight(spec.brand);
+        let others = self.others_weight(owned, spec.class, spec.brand);
         let part = u64::from(most) * u64::from(weight) / (u64::from(weight) + others);
         u64::from(own) >= part || queued >= most * 2
     }
--- a/crates/route/tests/explain.rs
+++ b/crates/route/tests/explain.rs
@@ -1,11 +1,11 @@
-//! What is said of the choice is what the choice does.
+//! The router's explanation names the target that it would choose, and changes nothing.
 
 use base::{
     AdapterKey, AdapterNo, BrandNo, Class, Fence, Incarnation, TargetNo, Time, Tokens, Version,
     stable_hash,
 };
 use googletest::prelude::*;
-use route::{Ask, News, PoolNo, Residents, Router, Standing, Target, ZoneNo};
+use route::{Eligibility, PoolNo, RequestSpec, Residents, Router, RouterUpdate, Target, ZoneNo};
 
 const ENGINES: u32 = 4;
 const NOW: Time = Time(1_000_000);
@@ -17,8 +17,8 @@
     }
 }
 
-fn ask(adapter: Option<u32>) -> Ask {
-    Ask {
+fn spec(adapter: Option<u32>) -> RequestSpec {
+    RequestSpec {
         pool: PoolNo(u32::from(adapter.is_none())),
         key: adapter.map(key),
         brand: BrandNo(0),
@@ -42,87 +42,86 @@
     }
 }
 
-/// A router with a pool of engines and one of plain targets; engine 2 holds
-/// adapter 0.
+/// Returns a router with a pool of engines and one of plain targets; adapter 0 is
+/// resident on engine 2.
 fn router() -> Router {
     let mut router = Router::new(ZoneNo(0), 7);
     for adapter in 0..2 {
         let hash = stable_hash(&[&[adapter as u8]]);
         let adapter = AdapterNo(adapter);
-        router.note(NOW, News::Adapter { adapter, hash });
+        router.apply(NOW, RouterUpdate::Adapter { adapter, hash });
     }
     for i in 0..2 * ENGINES {
-        router.note(NOW, News::Target(target(i)));
+        router.apply(NOW, RouterUpdate::Target(target(i)));
     }
     let residents = Residents {
         target: TargetNo(2),
         fence: Fence(1),
-        whole: true,
+        full: true,
         added: vec![key(0)],
         removed: Vec::new(),
         running: 0,
         queued: 0,
-        worth: 0,
+        evict_cost: 0,
     };
-    router.note(NOW, News::Residents(residents));
+    router.apply(NOW, RouterUpdate::Residents(residents));
     router
 }
 
 #[test]
-fn the_named_target_is_the_chosen_one() {
-    for (asked, holds) in [(ask(Some(0)), true), (ask(Some(1)), false)] {
+fn the_explained_target_is_the_chosen_one() {
+    for (query, holds) in [(spec(Some(0)), true), (spec(Some(1)), false)] {
         let mut router = router();
-        let seen = router.explain(NOW, &asked);
-        let chosen = router.choose(NOW, &asked, &[]).unwrap();
-        assert_that!(seen.next, some(eq(chosen.target)));
+        let explanation = router.explain(NOW, &query);
+        let chosen = router.choose(NOW, &query, &[]).unwrap();
+        assert_that!(explanation.next, some(eq(chosen.target)));
         assert_that!(chosen.resident, eq(holds));
-        let mut candidates = seen.candidates.iter();
+        let mut candidates = explanation.candidates.iter();
         let next = candidates.find(|c| c.target == chosen.target).unwrap();
         assert_that!(next.holds, eq(holds));
-        assert_that!(seen.candidates.len(), eq(ENGINES as usize));
+        assert_that!(explanation.candidates.len(), eq(ENGINES as usize));
     }
 }
 
-/// An operator looks at a cold adapter again and again. If the question counted
-/// as demand, the adapter would become hot without anybody using it, and push
-/// others out.
+/// Guards against queries counted as demand: an operator who asks about an unused adapter
+/// repeatedly would make it look busy, and it would evict others.
 #[test]
-fn a_question_changes_no_choice() {
-    let (mut asked, mut quiet) = (router(), router());
+fn an_explanation_changes_no_choice() {
+    let (mut explained, mut control) = (router(), router());
     for i in 0..200 {
-        let ask = ask([None, Some(0), Some(1)][i % 3]);
+        let spec = spec([None, Some(0), Some(1)][i % 3]);
         let at = Time(NOW.0 + i as u64 * 10_000);
         for _ in 0..5 {
-            let _ = asked.explain(at, &ask);
+            let _ = explained.explain(at, &spec);
         }
-        let both = [&mut asked, &mut quiet].map(|r| r.choose(at, &ask, &[]).unwrap());
+        let both = [&mut explained, &mut control].map(|r| r.choose(at, &spec, &[]).unwrap());
         assert_that!(both[0], eq(both[1]));
     }
 }
 
 #[test]
-fn what_may_not_be_chosen_says_why() {
+fn a_target_that_may_not_be_chosen_has_a_reason() {
     let mut router = router();
-    router.note(NOW, News::Leaving(TargetNo(2)));
-    router.note(NOW, News::Reachable(TargetNo(1), false));
-    let ended = News::Ended {
+    router.apply(NOW, RouterUpdate::Leaving(TargetNo(2)));
+    router.apply(NOW, RouterUpdate::Reachable(TargetNo(1), false));
+    let ended = RouterUpdate::AttemptEnded {
         target: TargetNo(0),
         ok: false,
     };
     for _ in 0..4 {
-        router.note(NOW, News::Started(TargetNo(0)));
-        router.note(NOW, ended.clone());
+        router.apply(NOW, RouterUpdate::AttemptSent(TargetNo(0)));
+        router.apply(NOW, ended.clone());
     }
-    let seen = router.explain(NOW, &ask(Some(0)));
-    let standing = |no| {
-        let mut candidates = seen.candidates.iter();
+    let explanation = router.explain(NOW, &spec(Some(0)));
+    let eligibility = |no| {
+        let mut candidates = explanation.candidates.iter();
         candidates
             .find(|c| c.target == TargetNo(no))
             .unwrap()
-            .standing
+            .eligibility
     };
-    assert_that!(standing(0), eq(Standing::LeftOut));
-    assert_that!(standing(1), eq(Standing::Unreachable));
-    assert_that!(standing(2), eq(Standing::Leaving));
-    assert_that!(seen.next, some(eq(TargetNo(3))));
+    assert_that!(eligibility(0), eq(Eligibility::Ejected));
+    assert_that!(eligibility(1), eq(Eligibility::Unreachable));
+    assert_that!(eligibility(2), eq(Eligibility::Leaving));
+    assert_that!(explanation.next, some(eq(TargetNo(3))));
 }
--- a/crates/route/tests/router.rs
+++ b/crates/route/tests/router.rs
@@ -1,4 +1,4 @@
-//! The router: its directory, its choice, and the guards of both.
+//! Tests of the router: its directory, its choice of targets, and retry limits.
 
 use std::time::Duration;
 
@@ -7,30 +7,39 @@
     Version, stable_hash,
 };
 use googletest::prelude::*;
-use route::{Ask, Attempts, News, PoolNo, Report, Residents, RetryBudget, Router, Target, ZoneNo};
+use route::{
+    Attempts, PoolNo, Report, RequestSpec, Residents, RetryBudget, Router, RouterUpdate, Target,
+    ZoneNo,
+};
 
 const ENGINES: PoolNo = PoolNo(0);
 const PLAIN: PoolNo = PoolNo(1);
 
-fn target(no: u32, pool: PoolNo, zone: u32, life: u64) -> Target {
+fn target(no: u32, pool: PoolNo, zone: u32, incarnation: u64) -> Target {
     Target {
         target: TargetNo(no),
         pool,
         zone: ZoneNo(zone),
         hash: stable_hash(&[&no.to_le_bytes()]),
-        incarnation: Incarnation(life),
+        incarnation: Incarnation(incarnation),
         batch: 10,
         slots: 2,
     }
 }
 
-/// Four engines 0 to 3 and four plain replicas 10 to 13, in zones 0 and 1; the
-/// router is in zone 0.
+/// Returns a router in zone 0 with four engines, 0 to 3, and four plain replicas, 10 to
+/// 13, in zones 0 and 1.
 fn router() -> Router {
     let mut router = Router::new(ZoneNo(0), 7);
     for i in 0..4 {
-        router.note(Time::ZERO, News::Target(target(i, ENGINES, i % 2, 1)));
-        router.note(Time::ZERO, News::Target(target(10 + i, PLAIN, i % 2, 1)));
+        router.apply(
+            Time::ZERO,
+            RouterUpdate::Target(target(i, ENGINES, i % 2, 1)),
+        );
+        router.apply(
+            Time::ZERO,
+            RouterUpdate::Target(target(10 + i, PLAIN, i % 2, 1)),
+        );
     }
     router
 }
@@ -42,8 +51,8 @@
     }
 }
 
-fn ask(key: Option<AdapterKey>, class: Class) -> Ask {
-    Ask {
+fn spec(key: Option<AdapterKey>, class: Class) -> RequestSpec {
+    RequestSpec {
         pool: if key.is_some() { ENGINES } else { PLAIN },
         key,
         brand: BrandNo(0),
@@ -54,33 +63,34 @@
     }
 }
 
-/// An owner's whole account of an engine.
-fn holds(engine: u32, fence: u64, added: &[AdapterKey], running: u32) -> News {
-    News::Residents(Residents {
+/// Returns an owner's full update of an engine.
+fn residents(engine: u32, fence: u64, added: &[AdapterKey], running: u32) -> RouterUpdate {
+    RouterUpdate::Residents(Residents {
         target: TargetNo(engine),
         fence: Fence(fence),
-        whole: true,
+        full: true,
         added: added.to_vec(),
         removed: Vec::new(),
         running,
         queued: 0,
-        worth: 0,
+        evict_cost: 0,
     })
 }
 
-fn chosen(router: &mut Router, now: u64, ask: &Ask) -> u32 {
+fn chosen(router: &mut Router, now: u64, spec: &RequestSpec) -> u32 {
     router
-        .choose(Time::from_millis(now), ask, &[])
+        .choose(Time::from_millis(now), spec, &[])
         .unwrap()
         .target
         .0
 }
 
-/// Holders with their loads, the class, and the engine expected.
+/// Holders with their running requests, the class, and the engine expected.
 type Row = (&'static [(u32, u32)], Class, u32);
 
 base::cases! {
-    /// Of the holders the fullest with room, the own zone a little better.
+    /// The fullest holder with capacity left is chosen; holders of the own zone get a
+    /// small bonus.
     holder_is_chosen: check_holder => {
         only: (&[(2, 0)], Class::Live, 2),
         fuller: (&[(0, 2), (2, 6)], Class::Live, 2),
@@ -94,10 +104,10 @@
 fn check_holder((holders, class, expected): Row) {
     let mut router = router();
     for (engine, running) in holders {
-        router.note(Time::ZERO, holds(*engine, 1, &[key(5, 1)], *running));
+        router.apply(Time::ZERO, residents(*engine, 1, &[key(5, 1)], *running));
     }
     assert_that!(
-        chosen(&mut router, 0, &ask(Some(key(5, 1)), class)),
+        chosen(&mut router, 0, &spec(Some(key(5, 1)), class)),
         eq(expected)
     );
 }
@@ -105,14 +115,14 @@
 #[test]
 fn a_full_holder_is_left_for_an_engine_that_loads() {
     let mut router = router();
-    router.note(Time::ZERO, holds(3, 1, &[key(5, 1)], 30));
+    router.apply(Time::ZERO, residents(3, 1, &[key(5, 1)], 30));
     let choice = router
-        .choose(Time::ZERO, &ask(Some(key(5, 1)), Class::Live), &[])
+        .choose(Time::ZERO, &spec(Some(key(5, 1)), Class::Live), &[])
         .unwrap();
     assert_that!(choice.target, not(eq(TargetNo(3))));
     assert_that!(choice.resident, eq(false));
-    let patient = ask(Some(key(5, 1)), Class::Batch);
-    assert_that!(chosen(&mut router, 0, &patient), eq(3));
+    let batch = spec(Some(key(5, 1)), Class::Batch);
+    assert_that!(chosen(&mut router, 0, &batch), eq(3));
 }
 
 #[test]
@@ -120,22 +130,26 @@
     let mut one = router();
     let mut other = Router::new(ZoneNo(1), 99);
     for i in (0..4).rev() {
-        other.note(Time::ZERO, News::Target(target(i, ENGINES, i % 2, 1)));
+        other.apply(
+            Time::ZERO,
+            RouterUpdate::Target(target(i, ENGINES, i % 2, 1)),
+        );
     }
     for adapter in 0..50 {
-        let ask = ask(Some(key(adapter, 1)), Class::Live);
-        assert_that!(chosen(&mut other, 0, &ask), eq(chosen(&mut one, 0, &ask)));
+        let spec = spec(Some(key(adapter, 1)), Class::Live);
+        assert_that!(chosen(&mut other, 0, &spec), eq(chosen(&mut one, 0, &spec)));
     }
 }
 
-/// A conversation goes on where its head is cached, while that engine has room.
+/// A request goes to the holder that has its prompt's beginning cached, while that holder
+/// has capacity.
 #[test]
-fn a_cached_prompt_draws_its_conversation() {
+fn a_request_goes_where_its_prefix_is_cached() {
     let mut router = router();
-    router.note(Time::ZERO, holds(0, 1, &[key(5, 1)], 1));
-    router.note(Time::ZERO, holds(2, 1, &[key(5, 1)], 5));
+    router.apply(Time::ZERO, residents(0, 1, &[key(5, 1)], 1));
+    router.apply(Time::ZERO, residents(2, 1, &[key(5, 1)], 5));
     let report = |cached| {
-        News::Report(Report {
+        RouterUpdate::Report(Report {
             target: TargetNo(0),
             incarnation: Incarnation(1),
             taken: Time::ZERO,
@@ -144,46 +158,46 @@
             cached,
         })
     };
-    let ask = Ask {
+    let spec = RequestSpec {
         prefix: 77,
-        ..ask(Some(key(5, 1)), Class::Live)
+        ..spec(Some(key(5, 1)), Class::Live)
     };
-    router.note(Time::ZERO, report(vec![77]));
-    assert_that!(chosen(&mut router, 10, &ask), eq(0));
-    assert_that!(chosen(&mut router, 300_000, &ask), eq(2));
+    router.apply(Time::ZERO, report(vec![77]));
+    assert_that!(chosen(&mut router, 10, &spec), eq(0));
+    assert_that!(chosen(&mut router, 300_000, &spec), eq(2));
 }
 
-/// An owner is cut off and goes on telling what its engine held, while a newer
-/// owner has long loaded something else: requests would go where their adapter
-/// is not loaded.
+/// Guards against updates of a former owner that is cut off from the rest: a newer owner
+/// may have loaded other adapters since, and requests would go where their adapter is not
+/// resident.
 #[test]
-fn news_of_an_old_owner_is_dropped() {
-    base::covers!(old_owner_ignored);
+fn updates_of_a_former_owner_are_dropped() {
+    base::covers!(former_owner_ignored);
     let mut router = router();
-    router.note(Time::ZERO, holds(1, 5, &[key(5, 1)], 0));
-    router.note(Time::ZERO, holds(1, 4, &[key(6, 1)], 0));
-    let choice = router.choose(Time::ZERO, &ask(Some(key(5, 1)), Class::Live), &[]);
+    router.apply(Time::ZERO, residents(1, 5, &[key(5, 1)], 0));
+    router.apply(Time::ZERO, residents(1, 4, &[key(6, 1)], 0));
+    let choice = router.choose(Time::ZERO, &spec(Some(key(5, 1)), Class::Live), &[]);
     assert_that!(choice.unwrap().resident, eq(true));
 }
 
-/// A plain replica restarts; a report of its life before arrives late and says
-/// that it is full. Believed, the empty replica would get nothing.
+/// Guards against a late report of a replica's former incarnation which says that it is
+/// full: the restarted, empty replica would get no requests.
 #[test]
 fn a_report_from_before_a_restart_is_dropped() {
     base::covers!(report_before_restart);
     let mut router = router();
     let now = Time::from_millis(60_000);
     for no in [11, 12, 13] {
-        router.note(now, News::Removed(TargetNo(no)));
+        router.apply(now, RouterUpdate::Removed(TargetNo(no)));
     }
-    router.note(now, News::Target(target(12, PLAIN, 0, 1)));
-    router.note(now, News::Target(target(10, PLAIN, 0, 2)));
+    router.apply(now, RouterUpdate::Target(target(12, PLAIN, 0, 1)));
+    router.apply(now, RouterUpdate::Target(target(10, PLAIN, 0, 2)));
     for _ in 0..5 {
-        router.note(now, News::Started(TargetNo(12)));
+        router.apply(now, RouterUpdate::AttemptSent(TargetNo(12)));
     }
-    router.note(
+    router.apply(
         now,
-        News::Report(Report {
+        RouterUpdate::Report(Report {
             target: TargetNo(10),
             incarnation: Incarnation(1),
             taken: now + Duration::from_millis(1),
@@ -194,58 +208,60 @@
     );
     let later = now.as_millis() + 10_000;
     assert_that!(
-        chosen(&mut router, later, &ask(None, Class::Critical)),
+        chosen(&mut router, later, &spec(None, Class::Critical)),
         eq(10)
     );
 }
 
-/// A replica refuses everything at once, so it looks idle, and the least
-/// loaded choice sends it every request. It is left out, then eased in.
+/// Guards against a replica that fails every request at once and therefore looks idle:
+/// the least loaded choice would send it every request. It is ejected for a while, then
+/// its capacity is ramped up.
 #[test]
-fn a_failing_target_is_eased_out_and_in() {
-    base::covers!(failing_target_out);
+fn a_failing_target_is_ejected_and_ramped_up() {
+    base::covers!(failing_target_ejected);
     let mut router = router();
     for no in [11, 12] {
-        router.note(Time::ZERO, News::Removed(TargetNo(no)));
+        router.apply(Time::ZERO, RouterUpdate::Removed(TargetNo(no)));
     }
-    router.note(Time::ZERO, News::Started(TargetNo(13)));
+    router.apply(Time::ZERO, RouterUpdate::AttemptSent(TargetNo(13)));
     for _ in 0..3 {
-        router.note(Time::ZERO, News::Started(TargetNo(10)));
-        let end = News::Ended {
+        router.apply(Time::ZERO, RouterUpdate::AttemptSent(TargetNo(10)));
+        let end = RouterUpdate::AttemptEnded {
             target: TargetNo(10),
             ok: false,
         };
-        router.note(Time::ZERO, end);
+        router.apply(Time::ZERO, end);
     }
-    let plain = ask(None, Class::Critical);
+    let plain = spec(None, Class::Critical);
     assert_that!(chosen(&mut router, 100, &plain), eq(13));
     assert_that!(chosen(&mut router, 30_000, &plain), eq(10));
 }
 
-/// Every engine fails for a moment, as when the store does. If all were left
-/// out, nobody would be answered until the longest wait was over.
+/// Guards against ejecting all engines, as when the store fails for a moment: no request
+/// would be answered until the longest ejection ended.
 #[test]
-fn never_are_all_targets_left_out() {
-    base::covers!(never_all_out);
+fn not_all_engines_are_ejected() {
+    base::covers!(all_ejected_fallback);
     let mut router = router();
     for no in 0..4 {
         for _ in 0..4 {
-            let end = News::Ended {
+            let end = RouterUpdate::AttemptEnded {
                 target: TargetNo(no),
                 ok: false,
             };
-            router.note(Time::ZERO, end);
+            router.apply(Time::ZERO, end);
         }
     }
     assert_that!(
-        router.choose(Time::ZERO, &ask(Some(key(5, 1)), Class::Live), &[]),
+        router.choose(Time::ZERO, &spec(Some(key(5, 1)), Class::Live), &[]),
         ok(anything())
     );
 }
 
-/// Version 2 is accepted. Sent to it at once, every caller of a hot adapter
-/// would wait for the same load; they stay with version 1 until 2 is loaded
-/// somewhere, but not for longer than a text may take to be in force.
+/// Guards against a stall at a version change: if requests were pinned to version 2 at
+/// once, all callers of a busy adapter would wait for the same load. They stay with
+/// version 1 until version 2 is resident somewhere, but not longer than a text may take
+/// to be in force.
 #[test]
 fn requests_stay_with_the_old_version_until_the_new_one_is_loaded() {
     base::covers!(pinned_to_old_version);
@@ -255,26 +271,26 @@
             .pin(Time::from_millis(ms), AdapterNo(5), Version(2))
             .0
     };
-    router.note(Time::ZERO, holds(1, 1, &[key(5, 1)], 0));
+    router.apply(Time::ZERO, residents(1, 1, &[key(5, 1)], 0));
     assert_that!(pin(&router, 0), eq(2));
-    let rolled = News::Rolled {
+    let rolled = RouterUpdate::VersionChanged {
         old: key(5, 1),
         new: key(5, 2),
     };
-    router.note(Time::ZERO, rolled);
+    router.apply(Time::ZERO, rolled);
     assert_that!(pin(&router, 1_999), eq(1));
     assert_that!(pin(&router, 2_000), eq(2));
-    router.note(Time::ZERO, holds(2, 1, &[key(5, 2)], 0));
+    router.apply(Time::ZERO, residents(2, 1, &[key(5, 2)], 0));
     assert_that!(pin(&router, 10), eq(2));
 }
 
 #[test]
 fn leaving_unreachable_and_avoided_targets_get_nothing() {
     let mut router = router();
-    router.note(Time::ZERO, News::Leaving(TargetNo(10)));
-    router.note(Time::ZERO, News::Reachable(TargetNo(11), false));
-    router.note(Time::ZERO, News::Removed(TargetNo(12)));
-    let plain = ask(None, Class::Critical);
+    router.apply(Time::ZERO, RouterUpdate::Leaving(TargetNo(10)));
+    router.apply(Time::ZERO, RouterUpdate::Reachable(TargetNo(11), false));
+    router.apply(Time::ZERO, RouterUpdate::Removed(TargetNo(12)));
+    let plain = spec(None, Class::Critical);
     assert_that!(chosen(&mut router, 0, &plain), eq(13));
     let failure = router
         .choose(Time::ZERO, &plain, &[TargetNo(13)])
@@ -288,19 +304,20 @@
     let mut router = router();
     let mut zones = Vec::new();
     for _ in 0..10 {
-        let no = chosen(&mut router, 0, &ask(None, Class::Critical));
-        router.note(Time::ZERO, News::Started(TargetNo(no)));
+        let no = chosen(&mut router, 0, &spec(None, Class::Critical));
+        router.apply(Time::ZERO, RouterUpdate::AttemptSent(TargetNo(no)));
         zones.push(no % 2);
     }
-    // Two replicas of the zone take three each, a quarter of their ten places.
+    // Two replicas of the zone take three each; then their load exceeds the margin for
+    // another zone, a quarter of their ten concurrent requests.
     assert_that!(zones[..6], eq(&[0; 6]));
     assert_that!(zones[6..], contains(eq(&1)));
 }
 
-/// A target is down and every failure is repeated: the repeats double the load
-/// of the others, which then fail too.
+/// Guards against retries of every failure while a target is down: they would double the
+/// load of the other targets, which then fail too.
 #[test]
-fn repeats_are_limited_per_target_and_request() {
+fn retries_are_limited_per_target_and_request() {
     base::covers!(retry_budget_spent);
     base::covers!(attempts_capped);
     let mut budget = RetryBudget::new();
