--- a/crates/entryd/src/attempts.rs
+++ b/crates/entryd/src/attempts.rs
@@ -97,9 +97,7 @@
             (Ask::Chat { .. }, Route::Target { address, priority }) => {
                 self.engine(*address, *priority)
             }
-            (Ask::Chat { .. }, Route::Owner { address, patience }) => {
-                self.owner(*address, *patience)
-            }
+            (Ask::Chat { .. }, Route::Owner { address, timeout }) => self.owner(*address, *timeout),
         };
         send.mark = attempt.mark;
         send.limits = limits(attempt);
@@ -152,10 +150,10 @@
         send
     }
 
-    fn owner(&self, address: SocketAddr, patience: Duration) -> Send {
+    fn owner(&self, address: SocketAddr, timeout: Duration) -> Send {
         let mut send = Send::new(address, Method::POST, hops::PATH);
         send.headers = json_headers();
-        hops::write(&mut send.headers, &self.attempt, patience);
+        hops::write(&mut send.headers, &self.attempt, timeout);
         send.body = self.chat_body(|_| {});
         send
     }
@@ -312,12 +310,12 @@
     }
 
     fn end(&mut self, whole: bool) {
-        let kept = self.kept.take().filter(|_| whole).map(|kept| call::Answer {
+        let answer = self.kept.take().filter(|_| whole).map(|kept| call::Answer {
             status: kept.status,
             content: kept.content,
             body: kept.body.to_vec(),
         });
-        self.tell(Progress::End { whole, kept }, None);
+        self.tell(Progress::End { whole, answer }, None);
     }
 
     fn tell(&mut self, progress: Progress, item: Option<Item>) {
@@ -349,12 +347,12 @@
         Class::Critical | Class::Live | Class::Batch => Limits::default().reuse,
     };
     Limits {
-        first: attempt.limit,
+        first: attempt.timeout,
         idle: match attempt.route {
             Route::Owner { .. } => HOP_IDLE,
             Route::Target { .. } => idle(attempt),
         },
-        whole: attempt.limit,
+        whole: attempt.timeout,
         reuse,
         ..Limits::default()
     }
--- a/crates/entryd/src/callers.rs
+++ b/crates/entryd/src/callers.rs
@@ -217,7 +217,7 @@
             service: self.service,
             version: self.version,
             class: self.class,
-            patience: self.patience,
+            timeout: self.patience,
             key,
             body: self.body,
             prefix: self.prefix,
@@ -262,7 +262,7 @@
 impl Drop for Waiting {
     fn drop(&mut self) {
         if !self.done {
-            self.state.tell(Input::Left(self.ticket));
+            self.state.tell(Input::CallerGone(self.ticket));
         }
     }
 }
--- a/crates/entryd/src/events.rs
+++ b/crates/entryd/src/events.rs
@@ -87,7 +87,7 @@
     took: Duration,
 ) {
     let how = match end {
-        OrderEnd::Done | OrderEnd::Already => Load::Done,
+        OrderEnd::Done | OrderEnd::AlreadyLoaded => Load::Done,
         OrderEnd::Fenced => Load::Fenced,
         OrderEnd::Failed | OrderEnd::Unknown => Load::Failed,
     };
--- a/crates/entryd/src/exchange.rs
+++ b/crates/entryd/src/exchange.rs
@@ -175,7 +175,7 @@
         let mut inner = self.lock();
         match end {
             Ending::Whole => inner.write(Step::End),
-            Ending::Kept(answer) => inner.respond(kept(answer)),
+            Ending::Replay(answer) => inner.respond(kept(answer)),
             Ending::Failed(failure) => inner.respond(reply::failure(&failure)),
             Ending::Broken(failure) if self.streams() => {
                 inner.write(Step::Last(sse::error(&failure)));
@@ -253,7 +253,7 @@
         let step = tokio::select! {
             step = steps.recv() => step,
             () = writer.gone() => {
-                state.tell(Input::Left(ticket));
+                state.tell(Input::CallerGone(ticket));
                 return;
             }
         };
@@ -276,7 +276,7 @@
             None => return,
         };
         if wrote.is_err() {
-            state.tell(Input::Left(ticket));
+            state.tell(Input::CallerGone(ticket));
             return;
         }
     }
--- a/crates/entryd/src/hops.rs
+++ b/crates/entryd/src/hops.rs
@@ -77,14 +77,14 @@
 }
 
 /// Writes what the owner has to know into the headers.
-pub(crate) fn write(headers: &mut HeaderMap, attempt: &Attempt, patience: Duration) {
+pub(crate) fn write(headers: &mut HeaderMap, attempt: &Attempt, timeout: Duration) {
     let mut put = |name: &'static str, value: &str| {
         headers.insert(name, header_value(value));
     };
     put(header::TARGET, attempt.target.as_str());
     put(header::BRAND, attempt.brand.as_str());
     put(header::CLASS, attempt.class.as_str());
-    put(header::DEADLINE, &patience.as_millis().to_string());
+    put(header::DEADLINE, &timeout.as_millis().to_string());
     if let Some(resident) = &attempt.resident {
         put(header::ADAPTER, resident.adapter.as_str());
         put(header::VERSION, &resident.version.to_string());
@@ -95,7 +95,7 @@
 }
 
 fn read(headers: &HeaderMap, chat: &Chat, ticket: base::Ticket) -> Option<Hop> {
-    let patience = text(headers, header::DEADLINE)?.parse().ok()?;
+    let timeout = text(headers, header::DEADLINE)?.parse().ok()?;
     let resume = text(headers, header::RESUME_FROM);
     let marked = headers.contains_key(MARKED);
     Some(Hop {
@@ -105,7 +105,7 @@
         adapter: text(headers, header::ADAPTER)?.parse().ok()?,
         version: text(headers, header::VERSION)?.parse().ok()?,
         class: text(headers, header::CLASS)?.parse().ok()?,
-        patience: Duration::from_millis(patience),
+        timeout: Duration::from_millis(timeout),
         prefix: chat.prefix,
         tokens: Tokens(chat.tokens.get()),
         resume: resume.map_or(Some(0), |raw| raw.parse().ok())?,
--- a/crates/entryd/src/outside.rs
+++ b/crates/entryd/src/outside.rs
@@ -68,7 +68,7 @@
     let state = Arc::clone(state);
     tokio::spawn(async move {
         let end = send_order(&state, address, body, fence).await;
-        state.tell(Input::Ordered { order, end });
+        state.tell(Input::OrderEnded { order, end });
     });
 }
 
@@ -102,7 +102,7 @@
     match state.client.send(send).await {
         Ok(answer) => match answer.status.as_u16() {
             200 => OrderEnd::Done,
-            400 if already_loaded(answer).await => OrderEnd::Already,
+            400 if already_loaded(answer).await => OrderEnd::AlreadyLoaded,
             412 => OrderEnd::Fenced,
             _ => OrderEnd::Failed,
         },
--- a/crates/entryd/src/shell.rs
+++ b/crates/entryd/src/shell.rs
@@ -96,12 +96,12 @@
 fn node_settings(settings: &EntrySettings) -> Result<Settings> {
     let identity = &settings.identity;
     let now = SystemTime::now().duration_since(UNIX_EPOCH);
-    let life = now.context("the clock stands before 1970")?.as_micros();
+    let incarnation = now.context("the clock stands before 1970")?.as_micros();
     Ok(Settings {
         name: identity.name.clone(),
         zone: identity.zone.clone(),
-        // A later life has a greater number, also after a restart.
-        life: Incarnation(u64::try_from(life)?),
+        // A later incarnation has a greater number, also after a restart.
+        incarnation: Incarnation(u64::try_from(incarnation)?),
         peer: identity.peer_address,
         controls: settings.controls.clone(),
         seed: settings.seed.unwrap_or_else(|| Seed(rand::random())),
@@ -187,7 +187,7 @@
                     attempts::start(state, exchange, attempt);
                 }
             }
-            Output::Abandon { ticket, attempt } => {
+            Output::Cancel { ticket, attempt } => {
                 if let Some(exchange) = state.exchange(ticket) {
                     exchange.abandon(attempt);
                 }
@@ -214,8 +214,8 @@
                 call,
                 address,
                 body,
-                limit,
-            } => calls::make(state, call, address, body, limit),
+                timeout,
+            } => calls::make(state, call, address, body, timeout),
             Output::Reply { call, body } => state.answer(call, body),
             Output::Check { version, raw } => check(state, version, raw),
             Output::Text {
--- a/crates/kernel/src/lib.rs
+++ b/crates/kernel/src/lib.rs
@@ -46,7 +46,7 @@
 
 impl<M, O> Outbox<M, O> {
     /// Sends `msg` to the service called `to`.
-    pub fn tell(&mut self, to: Name, msg: M) {
+    pub fn send(&mut self, to: Name, msg: M) {
         self.messages.push_back((to, msg));
     }
 
@@ -62,7 +62,7 @@
 pub struct Kernel<S, M, O> {
     services: BTreeMap<Name, Handler<S, M, O>>,
     outbox: Outbox<M, O>,
-    lost: Vec<Name>,
+    undelivered: Vec<Name>,
 }
 
 impl<S, M, O> Default for Kernel<S, M, O> {
@@ -70,7 +70,7 @@
         Kernel {
             services: BTreeMap::new(),
             outbox: Outbox::default(),
-            lost: Vec::new(),
+            undelivered: Vec::new(),
         }
     }
 }
@@ -99,7 +99,7 @@
     ///
     /// Panics when more than [`MESSAGES_MAX`] messages follow from one.
     pub fn run(&mut self, state: &mut S, now: Time, to: Name, msg: M, out: &mut Vec<O>) {
-        self.outbox.tell(to, msg);
+        self.outbox.send(to, msg);
         let mut delivered = 0;
         while let Some((name, msg)) = self.outbox.messages.pop_front() {
             delivered += 1;
@@ -109,14 +109,14 @@
             );
             match self.services.get_mut(&name) {
                 Some(handler) => handler(state, now, msg, &mut self.outbox),
-                None => self.lost.push(name),
+                None => self.undelivered.push(name),
             }
         }
         out.append(&mut self.outbox.outputs);
     }
 
     /// Takes the names that messages were sent to in vain since the last call.
-    pub fn take_lost(&mut self) -> Vec<Name> {
-        std::mem::take(&mut self.lost)
+    pub fn take_undelivered(&mut self) -> Vec<Name> {
+        std::mem::take(&mut self.undelivered)
     }
 }
--- a/crates/kernel/tests/delivery.rs
+++ b/crates/kernel/tests/delivery.rs
@@ -15,12 +15,12 @@
         *seen += 1;
         out.emit(format!("ping {n}"));
         if n > 0 {
-            out.tell(PONG, n - 1);
+            out.send(PONG, n - 1);
         }
     });
     kernel.register(PONG, |_, _, n, out| {
         out.emit(format!("pong {n}"));
-        out.tell(PING, n);
+        out.send(PING, n);
     });
     let (mut seen, mut out) = (0, Vec::new());
     kernel.run(&mut seen, Time::ZERO, PING, 1, &mut out);
@@ -32,6 +32,6 @@
 fn a_message_to_nobody_is_reported() {
     let mut kernel: Kernel<(), u32, ()> = Kernel::default();
     kernel.run(&mut (), Time::ZERO, NOBODY, 1, &mut Vec::new());
-    assert_that!(kernel.take_lost(), elements_are![eq(&NOBODY)]);
-    assert_that!(kernel.take_lost(), is_empty());
+    assert_that!(kernel.take_undelivered(), elements_are![eq(&NOBODY)]);
+    assert_that!(kernel.take_undelivered(), is_empty());
 }
--- a/crates/node/src/beat.rs
+++ b/crates/node/src/beat.rs
@@ -72,7 +72,7 @@
         self.waiting = true;
         self.serial += 1;
         let serial = self.serial;
-        out.tell(
+        out.send(
             ENGINES,
             Msg::SendBeat {
                 serial,
@@ -135,6 +135,6 @@
 
 fn tell_all(reply: BeatReply, out: &mut Out) {
     for name in ALL.into_iter().filter(|name| *name != BEAT) {
-        out.tell(name, Msg::Beat(Box::new(reply.clone())));
+        out.send(name, Msg::Beat(Box::new(reply.clone())));
     }
 }
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -284,7 +284,7 @@
         });
         out.emit(Output::Event(Event::TextInForce(version)));
         for name in ALL {
-            out.tell(name, Msg::TextChanged);
+            out.send(name, Msg::TextChanged);
         }
     }
 
--- a/crates/node/src/engines.rs
+++ b/crates/node/src/engines.rs
@@ -104,7 +104,7 @@
             Msg::Input(Input::Report { poll, report }) => {
                 self.on_report(shared, now, poll, report, out);
             }
-            Msg::Input(Input::Ordered { order, end }) => {
+            Msg::Input(Input::OrderEnded { order, end }) => {
                 self.on_ordered(shared, now, order, end, out);
             }
             Msg::SendBeat {
@@ -166,7 +166,7 @@
         let ready = staying && known.is_some_and(|engine| engine.owned.is_some());
         if !ready {
             let failure = Failure::not_run(Refusal::Moved);
-            out.tell(ENTRY, Msg::Refused { ticket, failure });
+            out.send(ENTRY, Msg::Refused { ticket, failure });
             return;
         }
         if let (Some(key), Some(engine)) = (ask.key, known) {
@@ -228,9 +228,9 @@
             } => return self.send(shared, now, ticket, target, priority, out),
             SchedulerOutput::Refuse { ticket, failure } => {
                 measure::waited(self.waits.refused(now, ticket), out);
-                out.tell(ENTRY, Msg::Refused { ticket, failure });
+                out.send(ENTRY, Msg::Refused { ticket, failure });
             }
-            SchedulerOutput::Preempt(ticket) => out.tell(ENTRY, Msg::GiveWay(ticket)),
+            SchedulerOutput::Preempt(ticket) => out.send(ENTRY, Msg::GiveWay(ticket)),
             SchedulerOutput::Load { target, key } => {
                 return self.load(shared, now, target, key, out);
             }
@@ -280,19 +280,19 @@
             base::hit!(send_without_lease);
             let failure = Failure::not_run(Refusal::Moved);
             self.waits.left(ticket);
-            out.tell(ENTRY, Msg::Refused { ticket, failure });
+            out.send(ENTRY, Msg::Refused { ticket, failure });
             return Some(SchedulerInput::Finished { ticket, ok: true });
         }
         measure::waited(self.waits.sent(now, ticket), out);
-        out.tell(ENTRY, Msg::Turn { ticket, priority });
+        out.send(ENTRY, Msg::Turn { ticket, priority });
         None
     }
 
     /// Tells the scheduler of adapters that were numbered since the last time.
     fn teach(&mut self, shared: &mut Shared, now: Time, out: &mut Out) {
-        for (adapter, hash) in shared.names.take_fresh() {
+        for (adapter, hash) in shared.names.take_new_adapters() {
             self.scheduler(shared, now, SchedulerInput::Adapter { adapter, hash }, out);
-            out.tell(ENTRY, Msg::News(News::Adapter { adapter, hash }));
+            out.send(ENTRY, Msg::News(News::Adapter { adapter, hash }));
         }
     }
 
@@ -363,7 +363,7 @@
         self.retire(shared, now, out);
         for (old, new) in rolled {
             self.scheduler(shared, now, SchedulerInput::Rolled { old, new }, out);
-            out.tell(ENTRY, Msg::News(News::Rolled { old, new }));
+            out.send(ENTRY, Msg::News(News::Rolled { old, new }));
         }
     }
 }
--- a/crates/node/src/engines/confirm.rs
+++ b/crates/node/src/engines/confirm.rs
@@ -39,7 +39,7 @@
         let beat = Beat {
             instance: settings.name.clone(),
             zone: settings.zone.clone(),
-            incarnation: settings.life,
+            incarnation: settings.incarnation,
             peer: settings.peer.to_string(),
             text: shared.version,
             leaving: shared.draining || self.holder.leaving(),
@@ -135,7 +135,7 @@
                 self.hold(shared, now, HolderInput::Handover(handover), out);
                 // Whoever hands over waits for this instance to take the
                 // lease: it asks now rather than with its next beat.
-                out.tell(BEAT, Msg::BeatNow);
+                out.send(BEAT, Msg::BeatNow);
                 Reply::Done
             }
             Call::Residents(news) => {
@@ -173,7 +173,7 @@
         for (name, peer) in self.holder.peers() {
             for (target, fence) in &peer.owns {
                 let target = shared.names.target(target);
-                out.tell(ENTRY, Msg::Owner(target, name.clone(), *fence));
+                out.send(ENTRY, Msg::Owner(target, name.clone(), *fence));
             }
         }
         if shared.peers.len() != before {
--- a/crates/node/src/engines/orders.rs
+++ b/crates/node/src/engines/orders.rs
@@ -149,7 +149,7 @@
             out.emit(Output::Event(Event::Fenced(name.clone(), fence)));
         }
         let fresh = end == OrderEnd::Done;
-        let done = stands && (fresh || end == OrderEnd::Already);
+        let done = stands && (fresh || end == OrderEnd::AlreadyLoaded);
         match sent {
             Sent::Load(target, key, fence, begun) => {
                 self.waits.load_ended(now, (target, key), done);
--- a/crates/node/src/engines/reports.rs
+++ b/crates/node/src/engines/reports.rs
@@ -44,7 +44,7 @@
         let Some(report) = report else {
             if shared.watched.failed(&name, poll.watch).is_ok() {
                 self.note_silent(target, &name, true, out);
-                out.tell(ENTRY, Msg::News(News::Reachable(target, false)));
+                out.send(ENTRY, Msg::News(News::Reachable(target, false)));
             }
             return;
         };
@@ -56,7 +56,7 @@
             return;
         };
         self.note_silent(target, &name, false, out);
-        out.tell(ENTRY, Msg::News(News::Reachable(target, true)));
+        out.send(ENTRY, Msg::News(News::Reachable(target, true)));
         if look == Look::Restarted {
             let input = owner::Input::Restarted {
                 target: name.clone(),
@@ -102,7 +102,7 @@
         engine.held = held.iter().map(|(key, _)| *key).collect();
         self.teach(shared, now, out);
         if new {
-            out.tell(ENTRY, Msg::Life(target, report.incarnation));
+            out.send(ENTRY, Msg::Life(target, report.incarnation));
             self.own(shared, now, target, out);
         } else {
             self.touch(shared, now, target, out);
@@ -116,7 +116,7 @@
             waiting: report.waiting,
             cached: report.cached,
         };
-        out.tell(ENTRY, Msg::News(News::Report(load)));
+        out.send(ENTRY, Msg::News(News::Report(load)));
         let input = SchedulerInput::Report {
             target,
             incarnation: report.incarnation,
--- a/crates/node/src/engines/residents.rs
+++ b/crates/node/src/engines/residents.rs
@@ -58,7 +58,7 @@
             queued: change.queued,
             worth: change.worth,
         };
-        out.tell(ENTRY, Msg::News(News::Residents(news)));
+        out.send(ENTRY, Msg::News(News::Residents(news)));
         self.remember(target, &change);
         let serial = self.serials.entry(target).or_default();
         *serial += 1;
@@ -144,7 +144,7 @@
             worth: news.worth,
         };
         self.teach(shared, now, out);
-        out.tell(ENTRY, Msg::News(News::Residents(residents)));
+        out.send(ENTRY, Msg::News(News::Residents(residents)));
         true
     }
 
--- a/crates/node/src/entry.rs
+++ b/crates/node/src/entry.rs
@@ -82,7 +82,7 @@
         match msg {
             Msg::Input(Input::Arrive(arrival)) => self.arrive(shared, now, arrival, out),
             Msg::Input(Input::Hop(hop)) => self.hops.arrive(shared, now, hop, out),
-            Msg::Input(Input::Left(ticket)) => self.left(shared, now, ticket, out),
+            Msg::Input(Input::CallerGone(ticket)) => self.left(shared, now, ticket, out),
             Msg::Input(Input::Progress {
                 ticket,
                 attempt,
@@ -205,9 +205,9 @@
                 self.note_piece(now, ticket, attempt, part, out);
                 Step::Piece { attempt, part }
             }
-            Progress::End { whole, kept } => {
+            Progress::End { whole, answer } => {
                 if let Some(live) = self.requests.get_mut(&ticket) {
-                    live.kept = kept;
+                    live.kept = answer;
                 }
                 self.end_attempt(now, ticket, attempt, whole, out);
                 Step::End { attempt, whole }
@@ -268,7 +268,7 @@
             let took = now.since(sent.at);
             self.router.note(now, News::Began(sent.target, took));
             if sent.local {
-                out.tell(ENGINES, Msg::Began(ticket));
+                out.send(ENGINES, Msg::Began(ticket));
             }
         }
     }
@@ -291,7 +291,7 @@
         let target = sent.target;
         self.router.note(now, News::Ended { target, ok });
         if sent.local {
-            out.tell(ENGINES, Msg::Ended { ticket, ok });
+            out.send(ENGINES, Msg::Ended { ticket, ok });
         }
     }
 
@@ -309,11 +309,11 @@
             return;
         }
         let Some(live) = self.requests.get_mut(&ticket) else {
-            out.tell(ENGINES, Msg::Ended { ticket, ok: true });
+            out.send(ENGINES, Msg::Ended { ticket, ok: true });
             return;
         };
         let Some(target) = live.queued.take() else {
-            out.tell(ENGINES, Msg::Ended { ticket, ok: true });
+            out.send(ENGINES, Msg::Ended { ticket, ok: true });
             return;
         };
         live.priority = priority;
@@ -366,7 +366,7 @@
         };
         if live.start.mark == Mark::Once {
             // A marked request can't be sent again: it runs out.
-            out.tell(ENGINES, Msg::Dequeue(ticket));
+            out.send(ENGINES, Msg::Dequeue(ticket));
             return;
         }
         let attempt = sent.attempt;
@@ -376,11 +376,11 @@
             reason: Refusal::Preempted,
             retry: None,
         };
-        out.emit(Output::Abandon {
+        out.emit(Output::Cancel {
             ticket,
             attempt: attempt.0,
         });
-        out.tell(ENGINES, Msg::Dequeue(ticket));
+        out.send(ENGINES, Msg::Dequeue(ticket));
         self.end_attempt(now, ticket, attempt, true, out);
         self.step(shared, now, ticket, 0, input, out);
     }
--- a/crates/node/src/entry/hop.rs
+++ b/crates/node/src/entry/hop.rs
@@ -64,7 +64,7 @@
             class: hop.class,
             prefix: hop.prefix,
             tokens: hop.tokens,
-            deadline: now + hop.patience,
+            deadline: now + hop.timeout,
         };
         let passed = Passed {
             hop,
@@ -75,7 +75,7 @@
             headed: false,
         };
         self.passed.insert(ticket, passed);
-        out.tell(
+        out.send(
             ENGINES,
             Msg::Queue {
                 ticket,
@@ -103,7 +103,7 @@
         passed.sent = true;
         if let Some(key) = passed.ask.key {
             let target = passed.target;
-            out.tell(
+            out.send(
                 ENGINES,
                 Msg::Using {
                     ticket,
@@ -129,7 +129,7 @@
             class: hop.class,
             mark: hop.mark,
             resume: hop.resume,
-            limit: passed.ask.deadline.since(now),
+            timeout: passed.ask.deadline.since(now),
         }));
     }
 
@@ -152,7 +152,7 @@
             }
             Progress::Piece(_) => {
                 if !std::mem::replace(&mut passed.began, true) {
-                    out.tell(ENGINES, Msg::Began(ticket));
+                    out.send(ENGINES, Msg::Began(ticket));
                 }
                 out.emit(Output::Flow { ticket, step, flow });
             }
@@ -199,7 +199,7 @@
         };
         if passed.hop.mark == Mark::Once {
             // A marked request can't be sent again: it runs out.
-            out.tell(ENGINES, Msg::Dequeue(ticket));
+            out.send(ENGINES, Msg::Dequeue(ticket));
             return true;
         }
         let failure = Failure {
@@ -208,7 +208,7 @@
             retry: None,
         };
         self.abandon(ticket, out);
-        out.tell(ENGINES, Msg::Dequeue(ticket));
+        out.send(ENGINES, Msg::Dequeue(ticket));
         self.fail(ticket, failure, true, out);
         true
     }
@@ -221,9 +221,9 @@
         if passed.sent {
             self.abandon(ticket, out);
         }
-        out.tell(ENGINES, Msg::Dequeue(ticket));
+        out.send(ENGINES, Msg::Dequeue(ticket));
         if passed.sent {
-            out.tell(ENGINES, Msg::Ended { ticket, ok: true });
+            out.send(ENGINES, Msg::Ended { ticket, ok: true });
         }
         let end = Ending::Failed(Failure::not_run(Refusal::CallerGone));
         out.emit(Output::Finish { ticket, end });
@@ -232,7 +232,7 @@
 
     fn abandon(&self, ticket: Ticket, out: &mut Out) {
         let attempt = ATTEMPT;
-        out.emit(Output::Abandon { ticket, attempt });
+        out.emit(Output::Cancel { ticket, attempt });
     }
 
     fn fail(&mut self, ticket: Ticket, failure: Failure, ok: bool, out: &mut Out) {
@@ -247,7 +247,7 @@
 
     fn end(&mut self, ticket: Ticket, end: Ending, ok: bool, out: &mut Out) {
         self.passed.remove(&ticket);
-        out.tell(ENGINES, Msg::Ended { ticket, ok });
+        out.send(ENGINES, Msg::Ended { ticket, ok });
         out.emit(Output::Finish { ticket, end });
     }
 }
--- a/crates/node/src/entry/live.rs
+++ b/crates/node/src/entry/live.rs
@@ -101,12 +101,12 @@
         let class = arrival
             .class
             .map_or(service.class, |c| c.min(service.class));
-        let patience = arrival.patience.unwrap_or(deadline(&model.limits, class));
+        let timeout = arrival.timeout.unwrap_or(deadline(&model.limits, class));
         let key = resident.as_ref().map(|r| shared.names.key(r));
         let start = Start {
             class,
             mark,
-            deadline: now + patience,
+            deadline: now + timeout,
             stream: arrival.stream,
             resumable: key.is_some() && mark == Mark::Repeatable,
             outlives: key.is_none(),
@@ -120,7 +120,7 @@
             class,
             prefix: arrival.prefix,
             tokens: arrival.tokens,
-            deadline: now + patience,
+            deadline: now + timeout,
         };
         Ok(Live {
             request: Request::default(),
--- a/crates/node/src/entry/ping.rs
+++ b/crates/node/src/entry/ping.rs
@@ -102,7 +102,7 @@
         };
         let (attempt, target) = (sent.attempt, sent.target);
         live.turned_away.push(target);
-        out.emit(Output::Abandon {
+        out.emit(Output::Cancel {
             ticket,
             attempt: attempt.0,
         });
--- a/crates/node/src/entry/place.rs
+++ b/crates/node/src/entry/place.rs
@@ -136,7 +136,7 @@
 
     /// Tells claims of two lives of this instance apart.
     fn attempt_id(&self, shared: &Shared, ticket: Ticket) -> u64 {
-        let life = shared.settings.life.get().to_le_bytes();
+        let life = shared.settings.incarnation.get().to_le_bytes();
         base::stable_hash(&[&life, &ticket.0.to_le_bytes()])
     }
 
@@ -195,7 +195,7 @@
             if owner == Some(&shared.settings.name) {
                 live.queued = Some(target);
                 let ask = live.ask;
-                out.tell(
+                out.send(
                     ENGINES,
                     Msg::Queue {
                         ticket,
@@ -267,16 +267,13 @@
         let Some(info) = shared.targets.get(&target) else {
             return;
         };
-        let limit = live.start.deadline.since(now);
+        let timeout = live.start.deadline.since(now);
         let direct = live.local || live.start.adapter.is_none();
         let passed = self.owners.get(&target).filter(|_| !direct);
         let passed = passed.and_then(|(owner, _)| Some((owner, shared.peers.get(owner)?)));
         let passed = passed.map(|(owner, address)| (owner.clone(), *address));
         let route = match passed {
-            Some((_, address)) => Route::Owner {
-                address,
-                patience: limit,
-            },
+            Some((_, address)) => Route::Owner { address, timeout },
             None => Route::Target {
                 address: info.address,
                 priority: live.priority,
@@ -290,7 +287,7 @@
                 target,
                 key,
             };
-            out.tell(ENGINES, using);
+            out.send(ENGINES, using);
         }
         out.emit(Output::Send(Attempt {
             ticket,
@@ -302,7 +299,7 @@
             class: live.start.class,
             mark: live.start.mark,
             resume,
-            limit,
+            timeout,
         }));
         if let Some(owner) = owner {
             self.watch_owner(shared, now, owner);
@@ -314,11 +311,11 @@
     }
 
     fn cancel(&mut self, now: Time, ticket: Ticket, attempt: AttemptNo, out: &mut Out) {
-        out.emit(Output::Abandon {
+        out.emit(Output::Cancel {
             ticket,
             attempt: attempt.0,
         });
-        out.tell(ENGINES, Msg::Dequeue(ticket));
+        out.send(ENGINES, Msg::Dequeue(ticket));
         self.end_attempt(now, ticket, attempt, true, out);
     }
 
@@ -363,7 +360,7 @@
             return;
         };
         if live.queued.take().is_some() {
-            out.tell(ENGINES, Msg::Dequeue(ticket));
+            out.send(ENGINES, Msg::Dequeue(ticket));
         }
         let failure = match &end {
             Final::Failed(failure) | Final::Broken(failure) => Some(failure.clone()),
@@ -374,7 +371,7 @@
             Final::Failed(failure) => Ending::Failed(failure),
             Final::Broken(failure) => Ending::Broken(failure),
             Final::Replay => match live.replay.take() {
-                Some(answer) => Ending::Kept(answer),
+                Some(answer) => Ending::Replay(answer),
                 None => Ending::Failed(Failure {
                     reason: Refusal::Duplicate,
                     verdict: Verdict::Ran,
--- a/crates/node/src/fleet.rs
+++ b/crates/node/src/fleet.rs
@@ -92,7 +92,7 @@
         for no in gone {
             shared.targets.remove(&no);
             self.lives.remove(&no);
-            out.tell(ENTRY, Msg::News(News::Removed(no)));
+            out.send(ENTRY, Msg::News(News::Removed(no)));
         }
     }
 
@@ -109,7 +109,7 @@
             return;
         };
         if info.listed.state == State::Leaving {
-            out.tell(ENTRY, Msg::News(News::Leaving(no)));
+            out.send(ENTRY, Msg::News(News::Leaving(no)));
             return;
         }
         let (batch, slots) = match info.pool.as_ref().map(|pool| &pool.kind) {
@@ -128,7 +128,7 @@
             batch,
             slots,
         };
-        out.tell(ENTRY, Msg::News(News::Target(target)));
+        out.send(ENTRY, Msg::News(News::Target(target)));
     }
 }
 
@@ -142,6 +142,6 @@
 
 fn tell_all(out: &mut Out) {
     for name in ALL.into_iter().filter(|name| *name != FLEET) {
-        out.tell(name, Msg::FleetChanged);
+        out.send(name, Msg::FleetChanged);
     }
 }
--- a/crates/node/src/io.rs
+++ b/crates/node/src/io.rs
@@ -29,7 +29,7 @@
     /// The class, where the caller asks for a lower one than the service has.
     pub class: Option<Class>,
     /// How long the caller waits, where it says.
-    pub patience: Option<Duration>,
+    pub timeout: Option<Duration>,
     /// Hash of the idempotency key, where there is one.
     pub key: Option<IdempotencyKey>,
     /// Hash of method, path and body.
@@ -68,7 +68,7 @@
     /// How urgent it is.
     pub class: Class,
     /// How long the caller still waits.
-    pub patience: Duration,
+    pub timeout: Duration,
     /// Hash of the head of the prompt.
     pub prefix: u64,
     /// Most tokens of the answer.
@@ -98,7 +98,7 @@
         /// Whether its end was a proper one.
         whole: bool,
         /// A copy of it, where the request is marked and the answer small.
-        kept: Option<Answer>,
+        answer: Option<Answer>,
     },
     /// The attempt came to nothing.
     Failed {
@@ -119,7 +119,7 @@
     /// A request passed on by another entry instance.
     Hop(Hop),
     /// Whoever waited for the request left.
-    Left(Ticket),
+    CallerGone(Ticket),
     /// Something came of an attempt.
     Progress {
         /// The request.
@@ -156,7 +156,7 @@
         report: Option<engine::Report>,
     },
     /// An order to an engine ended.
-    Ordered {
+    OrderEnded {
         /// The order, as in [`Output::Order`].
         order: u64,
         /// How.
@@ -190,7 +190,7 @@
         /// Carried out.
         Done,
         /// The engine held it already; perhaps another owner has loaded it.
-        Already,
+        AlreadyLoaded,
         /// The engine could not.
         Failed,
         /// The engine has seen a greater fencing number.
@@ -224,7 +224,7 @@
         /// Where its peer listener is.
         address: SocketAddr,
         /// How long the caller still waits.
-        patience: Duration,
+        timeout: Duration,
     },
 }
 
@@ -250,7 +250,7 @@
     /// Tokens that the caller has already; the answer goes on after them.
     pub resume: u32,
     /// How long the whole attempt may take.
-    pub limit: Duration,
+    pub timeout: Duration,
 }
 
 /// One thing for the driver to do, in this order.
@@ -259,7 +259,7 @@
     /// Send an attempt.
     Send(Attempt),
     /// Break off an attempt: close its connection.
-    Abandon {
+    Cancel {
         /// The request.
         ticket: Ticket,
         /// The attempt.
@@ -283,7 +283,7 @@
     },
     /// Order an engine.
     Order {
-        /// Names the order in [`Input::Ordered`].
+        /// Names the order in [`Input::OrderEnded`].
         order: u64,
         /// The engine.
         target: TargetName,
@@ -312,7 +312,7 @@
         /// What.
         body: Call,
         /// How long to wait for the reply.
-        limit: Duration,
+        timeout: Duration,
     },
     /// Answer a call.
     Reply {
@@ -368,7 +368,7 @@
     /// The answer was passed on whole.
     Whole,
     /// The first run's answer, for a resend.
-    Kept(Answer),
+    Replay(Answer),
     /// It failed before anything was passed on: this is the answer.
     Failed(Failure),
     /// It failed after a part was passed on: the stream ends with this error.
--- a/crates/node/src/names.rs
+++ b/crates/node/src/names.rs
@@ -129,7 +129,7 @@
 
     /// Takes the adapters numbered since the last call, with the hash of
     /// their names that is equal on every node.
-    pub fn take_fresh(&mut self) -> Vec<(AdapterNo, u64)> {
+    pub fn take_new_adapters(&mut self) -> Vec<(AdapterNo, u64)> {
         let fresh = std::mem::take(&mut self.fresh);
         let hashed = fresh.into_iter().map(|no| {
             let name = self.adapters.name(no.0).as_str();
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -93,7 +93,7 @@
                 self.run(now, CONFIG, Msg::Input(input), out)
             }
             input @ Input::List(_) => self.run(now, FLEET, Msg::Input(input), out),
-            input @ (Input::Report { .. } | Input::Ordered { .. }) => {
+            input @ (Input::Report { .. } | Input::OrderEnded { .. }) => {
                 self.run(now, ENGINES, Msg::Input(input), out);
             }
             input => self.run(now, ENTRY, Msg::Input(input), out),
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -30,7 +30,7 @@
     /// Its availability zone.
     pub zone: ZoneName,
     /// Which life of it.
-    pub life: base::Incarnation,
+    pub incarnation: base::Incarnation,
     /// Its peer listener, as others reach it.
     pub peer: SocketAddr,
     /// The control instances' peer listeners.
@@ -163,7 +163,7 @@
         purpose: Purpose,
         address: SocketAddr,
         body: Call,
-        limit: Duration,
+        timeout: Duration,
         out: &mut Out,
     ) {
         self.next_call += 1;
@@ -173,7 +173,7 @@
             call,
             address,
             body,
-            limit,
+            timeout,
         });
     }
 
--- a/crates/node/tests/node/guards.rs
+++ b/crates/node/tests/node/guards.rs
@@ -277,7 +277,7 @@
     world.mates.clear();
     world.pass(Duration::from_secs(3));
     let from = world.trace.len();
-    world.input(Input::Left(base::Ticket(1)));
+    world.input(Input::CallerGone(base::Ticket(1)));
     world.arrive(2, "letters", None);
     world.pass(Duration::from_secs(5));
     assert_that!(called(&world, from), eq(0));
--- a/crates/node/tests/node/requests.rs
+++ b/crates/node/tests/node/requests.rs
@@ -30,7 +30,7 @@
     base::covers!(deadline_forgotten);
     let mut world = World::serving();
     let ticket = world.arrive(1, "listing", None);
-    world.input(Input::Left(ticket));
+    world.input(Input::CallerGone(ticket));
     assert_that!(world.ended.contains_key(&ticket), eq(true));
 }
 
@@ -261,7 +261,7 @@
     world.pass(Duration::from_secs(3));
     assert_that!(world.held["e-1"], contains(eq("film-live@2")));
     world.fail(&attempt, Refusal::BadRequest);
-    world.input(Input::Left(attempt.ticket));
+    world.input(Input::CallerGone(attempt.ticket));
     world.pass(Duration::from_secs(3));
     assert_that!(world.held["e-1"], not(contains(eq("film-live@2"))));
 }
--- a/crates/node/tests/node/world.rs
+++ b/crates/node/tests/node/world.rs
@@ -150,7 +150,7 @@
         let settings = Settings {
             name: name(ME),
             zone: name("dubrava"),
-            life: Incarnation(1),
+            incarnation: Incarnation(1),
             peer: ([127, 0, 0, 1], 9100).into(),
             controls: controls.into(),
             seed: Seed(1),
@@ -247,7 +247,7 @@
             service: name(service),
             version: None,
             class: None,
-            patience: Some(Duration::from_secs(60)),
+            timeout: Some(Duration::from_secs(60)),
             key: key.map(|key| node::IdempotencyKey {
                 hash: [key; 16],
                 dated: None,
@@ -318,7 +318,7 @@
     pub(crate) fn finish_orders(&mut self) {
         for (order, target, body) in std::mem::take(&mut self.orders) {
             let end = self.order(&target, body);
-            self.input(Input::Ordered { order, end });
+            self.input(Input::OrderEnded { order, end });
         }
     }
 
@@ -340,7 +340,7 @@
                 ..
             } if self.engines => {
                 let end = self.order(&target, body);
-                return Some(Input::Ordered { order, end });
+                return Some(Input::OrderEnded { order, end });
             }
             Output::Order {
                 order,
--- a/crates/quetzalarch/examples/embed.rs
+++ b/crates/quetzalarch/examples/embed.rs
@@ -71,7 +71,7 @@
         let settings = Settings {
             name: "dubrava-1".parse().expect("a name"),
             zone: "dubrava".parse().expect("a name"),
-            life: Incarnation(1),
+            incarnation: Incarnation(1),
             peer: ([127, 0, 0, 1], 7001).into(),
             controls: BTreeMap::from([(
                 "control-1".parse().expect("a name"),
@@ -131,7 +131,7 @@
                     self.loaded.push(resident.to_string());
                 }
                 let end = OrderEnd::Done;
-                self.queue.push_back(Input::Ordered { order, end });
+                self.queue.push_back(Input::OrderEnded { order, end });
             }
             Output::Event(quetzalarch::Event::Owns(engine, fence)) => {
                 println!("owns {engine} under {fence}");
@@ -162,7 +162,7 @@
             Progress::Piece(Part::Tokens(1)),
             Progress::End {
                 whole: true,
-                kept: None,
+                answer: None,
             },
         ];
         for (step, progress) in (1..).zip(steps) {
@@ -240,7 +240,7 @@
         service: "letters".parse().expect("a name"),
         version: None,
         class: None,
-        patience: None,
+        timeout: None,
         key: None,
         body: [0; 16],
         prefix: 0,
--- a/xtask/src/capacity/world.rs
+++ b/xtask/src/capacity/world.rs
@@ -113,7 +113,7 @@
         let settings = Settings {
             name: "instance-0000".parse()?,
             zone: "zone-0".parse()?,
-            life: Incarnation(1),
+            incarnation: Incarnation(1),
             peer: address(100),
             controls: (0..7).map(control).collect::<Result<_>>()?,
             seed: Seed(1),
@@ -176,7 +176,7 @@
             service: adapter.parse()?,
             version: None,
             class: None,
-            patience: Some(Duration::from_secs(60)),
+            timeout: Some(Duration::from_secs(60)),
             key: None,
             body: [0; 16],
             prefix: 0,
@@ -202,7 +202,7 @@
         self.progress(&attempt, Progress::Piece(Part::Last))?;
         let end = Progress::End {
             whole: true,
-            kept: None,
+            answer: None,
         };
         self.progress(&attempt, end)?;
         Ok(true)
@@ -260,7 +260,7 @@
             } => {
                 self.order(target, body);
                 let end = OrderEnd::Done;
-                return Ok(Some(Input::Ordered { order, end }));
+                return Ok(Some(Input::OrderEnded { order, end }));
             }
             Output::Send(attempt) => self.sent.push_back(attempt),
             Output::Finish { .. } => self.ended += 1,
