--- a/crates/node/src/engines.rs
+++ b/crates/node/src/engines.rs
@@ -4,10 +4,10 @@
 //! moment, the scheduler what it should do; nothing reaches an engine unless both
 //! agree.
 
-mod confirm;
+mod calls;
 mod measure;
 mod orders;
-mod own;
+mod ownership;
 mod reports;
 mod residents;
 
--- a/crates/node/src/engines/confirm.rs
+++ b/crates/node/src/engines/calls.rs
@@ -10,7 +10,7 @@
 
 use super::{Engines, residents};
 use crate::{
-    beat::BEAT_LIMIT,
+    heartbeat::BEAT_LIMIT,
     io::Output,
     msg::{BEAT, ENTRY, Msg},
     shared::{Out, Purpose, Shared},
--- a/crates/node/src/entry.rs
+++ b/crates/node/src/entry.rs
@@ -4,9 +4,9 @@
 //! this service finds it a target, gets it claimed, and puts it into the
 //! queue of its engine or passes it on to the engine's owner.
 
+mod active;
 mod explain;
 mod hop;
-mod live;
 mod ping;
 mod place;
 
@@ -23,7 +23,7 @@
     engine::{BadResident, Resident},
 };
 
-use self::{hop::Hops, live::Live};
+use self::{active::Live, hop::Hops};
 use crate::{
     io::{Arrival, Input, Output, Progress},
     msg::{ENGINES, ENTRY, Msg},
@@ -124,7 +124,7 @@
                 self.requests.insert(ticket, live);
                 self.step(shared, now, ticket, 0, Step::Start(start), out);
             }
-            Err(failure) => live::refuse(ticket, failure, out),
+            Err(failure) => active::refuse(ticket, failure, out),
         }
     }
 
--- a/crates/node/src/entry/explain.rs
+++ b/crates/node/src/entry/explain.rs
@@ -9,7 +9,7 @@
     operator::{Asked, Candidate, Explain, Explained, Reason, Standing},
 };
 
-use super::{Entry, live};
+use super::{Entry, active};
 use crate::{
     io::Output,
     shared::{Out, Shared},
@@ -48,7 +48,7 @@
             class: service.class,
             prefix: 0,
             tokens: Tokens(0),
-            deadline: now + live::deadline(&model.limits, service.class),
+            deadline: now + active::deadline(&model.limits, service.class),
         };
         let seen = self.router.explain(now, &ask);
         Some(self.told(shared, (name, service), (resident, serves), &seen))
--- a/crates/node/src/entry/hop.rs
+++ b/crates/node/src/entry/hop.rs
@@ -9,7 +9,7 @@
 use route::Ask;
 use wire::engine::Resident;
 
-use super::live;
+use super::active;
 use crate::{
     io::{Attempt, Ending, Flow, Hop, Output, Progress, Route},
     msg::{ENGINES, Msg},
@@ -50,7 +50,7 @@
         let target = shared.names.target(&hop.target);
         let Some(info) = shared.targets.get(&target) else {
             let failure = Failure::not_run(Refusal::Unavailable);
-            return live::refuse(ticket, failure, out);
+            return active::refuse(ticket, failure, out);
         };
         let pool = info.listed.pool.clone();
         let resident = Resident {
@@ -187,7 +187,7 @@
         if self.passed.remove(&ticket).is_none() {
             return false;
         }
-        live::refuse(ticket, failure.clone(), out);
+        active::refuse(ticket, failure.clone(), out);
         true
     }
 
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -5,11 +5,11 @@
 //! engines, and requests from arrival to final answer. Whoever embeds it
 //! brings clock, sockets and threads.
 
-mod beat;
 mod config;
 mod engines;
 mod entry;
 mod fleet;
+mod heartbeat;
 mod io;
 mod msg;
 mod names;
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -4,11 +4,11 @@
 use kernel::{Kernel, Name};
 
 use crate::{
-    beat::Beat,
     config::Config,
     engines::Engines,
     entry::Entry,
     fleet::Fleet,
+    heartbeat::Beat,
     io::{Input, Output},
     msg::{ALL, BEAT, CONFIG, ENGINES, ENTRY, FLEET, Msg, SERVICES},
     services,
