--- a/crates/node/src/io.rs
+++ b/crates/node/src/io.rs
@@ -1,8 +1,11 @@
-//! What goes into a node and what comes out of it.
+//! The inputs that a [`Node`](crate::Node) takes and the outputs that it
+//! returns.
 //!
-//! Everything that an entry instance does about the world outside passes
-//! here, so an embedding program or a test can hold, reorder or lose any of
-//! it. Numbers (`Ticket`, call, order) are the node's own and never reused.
+//! All communication between an entry instance and other processes goes
+//! through these types, so an embedding program or a test can delay, reorder
+//! or drop any of it. "The driver" is the program that embeds the node.
+//! Identifiers (`Ticket`, call, order, poll) are local to one node and never
+//! reused.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -15,349 +18,365 @@
     engine, platform,
 };
 
-/// A request as a caller sent it, checked as far as transport goes.
+/// A client's request after the driver has parsed and authenticated it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Arrival {
-    /// Its number; the driver counts them up.
+    /// Identifies the request in this node; assigned by the driver in
+    /// ascending order.
     pub ticket: Ticket,
-    /// Whose request it is, from the key.
+    /// Brand that the caller's API key belongs to.
     pub brand: BrandName,
-    /// The brand's service that it asks for.
+    /// Service of the brand that the request is for.
     pub service: ServiceName,
-    /// The adapter's version, where the caller names one.
+    /// Adapter version, if the caller requires a certain one.
     pub version: Option<Version>,
-    /// The class, where the caller asks for a lower one than the service has.
+    /// Priority class, if the caller asks for one; never raises the class of
+    /// the service.
     pub class: Option<Class>,
-    /// How long the caller waits, where it says.
+    /// How long the caller waits, if it says so; otherwise the deadline that
+    /// the configuration text sets for the class applies.
     pub timeout: Option<Duration>,
-    /// Hash of the idempotency key, where there is one.
+    /// Idempotency key, if the request carries one.
     pub key: Option<IdempotencyKey>,
     /// Hash of method, path and body.
     pub body: [u8; 16],
-    /// Hash of the head of the prompt; zero when there is none.
+    /// Hash of the beginning of the prompt, for prefix-cache affinity; zero
+    /// without a prompt.
     pub prefix: u64,
-    /// Most tokens of the answer.
+    /// Upper limit of tokens in the answer.
     pub tokens: Tokens,
-    /// Whether the answer is passed on piece by piece.
+    /// Whether the answer is streamed to the caller.
     pub stream: bool,
 }
 
-/// A caller's idempotency key as far as it travels.
+/// A caller's idempotency key, reduced to what other processes need of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct IdempotencyKey {
     /// Hash of the key.
     pub hash: [u8; 16],
-    /// The key's own date in milliseconds since 1970, where it has one.
+    /// Creation time encoded in the key, in milliseconds since the Unix epoch,
+    /// if it encodes one.
     pub dated: Option<u64>,
 }
 
-/// A request that another entry instance passes on, for an engine that this
-/// instance owns.
+/// A request that another entry instance forwards to this one, the owner of
+/// the engine that it is for.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Hop {
-    /// Its number here; the driver counts them up.
+    /// Identifies the request in this node; shares its numbering with
+    /// [`Arrival::ticket`].
     pub ticket: Ticket,
-    /// The engine that the sender chose.
+    /// Engine that the forwarding instance chose.
     pub target: TargetName,
-    /// Whose request it is.
+    /// Brand of the caller.
     pub brand: BrandName,
-    /// The adapter that it is for.
+    /// Adapter to run on.
     pub adapter: AdapterName,
-    /// The adapter's version.
+    /// Version of the adapter.
     pub version: Version,
-    /// How urgent it is.
+    /// Priority class.
     pub class: Class,
-    /// How long the caller still waits.
+    /// Time left until the request's deadline.
     pub timeout: Duration,
-    /// Hash of the head of the prompt.
+    /// Hash of the beginning of the prompt.
     pub prefix: u64,
-    /// Most tokens of the answer.
+    /// Upper limit of tokens in the answer.
     pub tokens: Tokens,
-    /// Tokens that the caller has already.
+    /// Number of tokens that the caller has already received; the answer
+    /// continues after them.
     pub resume: u32,
-    /// Whether it may be repeated.
+    /// Whether the request may run more than once.
     pub mark: Mark,
 }
 
-/// What became of one attempt, step by step.
+/// One step in the answer to an attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Progress {
-    /// The head of the answer came.
+    /// The response head arrived.
     Head {
         /// HTTP status.
         status: u16,
-        /// What the target says it ran on, where it says so.
+        /// Adapter and version that the target reports having used, if it
+        /// reports them.
         ran: Option<Result<engine::Resident, engine::BadResident>>,
-        /// After which token it says it continues.
+        /// Number of tokens after which the target says it continues.
         resumed: Option<u32>,
     },
-    /// A piece of the answer came.
+    /// A part of the response body arrived.
     Piece(request::Part),
-    /// The answer ended.
+    /// The response body ended.
     End {
-        /// Whether its end was a proper one.
+        /// Whether it is complete, as against cut off.
         whole: bool,
-        /// A copy of it, where the request is marked and the answer small.
+        /// Copy of the answer, if the request has an idempotency key and the
+        /// answer is small enough to be stored.
         answer: Option<Answer>,
     },
-    /// The attempt came to nothing.
+    /// The attempt failed: before a response head, or by an error event in the
+    /// stream. A connection that breaks after the head is an `End`.
     Failed {
-        /// Whether it may have run.
+        /// Whether the request may have run.
         verdict: Verdict,
-        /// Why.
+        /// Why it failed.
         reason: Refusal,
-        /// When to come back, where the target or the next instance said so.
+        /// Delay before a retry, if the target or the owner named one.
         retry: Option<Duration>,
     },
 }
 
-/// One thing that happened.
+/// An event that the driver reports to the node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Input {
-    /// A caller's request.
+    /// A client's request.
     Arrive(Arrival),
-    /// A request passed on by another entry instance.
+    /// A request forwarded by another entry instance.
     Hop(Hop),
-    /// Whoever waited for the request left.
+    /// The client, or the instance that forwarded the request, disconnected.
     CallerGone(Ticket),
-    /// Something came of an attempt.
+    /// The answer to an attempt made progress.
     Progress {
         /// The request.
         ticket: Ticket,
-        /// The attempt, as in [`Output::Send`].
+        /// Number of the attempt, as in [`Output::Send`].
         attempt: u32,
-        /// Names this step in what follows from it; counted by the driver.
+        /// Identifies this step in [`Output::Flow`]; assigned by the driver.
         step: u64,
-        /// What.
+        /// The step.
         progress: Progress,
     },
-    /// The text that was in force when this instance last ran; handed in before
-    /// anything else.
+    /// The text that was in force when this instance last ran, read from
+    /// disk; the first input after a restart.
     Saved {
         /// Its version.
         version: TextVersion,
-        /// What it says.
+        /// Its source.
         text: String,
     },
-    /// A text was checked.
+    /// The check requested by [`Output::Check`] ended.
     Checked {
-        /// Its version, as in [`Output::Check`].
+        /// Version of the text, as in [`Output::Check`].
         version: TextVersion,
-        /// What it says; none where this release can't read it.
+        /// The parsed text; none if this release can't read it.
         model: Option<Arc<text::model::Model>>,
     },
-    /// The platform's list, or that it can't be had.
+    /// The platform's list of targets and instances; none if the platform
+    /// could not be queried.
     List(Option<platform::List>),
-    /// An engine's report, or that it can't be had.
+    /// The answer to [`Output::Poll`].
     Report {
-        /// The question, as in [`Output::Poll`].
+        /// The poll, as in [`Output::Poll`].
         poll: u64,
-        /// What it said.
+        /// The engine's report; none if it did not answer.
         report: Option<engine::Report>,
     },
     /// An order to an engine ended.
     OrderEnded {
         /// The order, as in [`Output::Order`].
         order: u64,
-        /// How.
+        /// Its result.
         end: OrderEnd,
     },
-    /// A call ended.
+    /// A call to another process ended.
     Replied {
         /// The call, as in [`Output::Call`].
         call: u64,
-        /// The reply, or whether the callee may have carried it out.
+        /// The reply, or without one whether the callee may have carried out
+        /// the call.
         reply: Result<Reply, Verdict>,
     },
-    /// Another process calls.
+    /// Another process calls this one.
     Called {
-        /// Names the call in [`Output::Reply`].
+        /// Identifies the call in [`Output::Reply`].
         call: u64,
-        /// Who.
+        /// The calling instance.
         from: InstanceName,
-        /// What.
+        /// The call.
         body: Call,
     },
-    /// This process is to stop in order.
+    /// This process is to shut down gracefully.
     Drain,
-    /// The time asked for has come.
+    /// The time requested by [`Output::Wake`] has come.
     Wake,
 }
 
 base::value! {
-    /// How an order to an engine ended.
+    /// The result of an order to an engine.
     pub enum OrderEnd {
         /// Carried out.
         Done,
-        /// The engine held it already; perhaps another owner has loaded it.
+        /// The adapter was resident before; another owner may have loaded it.
         AlreadyLoaded,
-        /// The engine could not.
+        /// The engine failed to carry it out.
         Failed,
-        /// The engine has seen a greater fencing number.
+        /// Refused, because the engine has seen a greater fencing number.
         Fenced,
-        /// Nobody can tell; the next report will.
+        /// Unknown outcome; the engine's next report shows it.
         Unknown,
     }
 }
 
-/// What an order tells an engine.
+/// A command to an engine to load or unload an adapter.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Order {
-    /// Load an adapter's version from this path of the weight store.
+    /// Load a version of an adapter from this path in the weight store.
     Load(engine::Resident, String),
-    /// Unload it.
+    /// Unload a version of an adapter.
     Unload(engine::Resident),
 }
 
-/// Where an attempt goes.
+/// Where an attempt is sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Route {
     /// To the target itself.
     Target {
-        /// Where it listens.
+        /// Address of the target's listener.
         address: SocketAddr,
-        /// Smaller is sooner, for the engine's own queue.
+        /// Priority in the engine's own queue; smaller runs sooner.
         priority: i32,
     },
     /// To the entry instance that owns the target.
     Owner {
-        /// Where its peer listener is.
+        /// Address of its peer listener.
         address: SocketAddr,
-        /// How long the caller still waits.
+        /// Time left until the request's deadline.
         timeout: Duration,
     },
 }
 
-/// One attempt to send.
+/// One attempt to have a target answer a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Attempt {
     /// The request.
     pub ticket: Ticket,
-    /// Counts the attempts of one request.
+    /// Number of the attempt within the request, from 1.
     pub attempt: u32,
-    /// The target.
+    /// Target that is to answer.
     pub target: TargetName,
-    /// Where to send it.
+    /// Where to send the attempt.
     pub route: Route,
-    /// What it is for; none for a plain service.
+    /// Adapter to run on; none for a plain service.
     pub resident: Option<engine::Resident>,
-    /// Whose request it is.
+    /// Brand of the caller.
     pub brand: BrandName,
-    /// How urgent it is.
+    /// Priority class.
     pub class: Class,
-    /// Whether it may be repeated.
+    /// Whether the request may run more than once.
     pub mark: Mark,
-    /// Tokens that the caller has already; the answer goes on after them.
+    /// Number of tokens that the caller has already received; the answer
+    /// continues after them.
     pub resume: u32,
-    /// How long the whole attempt may take.
+    /// Time limit for the whole attempt.
     pub timeout: Duration,
 }
 
-/// One thing for the driver to do, in this order.
+/// An action for the driver to carry out, in the order of the outputs.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Output {
     /// Send an attempt.
     Send(Attempt),
-    /// Break off an attempt: close its connection.
+    /// Cancel an attempt by closing its connection.
     Cancel {
         /// The request.
         ticket: Ticket,
-        /// The attempt.
+        /// Number of the attempt.
         attempt: u32,
     },
-    /// Do something with the head or piece of a step.
+    /// Pass on, hold back or drop the response head or body part that an
+    /// [`Input::Progress`] reported.
     Flow {
         /// The request.
         ticket: Ticket,
-        /// The step; what no output names is not for the caller.
+        /// The step, as in [`Input::Progress`]. The data of a step that no
+        /// output names is never sent to the caller.
         step: u64,
         /// What to do.
         flow: Flow,
     },
-    /// The request is over: its last answer, at once.
+    /// End the request: send the caller whatever [`Ending`] says.
     Finish {
         /// The request.
         ticket: Ticket,
         /// How it ended.
         end: Ending,
     },
-    /// Order an engine.
+    /// Send an order to an engine.
     Order {
-        /// Names the order in [`Input::OrderEnded`].
+        /// Identifies the order in [`Input::OrderEnded`].
         order: u64,
         /// The engine.
         target: TargetName,
-        /// Where it listens.
+        /// Address of the engine's listener.
         address: SocketAddr,
-        /// What.
+        /// The order.
         body: Order,
-        /// The fencing number.
+        /// Fencing number under which this instance owns the engine.
         fence: Fence,
     },
     /// Ask an engine for its report.
     Poll {
-        /// Names the question in [`Input::Report`].
+        /// Identifies the poll in [`Input::Report`].
         poll: u64,
         /// The engine.
         target: TargetName,
-        /// Where it listens.
+        /// Address of the engine's listener.
         address: SocketAddr,
     },
     /// Call another process.
     Call {
-        /// Names the call in [`Input::Replied`].
+        /// Identifies the call in [`Input::Replied`].
         call: u64,
-        /// Where its peer listener is.
+        /// Address of the callee's peer listener.
         address: SocketAddr,
-        /// What.
+        /// The call.
         body: Call,
         /// How long to wait for the reply.
         timeout: Duration,
     },
-    /// Answer a call.
+    /// Reply to a call from another process.
     Reply {
-        /// The call.
+        /// The call, as in [`Input::Called`].
         call: u64,
-        /// With what.
+        /// The reply.
         body: Reply,
     },
-    /// Check a text, which may take a fifth of a second, beside everything
-    /// else, and hand in [`Input::Checked`].
+    /// Parse and check a text, then report [`Input::Checked`]. Has to run in
+    /// the background, as it may take a fifth of a second.
     Check {
         /// Its version.
         version: TextVersion,
-        /// What it says.
+        /// Its source.
         raw: Arc<str>,
     },
     /// Another text is in force.
     Text {
         /// Its version.
         version: TextVersion,
-        /// What it says.
+        /// The parsed text.
         model: Arc<text::model::Model>,
-        /// As it was written, for the next start.
+        /// Its source, to be saved for [`Input::Saved`].
         raw: Arc<str>,
     },
-    /// Whether the balancer should send requests here.
+    /// Whether the load balancer should send requests to this instance.
     Ready(bool),
-    /// Everything is handed over and nothing runs: the process may end.
+    /// Shutdown is complete, no request runs: the process may exit.
     Drained,
-    /// Something that an operator may want to know.
+    /// Write a log line or update a metric.
     Event(Event),
-    /// Call with [`Input::Wake`] at this moment; replaces the last one.
+    /// Hand in [`Input::Wake`] at this time; replaces the time set before.
     Wake(Time),
 }
 
 base::value! {
-    /// What to do with a head or piece, or with those held back.
+    /// What to do with a response head or body part, or with all that are
+    /// held back.
     pub enum Flow {
         /// Pass it to the caller.
         Pass,
-        /// Keep it until the answer is whole.
+        /// Hold it back until the answer is complete.
         Hold,
-        /// Forget what was held.
+        /// Discard all that is held back.
         Drop,
-        /// Give the caller all that was held.
+        /// Pass all that is held back to the caller.
         Release,
     }
 }
@@ -365,106 +384,109 @@
 /// How a request ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Ending {
-    /// The answer was passed on whole.
+    /// The complete answer was passed on.
     Whole,
-    /// The first run's answer, for a resend.
+    /// Same idempotency key as an earlier request: the stored answer of that
+    /// request is sent.
     Replay(Answer),
-    /// It failed before anything was passed on: this is the answer.
+    /// It failed before anything was passed on: this error is the answer.
     Failed(Failure),
     /// It failed after a part was passed on: the stream ends with this error.
     Broken(Failure),
 }
 
-/// Something that an operator may want to know.
+/// An occurrence for the operators' log or a metric.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// A newer text came that this build can't read; the old one stays.
+    /// This build can't read a newer text; the one in force stays.
     BadText(TextVersion),
     /// A newer text is in force.
     TextInForce(TextVersion),
-    /// So many services of a brand came up, and so many wait for a target or
-    /// for a service that they need.
+    /// Services of a brand came up, or still wait for a live target or for a
+    /// service that they depend on.
     Services {
-        /// Whose.
+        /// The brand.
         brand: BrandName,
-        /// How many came up.
+        /// Number of services that just came up.
         up: usize,
-        /// How many wait.
+        /// Number of services that still wait.
         waiting: usize,
     },
-    /// This instance owns an engine.
+    /// This instance holds a lease on an engine.
     Owns(TargetName, Fence),
-    /// This instance lost an engine, or its lease ran out.
+    /// This instance no longer owns an engine.
     Lost(TargetName),
-    /// The lease on an engine ran out, and nobody could confirm it.
+    /// The lease on an engine expired without a leader to renew it; this
+    /// instance goes on serving the engine with restrictions.
     Restricted(TargetName, Fence),
-    /// An engine does not answer (`true`), or does again (`false`).
+    /// An engine stopped answering polls (`true`), or answers again (`false`).
     EngineSilent(TargetName, bool),
-    /// The platform calls an engine owned here leaving.
+    /// The platform lists an engine owned here as leaving.
     EngineLeaving(TargetName),
-    /// An engine came back empty.
+    /// An engine restarted and lost its resident adapters.
     EngineRestarted(TargetName),
     /// An engine refused an order under an old fencing number.
     Fenced(TargetName, Fence),
-    /// A load failed.
+    /// An adapter could not be loaded.
     LoadFailed(TargetName, engine::Resident),
-    /// An answer named another adapter or version and was stopped.
+    /// An answer that reported another adapter or version was stopped.
     WrongAdapter(TargetName),
-    /// A request waited for its adapter to be loaded, for so long; zero where
-    /// the engine held it.
+    /// Time that a request waited for its adapter to be loaded; zero if the
+    /// adapter was resident.
     Stalled(Class, Duration),
-    /// A request waited for a place at an engine, for so long beside that.
+    /// Time that a request waited for a free place in an engine's batch, not
+    /// counting the time in [`Event::Stalled`].
     Queued(Class, Duration),
-    /// An engine said how much of its batch is in use.
+    /// Use of an engine's batch, from its report.
     Batch {
-        /// Its pool.
+        /// Pool of the engine.
         pool: PoolName,
         /// Requests in the batch.
         running: u32,
-        /// Requests that fit.
+        /// Capacity of the batch, in requests.
         places: u32,
     },
     /// An order to load ended.
     Loaded {
         /// The engine.
         target: TargetName,
-        /// Its pool.
+        /// Pool of the engine.
         pool: PoolName,
-        /// What was to be loaded.
+        /// Adapter that was to be loaded.
         resident: engine::Resident,
-        /// How it ended.
+        /// Result of the order.
         end: OrderEnd,
-        /// How long it took.
+        /// Time from sending the order to its end.
         took: Duration,
     },
-    /// An adapter that nobody uses was unloaded.
+    /// An unused adapter was unloaded.
     Unloaded(TargetName, engine::Resident),
-    /// The tokens of an answer came.
+    /// An answer's tokens arrived; reported once, when the request ends.
     Streamed {
-        /// Whose.
+        /// Brand of the caller.
         brand: BrandName,
-        /// How urgent.
+        /// Priority class.
         class: Class,
-        /// Tokens.
+        /// Number of tokens.
         tokens: u32,
-        /// From the request's arrival to the first of them.
+        /// Time from the request's arrival to the first token.
         first: Duration,
-        /// From the first to the last.
+        /// Time from the first to the last token.
         rest: Duration,
     },
     /// A request ended.
     Ended {
-        /// Whose.
+        /// Brand of the caller.
         brand: BrandName,
-        /// How urgent.
+        /// Priority class.
         class: Class,
-        /// Why it failed, where it did.
+        /// The error, if it failed.
         failure: Option<Failure>,
-        /// From arrival to the end.
+        /// Time from arrival to the end.
         took: Duration,
     },
-    /// No control instance that leads answers.
+    /// The leader of the control instances stopped answering heartbeats.
     LeaderSilent,
-    /// A control instance that leads answers again.
+    /// The leader answers heartbeats again.
     LeaderBack,
 }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,9 +1,10 @@
-//! One node of the system as one plain value.
+//! The decisions of one entry instance as a deterministic state machine
+//! without I/O.
 //!
-//! [`Node`] joins the deciding services of an entry instance behind the
-//! micro-kernel: the text in force, the platform's list, heartbeats, owned
-//! engines, and requests from arrival to final answer. Whoever embeds it
-//! brings clock, sockets and threads.
+//! [`Node`] combines the services of an entry instance, which exchange
+//! messages through the [`kernel`]: the text in force, the platform's list of
+//! targets and instances, heartbeats, owned engines, and requests from arrival
+//! to final answer. The embedding program provides clock, sockets and threads.
 
 mod config;
 mod engines;
--- a/crates/node/src/msg.rs
+++ b/crates/node/src/msg.rs
@@ -1,4 +1,4 @@
-//! Messages between the services of one node, and the services' names.
+//! Messages between the services of one node, and the names of the services.
 
 use std::net::SocketAddr;
 
@@ -9,80 +9,80 @@
 
 use crate::{io::Input, shared::Purpose};
 
-/// Keeps the newest text in force.
+/// Keeps the newest accepted text in force.
 pub(crate) const CONFIG: Name = Name("config");
-/// Keeps the platform's list, targets and peers.
+/// Maintains the targets and peers from the platform's list.
 pub(crate) const FLEET: Name = Name("fleet");
-/// Brings services up in the order of their dependencies.
+/// Starts the services of the text in the order of their dependencies.
 pub(crate) const SERVICES: Name = Name("services");
-/// Sends heartbeats and finds the leader.
-pub(crate) const BEAT: Name = Name("beat");
-/// Holds leases, queues before owned engines, orders them.
+/// Sends heartbeats and tracks the leader.
+pub(crate) const HEARTBEAT: Name = Name("heartbeat");
+/// Owns engines: holds their leases, queues their requests, sends them orders.
 pub(crate) const ENGINES: Name = Name("engines");
-/// Takes requests from arrival to final answer.
+/// Handles requests from arrival to final answer.
 pub(crate) const ENTRY: Name = Name("entry");
 
-/// All services, in the order in which each hears what all hear.
-pub(crate) const ALL: [Name; 6] = [CONFIG, FLEET, SERVICES, BEAT, ENGINES, ENTRY];
+/// All services, in the order in which they receive broadcast messages.
+pub(crate) const ALL: [Name; 6] = [CONFIG, FLEET, SERVICES, HEARTBEAT, ENGINES, ENTRY];
 
 /// A message to a service.
 #[derive(Debug)]
 pub(crate) enum Msg {
-    /// Something from outside.
+    /// An input of the node.
     Input(Input),
-    /// A call of this service's ended.
+    /// A call that this service made ended.
     Replied {
         purpose: Purpose,
         reply: Result<Reply, Verdict>,
     },
     /// Another process calls.
     Called { call: u64, body: Call },
-    /// The time asked for has come.
+    /// The time requested with `Shared::wake` has come.
     Wake,
     /// Another text is in force.
     TextChanged,
     /// Targets or peers changed.
     FleetChanged,
     /// The leader answered a heartbeat.
-    Beat(Box<BeatReply>),
-    /// A heartbeat is due at once rather than in its time.
-    BeatNow,
-    /// A heartbeat is to be filled in and sent.
-    SendBeat {
+    HeartbeatReply(Box<BeatReply>),
+    /// Send a heartbeat at once instead of at the end of the interval.
+    HeartbeatNow,
+    /// Build a heartbeat and send it to a control instance.
+    SendHeartbeat {
         serial: u64,
         control: InstanceName,
         address: SocketAddr,
     },
-    /// This process is to stop.
+    /// This process is to shut down gracefully.
     Drain,
-    /// For the router's directory.
-    News(News),
-    /// Who owns an engine, by the leader's roster.
+    /// An update of the router's directory of targets and adapters.
+    TargetUpdate(News),
+    /// An engine's owner and its fencing number, from the leader's roster.
     Owner(TargetNo, InstanceName, Fence),
-    /// A request was sent to an engine owned here and uses this.
+    /// A request that uses this adapter was sent to an engine owned here.
     Using {
         ticket: Ticket,
         target: TargetNo,
         key: AdapterKey,
     },
-    /// An engine's life was seen.
-    Life(TargetNo, Incarnation),
-    /// A request for an engine owned here.
+    /// The current incarnation of an engine, from its report.
+    Incarnation(TargetNo, Incarnation),
+    /// Queue a request for an engine owned here.
     Queue {
         ticket: Ticket,
         target: TargetNo,
         ask: Ask,
     },
-    /// The request needs no place any more.
+    /// Remove the request from its engine's queue or batch.
     Dequeue(Ticket),
-    /// The first piece of its answer came.
+    /// The first part of the response body arrived.
     Began(Ticket),
-    /// Its attempt at the engine ended.
+    /// The attempt at the engine ended; `ok` is false if the engine failed.
     Ended { ticket: Ticket, ok: bool },
-    /// Its turn has come.
-    Turn { ticket: Ticket, priority: i32 },
-    /// It was turned away before it was sent.
+    /// The request left the queue and is to be sent to the engine now.
+    Dispatch { ticket: Ticket, priority: i32 },
+    /// The engine's queue refused the request; it has not been sent.
     Refused { ticket: Ticket, failure: Failure },
-    /// It has to give way to more urgent work.
-    GiveWay(Ticket),
+    /// Cancel the running batch request in favour of more urgent work.
+    Preempt(Ticket),
 }
--- a/crates/node/src/names.rs
+++ b/crates/node/src/names.rs
@@ -1,4 +1,5 @@
-//! Numbers for names, given once and never to another name.
+//! Interns names as small numbers, so that routing tables are indexed by
+//! number. A number is never reused for another name.
 
 use std::{collections::HashMap, hash::Hash};
 
@@ -9,27 +10,27 @@
 use route::{PoolNo, ZoneNo};
 use wire::engine::Resident;
 
-/// Numbers names of one kind from zero, without holes.
+/// Interns names of one kind as consecutive numbers from zero.
 ///
-/// The map is only ever asked for one name; nothing walks it, so its order
-/// reaches no decision.
+/// The hash map is only used for look-ups and never iterated over, so its
+/// random order can't make the node's decisions differ between runs.
 #[derive(Clone, Debug)]
-struct Table<N> {
+struct Interner<N> {
     numbers: HashMap<N, u32>,
     names: Vec<N>,
 }
 
-impl<N> Default for Table<N> {
+impl<N> Default for Interner<N> {
     fn default() -> Self {
-        Table {
+        Interner {
             numbers: HashMap::new(),
             names: Vec::new(),
         }
     }
 }
 
-impl<N: Clone + Eq + Hash> Table<N> {
-    /// Returns the number of `name` and whether it is new.
+impl<N: Clone + Eq + Hash> Interner<N> {
+    /// Returns the number of `name`, and whether it was assigned just now.
     fn intern(&mut self, name: &N) -> (u32, bool) {
         if let Some(no) = self.numbers.get(name) {
             return (*no, false);
@@ -45,28 +46,28 @@
     }
 }
 
-/// All numbers of one node.
+/// The interned names of one node.
 #[derive(Clone, Debug, Default)]
 pub struct Names {
-    adapters: Table<AdapterName>,
-    brands: Table<BrandName>,
-    targets: Table<TargetName>,
-    pools: Table<PoolName>,
-    zones: Table<ZoneName>,
-    fresh: Vec<AdapterNo>,
+    adapters: Interner<AdapterName>,
+    brands: Interner<BrandName>,
+    targets: Interner<TargetName>,
+    pools: Interner<PoolName>,
+    zones: Interner<ZoneName>,
+    new_adapters: Vec<AdapterNo>,
 }
 
 impl Names {
-    /// Returns an adapter's number.
+    /// Returns an adapter's number, assigning one if it is new.
     pub fn adapter(&mut self, name: &AdapterName) -> AdapterNo {
         let (no, new) = self.adapters.intern(name);
         if new {
-            self.fresh.push(AdapterNo(no));
+            self.new_adapters.push(AdapterNo(no));
         }
         AdapterNo(no)
     }
 
-    /// Returns the number of one version of an adapter.
+    /// Returns the key of one version of an adapter.
     pub fn key(&mut self, resident: &Resident) -> AdapterKey {
         AdapterKey {
             adapter: self.adapter(&resident.adapter),
@@ -74,31 +75,31 @@
         }
     }
 
-    /// Returns a brand's number.
+    /// Returns a brand's number, assigning one if it is new.
     pub fn brand(&mut self, name: &BrandName) -> BrandNo {
         BrandNo(self.brands.intern(name).0)
     }
 
-    /// Returns a target's number.
+    /// Returns a target's number, assigning one if it is new.
     pub fn target(&mut self, name: &TargetName) -> TargetNo {
         TargetNo(self.targets.intern(name).0)
     }
 
-    /// Returns a pool's number.
+    /// Returns a pool's number, assigning one if it is new.
     pub fn pool(&mut self, name: &PoolName) -> PoolNo {
         PoolNo(self.pools.intern(name).0)
     }
 
-    /// Returns an availability zone's number.
+    /// Returns an availability zone's number, assigning one if it is new.
     pub fn zone(&mut self, name: &ZoneName) -> ZoneNo {
         ZoneNo(self.zones.intern(name).0)
     }
 
-    /// Returns the adapter's version that `key` stands for.
+    /// Returns the adapter name and version of `key`.
     ///
     /// # Panics
     ///
-    /// Panics when `key` was not made by this value.
+    /// Panics if `key` was not returned by this `Names`.
     #[must_use]
     pub fn resident(&self, key: AdapterKey) -> Resident {
         Resident {
@@ -111,7 +112,7 @@
     ///
     /// # Panics
     ///
-    /// Panics when `no` was not made by this value.
+    /// Panics if `no` was not returned by this `Names`.
     #[must_use]
     pub fn target_name(&self, no: TargetNo) -> &TargetName {
         self.targets.name(no.0)
@@ -121,17 +122,17 @@
     ///
     /// # Panics
     ///
-    /// Panics when `no` was not made by this value.
+    /// Panics if `no` was not returned by this `Names`.
     #[must_use]
     pub fn brand_name(&self, no: BrandNo) -> &BrandName {
         self.brands.name(no.0)
     }
 
-    /// Takes the adapters numbered since the last call, with the hash of
-    /// their names that is equal on every node.
+    /// Returns the adapters added since the last call, each with the stable
+    /// hash of its name, which is the same on every node.
     pub fn take_new_adapters(&mut self) -> Vec<(AdapterNo, u64)> {
-        let fresh = std::mem::take(&mut self.fresh);
-        let hashed = fresh.into_iter().map(|no| {
+        let new_adapters = std::mem::take(&mut self.new_adapters);
+        let hashed = new_adapters.into_iter().map(|no| {
             let name = self.adapters.name(no.0).as_str();
             (no, stable_hash(&[name.as_bytes()]))
         });
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -1,4 +1,4 @@
-//! One node of the system as one plain value.
+//! Connects the services of one node and distributes inputs among them.
 
 use base::Time;
 use kernel::{Kernel, Name};
@@ -8,28 +8,30 @@
     engines::Engines,
     entry::Entry,
     fleet::Fleet,
-    heartbeat::Beat,
+    heartbeat::Heartbeat,
     io::{Input, Output},
-    msg::{ALL, BEAT, CONFIG, ENGINES, ENTRY, FLEET, Msg, SERVICES},
+    msg::{ALL, CONFIG, ENGINES, ENTRY, FLEET, HEARTBEAT, Msg, SERVICES},
     services,
     shared::{Settings, Shared},
 };
 
-/// One entry instance's decisions: give it what happens and the time, and do
-/// what comes out.
+/// The state machine of one entry instance: takes inputs with the time at which
+/// they happen and returns outputs for the driver to carry out.
 ///
-/// It has no clock, socket or thread, and draws only from the seed in its
-/// [`Settings`]: the same inputs at the same times give the same outputs.
+/// It has no clock, socket or thread, and the seed in its [`Settings`] is its
+/// only source of randomness: the same inputs at the same times give the same
+/// outputs.
 #[derive(Debug)]
 pub struct Node {
     kernel: Kernel<Shared, Msg, Output>,
     shared: Shared,
+    /// Time of the last [`Output::Wake`].
     wake: Option<Time>,
 }
 
 impl Node {
-    /// Makes a node that starts at `now`; its first input should be
-    /// [`Input::Wake`].
+    /// Creates a node that starts at `now`. Its first input should be
+    /// [`Input::Wake`], or [`Input::Saved`] if a text was saved.
     #[must_use]
     pub fn new(settings: Settings, now: Time) -> Self {
         let mut shared = Shared::new(settings);
@@ -45,9 +47,9 @@
         kernel.register(SERVICES, |shared, _, msg, out| {
             services::handle(shared, &msg, out)
         });
-        let mut beat = Beat::default();
-        kernel.register(BEAT, move |shared, now, msg, out| {
-            beat.handle(shared, now, msg, out);
+        let mut heartbeat = Heartbeat::default();
+        kernel.register(HEARTBEAT, move |shared, now, msg, out| {
+            heartbeat.handle(shared, now, msg, out);
         });
         let mut engines = Engines::new(&shared, now);
         kernel.register(ENGINES, move |shared, now, msg, out| {
@@ -67,11 +69,11 @@
         }
     }
 
-    /// Takes one input and appends what has to be done about it.
+    /// Handles one input and appends the resulting outputs to `out`.
     pub fn handle(&mut self, now: Time, input: Input, out: &mut Vec<Output>) {
         match input {
             Input::Replied { call, reply } => {
-                let Some((name, purpose)) = self.shared.ended(call) else {
+                let Some((name, purpose)) = self.shared.take_call(call) else {
                     return;
                 };
                 self.run(now, name, Msg::Replied { purpose, reply }, out);
@@ -85,8 +87,9 @@
                 for name in ALL {
                     self.run(now, name, Msg::Drain, out);
                 }
-                // The leader gives this instance's engines to others at once.
-                self.run(now, BEAT, Msg::BeatNow, out);
+                // Announces the shutdown now, so that the leader assigns this
+                // instance's engines to other instances without delay.
+                self.run(now, HEARTBEAT, Msg::HeartbeatNow, out);
             }
             Input::Wake => {}
             input @ (Input::Saved { .. } | Input::Checked { .. }) => {
@@ -101,10 +104,10 @@
         for name in self.shared.due(now) {
             self.run(now, name, Msg::Wake, out);
         }
-        self.ask_wake(out);
+        self.request_wake(out);
     }
 
-    /// Returns the version of the text in force here.
+    /// Returns the version of the text in force on this node.
     #[must_use]
     pub fn version(&self) -> base::TextVersion {
         self.shared.version
@@ -114,7 +117,7 @@
         self.kernel.run(&mut self.shared, now, to, msg, out);
     }
 
-    fn ask_wake(&mut self, out: &mut Vec<Output>) {
+    fn request_wake(&mut self, out: &mut Vec<Output>) {
         let next = self.shared.next_wake();
         if next != self.wake
             && let Some(at) = next
@@ -125,7 +128,7 @@
     }
 }
 
-/// Returns the service that answers a call.
+/// Returns the service that handles a call from another process.
 fn service_for(call: &wire::call::Call) -> Name {
     use wire::call::Call;
     match call {
--- a/crates/node/src/services.rs
+++ b/crates/node/src/services.rs
@@ -1,9 +1,10 @@
-//! Brings services up in the order of their dependencies.
+//! Starts the services of the text in the order of their dependencies.
 //!
-//! A service comes up when its pool has a live target and all that it needs
-//! are up; until then its requests are refused as `not run`. Once up it stays
-//! up as long as the text names it: a dependency that fails later takes down
-//! nothing else, because a zone that is cut off goes on serving what it can.
+//! A service comes up as soon as its pool has a live target and all services
+//! that it needs are up; until then its requests are refused as `not run`.
+//! Once up, it stays up as long as the text names it: the later failure of a
+//! dependency takes no other service down, because a zone that is cut off goes
+//! on serving what it can.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -27,7 +28,7 @@
         self.0.get(brand).is_some_and(|up| up.contains(service))
     }
 
-    /// Forgets what the text no longer names.
+    /// Removes the services that the text no longer names.
     fn retain(&mut self, model: &Model) {
         self.0.retain(|brand, up| {
             up.retain(|service| model.service(brand, service).is_some());
@@ -48,7 +49,7 @@
     }
 }
 
-/// Brings up what can come up now, each service after those that it needs.
+/// Marks every service as up that can come up now, after those it needs.
 fn bring_up(shared: &mut Shared, out: &mut Out) {
     let model = shared.model.clone();
     let live = live_pools(shared);
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -1,5 +1,5 @@
-//! What all services of a node may read, and the few things they write
-//! together: outstanding calls and timers.
+//! State that all services of a node share: the text in force, known targets
+//! and peers, outstanding calls and timers.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -15,73 +15,76 @@
 
 use crate::{io::Output, msg::Msg, names::Names, services::Up};
 
-/// The outbox as the services of this node see it.
+/// The outbox of this node's services.
 pub(crate) type Out = Outbox<Msg, Output>;
 
-/// How long a small call may take; an availability zone is a millisecond
-/// away, so a call that takes this long is lost.
-pub(crate) const CALL_LIMIT: Duration = Duration::from_millis(800);
+/// Time limit for small calls. Availability zones are a millisecond apart, so a
+/// call that takes this long is lost.
+pub(crate) const CALL_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Settings of a node, checked by whoever starts it.
+/// Settings of a node. The embedding program checks them.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// This instance.
+    /// Name of this instance.
     pub name: InstanceName,
-    /// Its availability zone.
+    /// Availability zone of this instance.
     pub zone: ZoneName,
-    /// Which life of it.
+    /// Number of this run of the process; greater after every restart.
     pub incarnation: base::Incarnation,
-    /// Its peer listener, as others reach it.
+    /// Address at which other instances reach this instance's peer listener.
     pub peer: SocketAddr,
-    /// The control instances' peer listeners.
+    /// Addresses of the control instances' peer listeners.
     pub controls: BTreeMap<InstanceName, SocketAddr>,
-    /// Seed of all that is random.
+    /// Seed of all random decisions.
     pub seed: Seed,
-    /// How long work is still taken after a stop was asked for.
+    /// How long new requests are still accepted after [`Input::Drain`].
+    ///
+    /// [`Input::Drain`]: crate::Input::Drain
     pub grace: Duration,
 }
 
-/// What an outstanding call is for.
+/// Why a call was made; returned with its reply.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Purpose {
-    /// A heartbeat.
-    Beat { serial: u64, control: InstanceName },
-    /// The version in force at another process.
+    /// Sends a heartbeat.
+    Heartbeat { serial: u64, control: InstanceName },
+    /// Asks for the version in force at another process.
     Version { address: SocketAddr },
-    /// The newest text.
+    /// Fetches a newer text.
     Text { address: SocketAddr },
-    /// A sign of life of an owner that requests wait at.
+    /// Checks that an owner with forwarded requests is alive.
     Ping { to: InstanceName },
-    /// A claim of a marked request.
+    /// Claims the idempotency key of a marked request at the leader.
     Claim { ticket: base::Ticket },
-    /// What became of a claimed request, to be repeated until it is heard.
+    /// Reports the outcome of a claimed request to the leader; retried until
+    /// it is acknowledged.
     Settle(Box<wire::call::Settle>),
-    /// A zone-mate's word on ownership.
+    /// Asks a zone peer to confirm that this instance still owns an engine.
     Confirm {
         to: InstanceName,
         target: TargetName,
         round: u64,
     },
-    /// News of residents.
+    /// Tells a peer which adapters are resident on an engine.
     Residents {
         to: InstanceName,
         target: TargetName,
     },
-    /// A handover; nothing depends on the reply.
+    /// Hands an engine over; the reply is ignored.
     Handover,
 }
 
-/// A target as far as the list and the text tell.
+/// A target as the platform's list and the text in force describe it.
 #[derive(Clone, Debug)]
 pub(crate) struct TargetInfo {
     pub(crate) listed: platform::Target,
     pub(crate) address: SocketAddr,
-    /// Absent while the text in force doesn't know its pool.
+    /// None if the text in force has no pool of that name.
     pub(crate) pool: Option<Pool>,
 }
 
 impl TargetInfo {
-    /// Returns slots, batch size and whether orders are fenced, for an engine.
+    /// Returns the engine's properties; none for a plain service's target.
     pub(crate) fn engine(&self) -> Option<EngineInfo> {
         match &self.pool.as_ref()?.kind {
             PoolKind::Engine {
@@ -99,11 +102,14 @@
     }
 }
 
-/// What the text says of an engine.
+/// Properties of an engine, from its pool in the text in force.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct EngineInfo {
+    /// Adapters that can be resident at once.
     pub(crate) slots: u32,
+    /// Requests that it runs at once.
     pub(crate) batch: u32,
+    /// Whether it refuses orders with an old fencing number.
     pub(crate) fencing: bool,
 }
 
@@ -112,26 +118,32 @@
 pub(crate) struct Shared {
     pub(crate) settings: Settings,
     pub(crate) names: Names,
+    /// Version of the text in force; zero before the first one.
     pub(crate) version: TextVersion,
+    /// The text in force, parsed.
     pub(crate) model: Arc<Model>,
-    /// The text that the model was read from.
+    /// Source of the text in force.
     pub(crate) raw: Arc<str>,
     /// Targets by number, from the platform's list and the text.
     pub(crate) targets: BTreeMap<TargetNo, TargetInfo>,
-    /// The same targets with the epochs of what is observed of them.
+    /// The same targets, with the state that tells whether an observation of
+    /// one (a report, the end of an order) is outdated.
     pub(crate) watched: member::Targets,
-    /// Entry instances that the platform lists.
+    /// Entry instances in the platform's list.
     pub(crate) listed: BTreeSet<InstanceName>,
-    /// Entry instances' peer listeners, from the list and the leader.
+    /// Peer listeners of the entry instances, from the platform's list and the
+    /// leader's roster.
     pub(crate) peers: BTreeMap<InstanceName, SocketAddr>,
     /// The services that have come up.
     pub(crate) up: Up,
-    /// The control instance believed to lead.
+    /// The control instance that is probably the leader.
     pub(crate) leader: Option<InstanceName>,
-    /// Whether this process is stopping.
+    /// Whether this process is shutting down.
     pub(crate) draining: bool,
+    /// Outstanding calls, by number, with the service that made each.
     calls: BTreeMap<u64, (Name, Purpose)>,
     next_call: u64,
+    /// Next [`Msg::Wake`] of each service that asked for one.
     wakes: BTreeMap<Name, Time>,
 }
 
@@ -156,7 +168,7 @@
         }
     }
 
-    /// Makes a call; its end reaches the service `from` as [`Msg::Replied`].
+    /// Makes a call; the service `from` receives its end as [`Msg::Replied`].
     pub(crate) fn call(
         &mut self,
         from: Name,
@@ -177,14 +189,14 @@
         });
     }
 
-    /// Takes the outstanding call numbered `call`.
-    pub(crate) fn ended(&mut self, call: u64) -> Option<(Name, Purpose)> {
+    /// Removes an outstanding call; returns the service that made it.
+    pub(crate) fn take_call(&mut self, call: u64) -> Option<(Name, Purpose)> {
         self.calls.remove(&call)
     }
 
-    /// Returns the address of the control instance to turn to: the leader
-    /// where it is known, else one after the other.
-    pub(crate) fn control(&self, turn: u64) -> Option<(InstanceName, SocketAddr)> {
+    /// Returns the control instance to call: the leader if it is known, else
+    /// the one that `rotation`, counted up by the caller, selects.
+    pub(crate) fn control(&self, rotation: u64) -> Option<(InstanceName, SocketAddr)> {
         let controls = &self.settings.controls;
         if let Some(leader) = &self.leader
             && let Some(address) = controls.get(leader)
@@ -192,19 +204,19 @@
             return Some((leader.clone(), *address));
         }
         let count = u64::try_from(controls.len()).unwrap_or(u64::MAX).max(1);
-        let nth = usize::try_from(turn % count).unwrap_or(0);
+        let nth = usize::try_from(rotation % count).unwrap_or(0);
         let found = controls.iter().nth(nth);
         found.map(|(name, address)| (name.clone(), *address))
     }
 
-    /// Asks for [`Msg::Wake`] to the service `name` at `at`, unless it will be
-    /// woken sooner.
+    /// Schedules [`Msg::Wake`] for the service `name` at `at`, unless it is
+    /// scheduled earlier already.
     pub(crate) fn wake(&mut self, name: Name, at: Time) {
         let slot = self.wakes.entry(name).or_insert(at);
         *slot = at.min(*slot);
     }
 
-    /// Takes the services to be woken by `now`.
+    /// Removes and returns the services whose wake is due at `now`.
     pub(crate) fn due(&mut self, now: Time) -> Vec<Name> {
         let due = self.wakes.iter().filter(|(_, at)| **at <= now);
         let due: Vec<Name> = due.map(|(name, _)| *name).collect();
@@ -214,7 +226,7 @@
         due
     }
 
-    /// Returns when the next service is to be woken.
+    /// Returns the time of the next wake.
     pub(crate) fn next_wake(&self) -> Option<Time> {
         self.wakes.values().min().copied()
     }
