--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -1,9 +1,10 @@
-//! Keeps the newest accepted text in force here.
+//! Keeps the newest accepted version of the text in force on this node.
 //!
-//! The leader names the newest version in every answer to a heartbeat; a node
-//! that is behind fetches it. Without a leader it asks the other entry
-//! instances, so that a text that reached any instance of a zone before it was
-//! cut off is in force in all of it.
+//! The text is the operators' configuration: brands, services, adapters and
+//! pools. The leader names the newest version in every reply to a heartbeat, and
+//! a node that is behind fetches it. Without a leader the node asks the other
+//! entry instances: a text that reached one instance of a zone before the zone
+//! was cut off comes into force in the whole zone.
 
 use std::{collections::BTreeSet, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -17,68 +18,80 @@
 use crate::{
     io::{Event, Input, Output},
     msg::{ALL, CONFIG, Msg},
-    shared::{CALL_LIMIT, Out, Purpose, Shared},
+    shared::{CALL_TIMEOUT, Out, Purpose, Shared},
 };
 
-/// How long a text may take to arrive: a few megabytes between zones.
-const FETCH_LIMIT: Duration = Duration::from_millis(1_500);
+/// Time limit for fetching a text: a few megabytes between zones.
+const FETCH_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// How often a node without a leader asks another for its version; two tries
-/// fit into the three seconds in which a change has to be in force.
-const ASK_EVERY: Duration = Duration::from_millis(1_000);
+/// Time between two version queries of a node without a leader. Two of them fit
+/// into the three seconds within which a change has to be in force.
+const QUERY_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// Pause between two fetches of a text.
+/// Minimum time between two fetches of a text.
 const FETCH_PAUSE: Duration = Duration::from_millis(200);
 
-/// A node that was not woken for this long was frozen: it may have slept
-/// through changes, and asks around before it takes new work.
-const FROZEN: Duration = Duration::from_millis(2_500);
+/// Time between two inputs from which on the process is taken to have been
+/// frozen (a stopped process, a paused virtual machine). It may have missed
+/// changes of the text.
+const FREEZE_THRESHOLD: Duration = Duration::from_millis(2_500);
 
-/// The text in force and what is known of newer ones.
+/// State of fetching and checking newer texts.
 #[derive(Debug, Default)]
 pub(crate) struct Config {
+    /// Whether a list has been received, so that there are sources to query.
     started: bool,
+    /// Last value of [`Output::Ready`].
     ready: bool,
-    /// Sources that have not told their version since the start or thaw.
-    waiting: BTreeSet<SocketAddr>,
-    /// When the asking around ends even if some stay silent.
-    until: Time,
-    last: Time,
-    heard: Time,
+    /// Sources that have not answered the query of all sources, which is made
+    /// after a start and after a freeze.
+    unanswered: BTreeSet<SocketAddr>,
+    /// When that query ends, even if some sources did not answer.
+    query_until: Time,
+    /// When the last input was handled.
+    last_input: Time,
+    /// When the leader last replied to a heartbeat.
+    leader_heard: Time,
+    /// Newest version known to exist.
     newest: TextVersion,
-    holder: Option<SocketAddr>,
+    /// Instance that has the newest version; none for the control instances.
+    source: Option<SocketAddr>,
+    /// Whether a fetch is outstanding.
     fetching: bool,
-    /// Not before this the next fetch, after one that failed.
-    again: Time,
-    /// A version that can't be read here; only a newer one is fetched.
+    /// Earliest time of the next fetch.
+    fetch_after: Time,
+    /// Newest version that this release can't read; only newer ones are
+    /// fetched.
     unreadable: TextVersion,
     /// The text that is being checked.
     checking: Option<(TextVersion, Arc<str>)>,
-    /// Whether the next fetch asks for the whole text.
-    whole: bool,
-    turn: usize,
+    /// Whether the next fetch asks for the full text instead of patches.
+    full: bool,
+    /// Selects the next source to query or to fetch from.
+    rotation: usize,
 }
 
 impl Config {
     pub(crate) fn handle(&mut self, shared: &mut Shared, now: Time, msg: Msg, out: &mut Out) {
-        self.notice_thaw(shared, now, out);
+        self.detect_freeze(shared, now, out);
         match msg {
-            Msg::Wake => self.ask_one(shared, now, out),
-            // Guard: an instance that restarts in a zone that is cut off finds
-            // nobody to ask, and would serve nothing until the cut heals. What
-            // it had is taken, and counts only as long as nobody in reach has
-            // a newer one: readiness waits until they have been asked.
+            Msg::Wake => self.query_one(shared, now, out),
+            // Guard: an instance that restarts in a zone that is cut off can't
+            // fetch a text, and would serve nothing until the connection is
+            // back. It uses the text saved on disk. As another instance may
+            // have a newer one, it only becomes ready after querying all
+            // sources.
             Msg::Input(Input::Saved { version, text }) if shared.version == TextVersion(0) => {
                 base::hit!(saved_text_taken);
-                self.take(shared, version, &text, out);
+                self.check_text(shared, version, &text, out);
             }
             Msg::Input(Input::Checked { version, model }) => {
                 self.on_checked(shared, version, model, out);
             }
             Msg::FleetChanged if !self.started => self.start(shared, now, out),
-            Msg::Beat(reply) => {
-                self.heard = now;
-                self.learn(reply.text, None);
+            Msg::HeartbeatReply(reply) => {
+                self.leader_heard = now;
+                self.note_version(reply.text, None);
             }
             Msg::Replied { purpose, reply } => self.on_reply(shared, now, purpose, reply, out),
             Msg::Drain => {
@@ -89,48 +102,50 @@
             _ => {}
         }
         self.fetch(shared, now, out);
-        self.settle(shared, now, out);
+        self.update_readiness(shared, now, out);
     }
 
-    /// Begins to ask around, once it is known whom to ask.
+    /// Queries all sources for the first time, when the first list names them.
     fn start(&mut self, shared: &mut Shared, now: Time, out: &mut Out) {
         self.started = true;
-        self.ask_around(shared, now, out);
+        self.query_all(shared, now, out);
     }
 
-    /// Guards against a thawed process that goes on under the text of hours
-    /// ago: it shows as requests served by an adapter's old version after the
-    /// new one was accepted. A gap between two wakes longer than any timer
-    /// here means that the process stood still, so it is unready until all
-    /// sources have told their version or stayed silent for a while.
-    fn notice_thaw(&mut self, shared: &mut Shared, now: Time, out: &mut Out) {
-        let slept = self.started && now.since(self.last) > FROZEN;
-        self.last = now;
-        if slept {
-            base::hit!(thawed_asks_around);
-            self.ask_around(shared, now, out);
+    /// Detects that the process was frozen.
+    ///
+    /// Guard: such a process would go on with a text that is hours old, and
+    /// serve requests with an old version of an adapter after a new one was
+    /// accepted. A gap between two inputs that is longer than any timer of this
+    /// module means that the process did not run. It is not ready until all
+    /// sources have answered with their version or have timed out.
+    fn detect_freeze(&mut self, shared: &mut Shared, now: Time, out: &mut Out) {
+        let frozen = self.started && now.since(self.last_input) > FREEZE_THRESHOLD;
+        self.last_input = now;
+        if frozen {
+            base::hit!(freeze_detected);
+            self.query_all(shared, now, out);
         }
     }
 
-    fn ask_around(&mut self, shared: &mut Shared, now: Time, out: &mut Out) {
+    fn query_all(&mut self, shared: &mut Shared, now: Time, out: &mut Out) {
         self.ready = false;
         out.emit(Output::Ready(false));
-        self.until = now + FETCH_LIMIT;
-        self.waiting = sources(shared);
-        for address in self.waiting.clone() {
-            ask(shared, address, out);
+        self.query_until = now + FETCH_TIMEOUT;
+        self.unanswered = sources(shared);
+        for address in self.unanswered.clone() {
+            query(shared, address, out);
         }
     }
 
-    /// Asks one source while no leader is heard.
-    fn ask_one(&mut self, shared: &mut Shared, now: Time, out: &mut Out) {
-        if now.since(self.heard) < ASK_EVERY * 2 {
+    /// Queries one source if no leader has replied for two query intervals.
+    fn query_one(&mut self, shared: &mut Shared, now: Time, out: &mut Out) {
+        if now.since(self.leader_heard) < QUERY_INTERVAL * 2 {
             return;
         }
         let all = sources(shared);
-        self.turn += 1;
-        if let Some(address) = all.iter().nth(self.turn % all.len().max(1)) {
-            ask(shared, *address, out);
+        self.rotation += 1;
+        if let Some(address) = all.iter().nth(self.rotation % all.len().max(1)) {
+            query(shared, *address, out);
         }
     }
 
@@ -144,22 +159,24 @@
     ) {
         match purpose {
             Purpose::Version { address } => {
-                self.waiting.remove(&address);
+                self.unanswered.remove(&address);
                 if let Ok(Reply::Version(version)) = reply {
-                    self.learn(version, Some(address));
+                    self.note_version(version, Some(address));
                 }
             }
             Purpose::Text { address } => {
                 self.fetching = false;
-                self.again = now + FETCH_PAUSE;
+                self.fetch_after = now + FETCH_PAUSE;
                 match reply {
-                    Ok(Reply::Text { version, text }) => self.take(shared, version, &text, out),
+                    Ok(Reply::Text { version, text }) => {
+                        self.check_text(shared, version, &text, out)
+                    }
                     Ok(Reply::Patches {
                         version,
                         digest,
                         patches,
-                    }) => self.patch(shared, version, digest, &patches, out),
-                    _ if self.holder == Some(address) => self.holder = None,
+                    }) => self.apply_patches(shared, version, digest, &patches, out),
+                    _ if self.source == Some(address) => self.source = None,
                     _ => {}
                 }
             }
@@ -167,19 +184,18 @@
         }
     }
 
-    fn learn(&mut self, version: TextVersion, holder: Option<SocketAddr>) {
+    fn note_version(&mut self, version: TextVersion, source: Option<SocketAddr>) {
         if version > self.newest {
             self.newest = version;
-            self.holder = holder;
+            self.source = source;
         }
     }
 
-    /// Fetches a version that is known to exist.
+    /// Fetches the newest known version, unless it is in force or on its way.
     ///
     /// Guard: a source that refuses, or a text that this release can't read,
-    /// would be asked again as fast as it answers; it would show as an instance
-    /// that does nothing else. A fetch follows another after a pause, and an
-    /// unreadable version is not fetched twice.
+    /// would be fetched in a busy loop. There is a pause between two fetches,
+    /// and an unreadable version is not fetched twice.
     fn fetch(&mut self, shared: &mut Shared, now: Time, out: &mut Out) {
         let checking = self.checking.as_ref().map(|(version, _)| *version);
         if self.fetching
@@ -188,34 +204,34 @@
         {
             return;
         }
-        if now < self.again {
+        if now < self.fetch_after {
             base::hit!(fetch_waits);
-            shared.wake(CONFIG, self.again);
+            shared.wake(CONFIG, self.fetch_after);
             return;
         }
-        self.turn += 1;
-        let turn = u64::try_from(self.turn).unwrap_or(0);
-        let control = shared.control(turn).map(|(_, address)| address);
-        let Some(address) = self.holder.or(control) else {
+        self.rotation += 1;
+        let rotation = u64::try_from(self.rotation).unwrap_or(0);
+        let control = shared.control(rotation).map(|(_, address)| address);
+        let Some(address) = self.source.or(control) else {
             return;
         };
         self.fetching = true;
-        // What can't be patched is asked for as a whole.
-        let have = if self.whole {
+        // Version 0 asks for the full text, after patches that did not apply.
+        let have = if self.full {
             TextVersion(0)
         } else {
             shared.version
         };
         let (purpose, body) = (Purpose::Text { address }, Call::Text { have });
-        shared.call(CONFIG, purpose, address, body, FETCH_LIMIT, out);
+        shared.call(CONFIG, purpose, address, body, FETCH_TIMEOUT, out);
     }
 
-    /// Turns the text in force into the newer one, change by change.
+    /// Applies patches to the text in force, which gives the newer text.
     ///
-    /// Guard: a patch made for another text would silently give an instance a
-    /// text of its own. The result is compared with the hash of the text that
-    /// was meant; where it differs, the whole text is fetched.
-    fn patch(
+    /// Guard: a patch made for another text would silently produce a text that
+    /// no other instance has. The result's hash is compared with that of the
+    /// intended text; if it differs, the full text is fetched.
+    fn apply_patches(
         &mut self,
         shared: &mut Shared,
         version: TextVersion,
@@ -229,21 +245,22 @@
         }
         if patch::digest(&text) != digest {
             base::hit!(patch_does_not_fit);
-            self.whole = true;
+            self.full = true;
             return;
         }
-        self.take(shared, version, &text, out);
+        self.check_text(shared, version, &text, out);
     }
 
-    /// Has a newer text checked before it comes into force.
+    /// Requests the check of a newer text, after which it comes into force.
     ///
-    /// Guard: checking a large text takes longer than a token. Done here it
-    /// would show as a pause in every stream that passes this instance, with
-    /// each change of the text.
-    fn take(&mut self, shared: &Shared, version: TextVersion, text: &str, out: &mut Out) {
+    /// Guard: checking a large text takes longer than generating a token. Done
+    /// here, each change of the text would stall every stream that passes
+    /// through this instance, so the driver does it in the background.
+    fn check_text(&mut self, shared: &Shared, version: TextVersion, text: &str, out: &mut Out) {
         self.newest = self.newest.max(version);
-        // Guard: a reply that was on its way while a newer text arrived would
-        // take a change back; a version never goes down while the process runs.
+        // Guard: a reply that arrives after that of a newer text would revert
+        // an accepted change. The version never decreases while the process
+        // runs.
         let checking = self.checking.as_ref().map(|(version, _)| *version);
         if version <= shared.version.max(checking.unwrap_or_default()) {
             base::hit!(older_text_ignored);
@@ -261,9 +278,9 @@
         model: Option<Arc<Model>>,
         out: &mut Out,
     ) {
-        // Guard: a check that ends after a newer text has come would take a
-        // change back. It shows as an accepted change that is undone for a
-        // moment; only the text that came last may come into force.
+        // Guard: a check that ends after that of a newer text would revert an
+        // accepted change for a moment. Only the text that was received last
+        // may come into force.
         let Some((_, raw)) = self.checking.take_if(|(checking, _)| *checking == version) else {
             base::hit!(late_check_ignored);
             return;
@@ -273,7 +290,7 @@
             out.emit(Output::Event(Event::BadText(version)));
             return;
         };
-        self.whole = false;
+        self.full = false;
         shared.version = version;
         shared.model = Arc::clone(&model);
         shared.raw = Arc::clone(&raw);
@@ -288,28 +305,28 @@
         }
     }
 
-    fn settle(&mut self, shared: &mut Shared, now: Time, out: &mut Out) {
-        let asked = self.waiting.is_empty() || now >= self.until;
-        let newest =
-            self.newest <= shared.version.max(self.unreadable) || now >= self.until + FETCH_LIMIT;
+    fn update_readiness(&mut self, shared: &mut Shared, now: Time, out: &mut Out) {
+        let asked = self.unanswered.is_empty() || now >= self.query_until;
+        let newest = self.newest <= shared.version.max(self.unreadable)
+            || now >= self.query_until + FETCH_TIMEOUT;
         let able = self.started && asked && newest && shared.version > TextVersion(0);
         if able && !self.ready && !shared.draining {
             self.ready = true;
             out.emit(Output::Ready(true));
         }
-        shared.wake(CONFIG, now + ASK_EVERY);
+        shared.wake(CONFIG, now + QUERY_INTERVAL);
         if !asked {
-            shared.wake(CONFIG, self.until);
+            shared.wake(CONFIG, self.query_until);
         }
     }
 }
 
-fn ask(shared: &mut Shared, address: SocketAddr, out: &mut Out) {
+fn query(shared: &mut Shared, address: SocketAddr, out: &mut Out) {
     let purpose = Purpose::Version { address };
-    shared.call(CONFIG, purpose, address, Call::Version, CALL_LIMIT, out);
+    shared.call(CONFIG, purpose, address, Call::Version, CALL_TIMEOUT, out);
 }
 
-/// Answers whoever asks for the version or the text.
+/// Answers a call for the version or the text in force.
 fn answer(shared: &Shared, call: u64, body: &Call, out: &mut Out) {
     let body = match body {
         Call::Version => Reply::Version(shared.version),
@@ -322,7 +339,8 @@
     out.emit(Output::Reply { call, body });
 }
 
-/// Returns whom to ask for the newest version.
+/// Returns the peers and control instances that can be queried for the newest
+/// version.
 fn sources(shared: &Shared) -> BTreeSet<SocketAddr> {
     let me = &shared.settings.name;
     let peers = shared.peers.iter().filter(|(name, _)| *name != me);
--- a/crates/node/src/fleet.rs
+++ b/crates/node/src/fleet.rs
@@ -1,7 +1,8 @@
-//! Keeps the platform's list: which targets and instances there are.
+//! Maintains the known targets and entry instances from the platform's list.
 //!
-//! The list lags and may be missing for long. What it last said stays in
-//! force, and what the leader says of instances is added to it.
+//! The list lags behind, and the platform may be unavailable for long. The last
+//! list stays in force meanwhile, and instances in the leader's roster are added
+//! to it.
 
 use std::{collections::BTreeMap, net::SocketAddr};
 
@@ -16,43 +17,45 @@
     shared::{Out, Shared, TargetInfo},
 };
 
-/// Requests that a plain service's target is given at once when the text does
-/// not know its pool.
+/// Concurrent requests of a target whose pool the text in force doesn't name:
+/// it gets none.
 const UNKNOWN_BATCH: u32 = 0;
 
-/// The last list.
+/// State derived from the last list.
 #[derive(Debug, Default)]
 pub(crate) struct Fleet {
+    /// Serial of the last list; none before the first one.
     serial: Option<u64>,
-    lives: BTreeMap<TargetNo, Incarnation>,
+    /// Incarnations of the targets, from their reports.
+    incarnations: BTreeMap<TargetNo, Incarnation>,
 }
 
 impl Fleet {
     pub(crate) fn handle(&mut self, shared: &mut Shared, _now: Time, msg: Msg, out: &mut Out) {
         match msg {
-            Msg::Input(Input::List(Some(list))) => self.take(shared, list, out),
-            Msg::Input(Input::List(None)) if self.serial.is_none() => tell_all(out),
+            Msg::Input(Input::List(Some(list))) => self.apply_list(shared, list, out),
+            Msg::Input(Input::List(None)) if self.serial.is_none() => broadcast(out),
             Msg::TextChanged => {
                 let model = shared.model.clone();
                 for info in shared.targets.values_mut() {
                     info.pool = model.pools.get(&info.listed.pool).cloned();
                 }
-                self.announce(shared, out);
-                tell_all(out);
+                self.publish_all(shared, out);
+                broadcast(out);
             }
-            Msg::Life(target, life) => {
-                self.lives.insert(target, life);
-                self.announce_one(shared, target, out);
+            Msg::Incarnation(target, incarnation) => {
+                self.incarnations.insert(target, incarnation);
+                self.publish_target(shared, target, out);
             }
             _ => {}
         }
     }
 
-    /// Takes a list in, unless an older one than the last arrives late.
-    fn take(&mut self, shared: &mut Shared, list: List, out: &mut Out) {
+    /// Applies a list, unless it is older than the last one.
+    fn apply_list(&mut self, shared: &mut Shared, list: List, out: &mut Out) {
         let first = self.serial.is_none();
-        // Guard: two answers of the platform may overtake each other. The
-        // older one would bring back a target that is leaving.
+        // Guard: two answers of the platform may arrive out of order. Applying
+        // the older one would make a target live again that is leaving.
         if self.serial.is_some_and(|serial| list.serial < serial) {
             base::hit!(older_list_ignored);
             return;
@@ -64,7 +67,7 @@
         }
         shared.watched.list(&list);
         let model = shared.model.clone();
-        self.drop_missing(shared, &list, out);
+        self.remove_missing(shared, &list, out);
         for target in list.targets {
             let no = shared.names.target(&target.name);
             let Ok(address) = target.address.parse() else {
@@ -72,7 +75,7 @@
             };
             let info = info(&model, target, address);
             shared.targets.insert(no, info);
-            self.announce_one(shared, no, out);
+            self.publish_target(shared, no, out);
         }
         let names = list.instances.iter().map(|instance| instance.name.clone());
         shared.listed = names.collect();
@@ -81,35 +84,35 @@
                 shared.peers.insert(instance.name, address);
             }
         }
-        tell_all(out);
+        broadcast(out);
     }
 
-    fn drop_missing(&mut self, shared: &mut Shared, list: &List, out: &mut Out) {
+    fn remove_missing(&mut self, shared: &mut Shared, list: &List, out: &mut Out) {
         let names: Vec<_> = list.targets.iter().map(|target| &target.name).collect();
         let gone = shared.targets.iter();
         let gone = gone.filter(|(_, info)| !names.contains(&&info.listed.name));
         let gone: Vec<TargetNo> = gone.map(|(no, _)| *no).collect();
         for no in gone {
             shared.targets.remove(&no);
-            self.lives.remove(&no);
-            out.send(ENTRY, Msg::News(News::Removed(no)));
+            self.incarnations.remove(&no);
+            out.send(ENTRY, Msg::TargetUpdate(News::Removed(no)));
         }
     }
 
-    fn announce(&self, shared: &mut Shared, out: &mut Out) {
+    fn publish_all(&self, shared: &mut Shared, out: &mut Out) {
         let all: Vec<TargetNo> = shared.targets.keys().copied().collect();
         for no in all {
-            self.announce_one(shared, no, out);
+            self.publish_target(shared, no, out);
         }
     }
 
-    /// Tells the router of one target.
-    fn announce_one(&self, shared: &mut Shared, no: TargetNo, out: &mut Out) {
+    /// Sends the router the properties of one target.
+    fn publish_target(&self, shared: &mut Shared, no: TargetNo, out: &mut Out) {
         let Some(info) = shared.targets.get(&no) else {
             return;
         };
         if info.listed.state == State::Leaving {
-            out.send(ENTRY, Msg::News(News::Leaving(no)));
+            out.send(ENTRY, Msg::TargetUpdate(News::Leaving(no)));
             return;
         }
         let (batch, slots) = match info.pool.as_ref().map(|pool| &pool.kind) {
@@ -124,11 +127,11 @@
             pool: shared.names.pool(&pool),
             zone: shared.names.zone(&zone),
             hash,
-            incarnation: self.lives.get(&no).copied().unwrap_or_default(),
+            incarnation: self.incarnations.get(&no).copied().unwrap_or_default(),
             batch,
             slots,
         };
-        out.send(ENTRY, Msg::News(News::Target(target)));
+        out.send(ENTRY, Msg::TargetUpdate(News::Target(target)));
     }
 }
 
@@ -140,7 +143,7 @@
     }
 }
 
-fn tell_all(out: &mut Out) {
+fn broadcast(out: &mut Out) {
     for name in ALL.into_iter().filter(|name| *name != FLEET) {
         out.send(name, Msg::FleetChanged);
     }
--- a/crates/node/src/heartbeat.rs
+++ b/crates/node/src/heartbeat.rs
@@ -1,7 +1,9 @@
-//! Sends heartbeats to the leader and finds it.
+//! Sends heartbeats to the leader of the control instances, and searches for
+//! the leader when it is not known.
 //!
-//! A beat asks for leases, the newest version and the roster at once, so its
-//! size doesn't depend on the number of adapters.
+//! A heartbeat renews leases and asks for the newest text version and the
+//! roster of instances. Adapters are not part of it, so its size doesn't depend
+//! on their number.
 
 use std::time::Duration;
 
@@ -10,63 +12,70 @@
 
 use crate::{
     io::{Event, Output},
-    msg::{ALL, BEAT, ENGINES, Msg},
-    shared::{CALL_LIMIT, Out, Purpose, Shared},
+    msg::{ALL, ENGINES, HEARTBEAT, Msg},
+    shared::{CALL_TIMEOUT, Out, Purpose, Shared},
 };
 
-/// Time between two beats; the lease lasts three of them.
-const EVERY: Duration = Duration::from_millis(1_000);
+/// Time between two heartbeats; a lease lasts three of them.
+const INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// The same in a planned stop: it learns who owns its engines now, and tells
-/// them what it still uses there.
-const EVERY_DRAINING: Duration = Duration::from_millis(200);
+/// Time between two heartbeats during a graceful shutdown. Shorter, because
+/// this instance has to learn the new owners of its engines and tell them which
+/// adapters its running requests still use.
+const DRAIN_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Time before the next control instance is tried after one that does not
-/// lead or does not answer.
-const RETRY: Duration = Duration::from_millis(100);
+/// Delay before trying another control instance, after one that is not the
+/// leader or does not answer.
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Silence of the leader after which operators are told: three beats, as long
-/// as a lease lasts.
-const SILENT: Duration = Duration::from_millis(3_000);
+/// Time without a reply from the leader after which an event is logged: three
+/// heartbeats, the duration of a lease.
+const LEADER_TIMEOUT: Duration = Duration::from_millis(3_000);
 
-/// What is known of the leader.
+/// State of the heartbeats to the leader.
 #[derive(Debug, Default)]
-pub(crate) struct Beat {
+pub(crate) struct Heartbeat {
+    /// Number of the last heartbeat; a reply repeats it.
     serial: u64,
-    turn: u64,
+    /// Selects the control instance to try while the leader is unknown.
+    rotation: u64,
+    /// When the next heartbeat is due.
     next: Time,
-    heard: Option<Time>,
+    /// When the leader last replied.
+    last_reply: Option<Time>,
+    /// Whether the leader is reported as not answering.
     silent: bool,
+    /// Whether a heartbeat is outstanding.
     waiting: bool,
 }
 
-impl Beat {
+impl Heartbeat {
     pub(crate) fn handle(&mut self, shared: &mut Shared, now: Time, msg: Msg, out: &mut Out) {
         match msg {
             Msg::Replied {
-                purpose: Purpose::Beat { serial, control },
+                purpose: Purpose::Heartbeat { serial, control },
                 reply,
             } => self.on_reply(shared, now, (serial, control), reply, out),
-            Msg::BeatNow => self.next = now,
+            Msg::HeartbeatNow => self.next = now,
             _ => {}
         }
         if now >= self.next && !self.waiting {
             self.send(shared, now, out);
         }
-        self.watch(now, out);
-        shared.wake(BEAT, self.next);
+        self.check_leader(now, out);
+        shared.wake(HEARTBEAT, self.next);
     }
 
-    /// Hands the turn to [`ENGINES`], which knows the leases, to fill in and
-    /// send the beat.
+    /// Asks [`ENGINES`], which knows the leases, to build and send the next
+    /// heartbeat.
     fn send(&mut self, shared: &mut Shared, now: Time, out: &mut Out) {
         self.next = now
             + if shared.draining {
-                EVERY_DRAINING
+                DRAIN_INTERVAL
             } else {
-                EVERY
+                INTERVAL
             };
-        let Some((control, address)) = shared.control(self.turn) else {
+        let Some((control, address)) = shared.control(self.rotation) else {
             return;
         };
         self.waiting = true;
@@ -74,7 +83,7 @@
         let serial = self.serial;
         out.send(
             ENGINES,
-            Msg::SendBeat {
+            Msg::SendHeartbeat {
                 serial,
                 control,
                 address,
@@ -94,30 +103,30 @@
         match reply {
             Ok(Reply::Beat(reply)) if reply.serial == serial => {
                 shared.leader = Some(control);
-                self.heard = Some(now);
-                tell_all(reply, out);
+                self.last_reply = Some(now);
+                broadcast(reply, out);
             }
             Ok(Reply::Elsewhere { leader }) => {
                 shared.leader = leader.filter(|name| *name != control);
-                self.again(now);
+                self.try_next(now);
             }
             _ => {
                 shared.leader = None;
-                self.again(now);
+                self.try_next(now);
             }
         }
     }
 
-    fn again(&mut self, now: Time) {
-        self.turn += 1;
-        self.next = now + RETRY;
+    fn try_next(&mut self, now: Time) {
+        self.rotation += 1;
+        self.next = now + RETRY_DELAY;
     }
 
-    fn watch(&mut self, now: Time, out: &mut Out) {
-        let Some(heard) = self.heard else {
+    fn check_leader(&mut self, now: Time, out: &mut Out) {
+        let Some(last_reply) = self.last_reply else {
             return;
         };
-        let silent = now.since(heard) >= SILENT;
+        let silent = now.since(last_reply) >= LEADER_TIMEOUT;
         if silent != self.silent {
             self.silent = silent;
             let event = if silent {
@@ -130,11 +139,11 @@
     }
 }
 
-/// How long a beat's reply is waited for.
-pub(crate) const BEAT_LIMIT: Duration = CALL_LIMIT;
+/// Time limit for a heartbeat's reply.
+pub(crate) const HEARTBEAT_TIMEOUT: Duration = CALL_TIMEOUT;
 
-fn tell_all(reply: BeatReply, out: &mut Out) {
-    for name in ALL.into_iter().filter(|name| *name != BEAT) {
-        out.send(name, Msg::Beat(Box::new(reply.clone())));
+fn broadcast(reply: BeatReply, out: &mut Out) {
+    for name in ALL.into_iter().filter(|name| *name != HEARTBEAT) {
+        out.send(name, Msg::HeartbeatReply(Box::new(reply.clone())));
     }
 }
