--- a/crates/node/src/engines.rs
+++ b/crates/node/src/engines.rs
@@ -1,8 +1,8 @@
 //! The engines that this instance owns: leases, queues, orders, reports.
 //!
-//! The holder says what this instance may do to an engine at this very
-//! moment, the scheduler what it should do; nothing reaches an engine unless both
-//! agree.
+//! The lessee (see [`owner`]) says what the lease on an engine permits at a
+//! given time, the scheduler (see [`route`]) which requests and orders to send.
+//! Nothing is sent to an engine unless both agree.
 
 mod calls;
 mod measure;
@@ -36,45 +36,58 @@
     shared::{Out, Shared},
 };
 
-/// Silence of the leader after which only this zone's fixed part of the
-/// store's budget is used.
-const SILENT: Duration = Duration::from_millis(3_000);
+/// Time without a reply from the leader after which this instance loads
+/// adapters only within its zone's fixed share of the weight store's rate; the
+/// duration of a lease.
+const LEADER_TIMEOUT: Duration = Duration::from_millis(3_000);
 
-/// One engine of this zone.
+/// An engine that this instance owns or has owned.
 #[derive(Debug, Default)]
 struct Engine {
-    life: Option<Incarnation>,
-    held: Vec<AdapterKey>,
-    polled: Time,
-    /// Requests running there through this instance, by what they use.
+    /// Incarnation in its last report; none before the first report under the
+    /// current lease, and for an engine that is lost or leaving.
+    incarnation: Option<Incarnation>,
+    /// Adapters resident according to its last report.
+    resident: Vec<AdapterKey>,
+    /// When it was last asked for its report.
+    last_poll: Time,
+    /// Adapters used by the requests that this instance has running there.
     using: BTreeMap<Ticket, AdapterKey>,
+    /// What the lease permits; none if the engine is not owned.
     owned: Option<owner::Own>,
+    /// Whether the last poll failed.
     silent: bool,
-    /// What the other entry instances were told that it holds.
-    listed: BTreeSet<AdapterKey>,
+    /// Resident adapters as last published to the other entry instances.
+    published: BTreeSet<AdapterKey>,
+    // The load figures as last published; see `route::Residents`.
     running: u32,
     queued: u32,
     worth: u32,
 }
 
-/// The engines and what is known of them.
+/// The service that manages owned engines.
 #[derive(Debug)]
 pub(crate) struct Engines {
-    holder: Holder,
+    lessee: Holder,
     scheduler: Scheduler,
     engines: BTreeMap<TargetNo, Engine>,
+    /// Outstanding orders by number.
     orders: BTreeMap<u64, (Sent, Watch)>,
     next_order: u64,
+    /// Outstanding polls by number.
     polls: BTreeMap<u64, Poll>,
     next_poll: u64,
+    /// Serials of the published changes, by engine.
     serials: BTreeMap<TargetNo, u64>,
-    /// What was heard of engines that others own.
-    others: BTreeMap<TargetNo, residents::Heard>,
-    /// Engines of this zone as last told to the leader.
-    told: Option<Vec<TargetName>>,
+    /// Position in the published changes of engines that others own.
+    remote: BTreeMap<TargetNo, residents::Position>,
+    /// Engines of this zone as last reported to the leader; none if they have
+    /// to be reported with the next heartbeat.
+    reported: Option<Vec<TargetName>>,
     /// The version of each adapter that the text in force serves.
     serving: BTreeMap<AdapterNo, Version>,
-    heard: Time,
+    /// When the leader last replied to a heartbeat.
+    leader_heard: Time,
     waits: measure::Waits,
 }
 
@@ -83,7 +96,7 @@
         let settings = &shared.settings;
         let (name, zone) = (settings.name.clone(), settings.zone.clone());
         Engines {
-            holder: Holder::new(owner::Config::default(), name, zone, now),
+            lessee: Holder::new(owner::Config::default(), name, zone, now),
             scheduler: Scheduler::new(settings.seed.get()),
             engines: BTreeMap::new(),
             orders: BTreeMap::new(),
@@ -91,10 +104,10 @@
             polls: BTreeMap::new(),
             next_poll: 0,
             serials: BTreeMap::new(),
-            others: BTreeMap::new(),
-            told: None,
+            remote: BTreeMap::new(),
+            reported: None,
             serving: BTreeMap::new(),
-            heard: now,
+            leader_heard: now,
             waits: measure::Waits::default(),
         }
     }
@@ -107,12 +120,12 @@
             Msg::Input(Input::OrderEnded { order, end }) => {
                 self.on_ordered(shared, now, order, end, out);
             }
-            Msg::SendBeat {
+            Msg::SendHeartbeat {
                 serial,
                 control,
                 address,
-            } => self.send_beat(shared, now, (serial, control), address, out),
-            Msg::Beat(reply) => self.on_beat(shared, now, *reply, out),
+            } => self.send_heartbeat(shared, now, (serial, control), address, out),
+            Msg::HeartbeatReply(reply) => self.on_heartbeat_reply(shared, now, *reply, out),
             Msg::Replied { purpose, reply } => self.on_reply(shared, now, purpose, reply, out),
             Msg::Called { call, body } => self.on_called(shared, now, call, body, out),
             Msg::Queue {
@@ -122,7 +135,7 @@
             } => self.on_queue(shared, now, ticket, target, ask, out),
             Msg::Dequeue(ticket) => {
                 self.waits.left(ticket);
-                self.scheduler(shared, now, SchedulerInput::Cancel(ticket), out);
+                self.drive_scheduler(shared, now, SchedulerInput::Cancel(ticket), out);
             }
             Msg::Using {
                 ticket,
@@ -132,11 +145,13 @@
                 let engine = self.engines.entry(target).or_default();
                 engine.using.insert(ticket, key);
             }
-            Msg::Began(ticket) => self.scheduler(shared, now, SchedulerInput::Began(ticket), out),
+            Msg::Began(ticket) => {
+                self.drive_scheduler(shared, now, SchedulerInput::Began(ticket), out)
+            }
             Msg::Ended { ticket, ok } => self.on_ended(shared, now, ticket, ok, out),
             Msg::TextChanged => self.on_text(shared, now, out),
             Msg::FleetChanged => self.on_fleet(shared, now, out),
-            Msg::Drain => self.hold(shared, now, owner::Input::Renounce, out),
+            Msg::Drain => self.drive_lessee(shared, now, owner::Input::Renounce, out),
             Msg::Wake => self.on_wake(shared, now, out),
             _ => {}
         }
@@ -144,14 +159,14 @@
     }
 
     fn on_wake(&mut self, shared: &mut Shared, now: Time, out: &mut Out) {
-        if now.since(self.heard) >= SILENT {
-            self.budget_alone(shared, now, out);
+        if now.since(self.leader_heard) >= LEADER_TIMEOUT {
+            self.use_fixed_share(shared, now, out);
         }
-        self.hold(shared, now, owner::Input::Wake, out);
-        self.scheduler(shared, now, SchedulerInput::Wake, out);
+        self.drive_lessee(shared, now, owner::Input::Wake, out);
+        self.drive_scheduler(shared, now, SchedulerInput::Wake, out);
     }
 
-    /// Takes a request into the queue of an engine that is owned here.
+    /// Adds a request to the queue of an engine that is owned here.
     fn on_queue(
         &mut self,
         shared: &mut Shared,
@@ -162,24 +177,24 @@
         out: &mut Out,
     ) {
         let known = self.engines.get(&target);
-        let staying = stays(shared, target);
-        let ready = staying && known.is_some_and(|engine| engine.owned.is_some());
+        let live = is_live(shared, target);
+        let ready = live && known.is_some_and(|engine| engine.owned.is_some());
         if !ready {
             let failure = Failure::not_run(Refusal::Moved);
             out.send(ENTRY, Msg::Refused { ticket, failure });
             return;
         }
         if let (Some(key), Some(engine)) = (ask.key, known) {
-            let listed = engine.listed.contains(&key);
+            let published = engine.published.contains(&key);
             self.waits
-                .arrived(now, ticket, (target, key), ask.class, listed);
+                .arrived(now, ticket, (target, key), ask.class, published);
         }
         let input = SchedulerInput::Arrive {
             ticket,
             target,
             ask,
         };
-        self.scheduler(shared, now, input, out);
+        self.drive_scheduler(shared, now, input, out);
     }
 
     fn on_ended(
@@ -194,33 +209,40 @@
             .engines
             .iter_mut()
             .find_map(|(target, engine)| engine.using.remove(&ticket).map(|_| *target));
-        self.scheduler(shared, now, SchedulerInput::Finished { ticket, ok }, out);
+        self.drive_scheduler(shared, now, SchedulerInput::Finished { ticket, ok }, out);
         if let Some(target) = used {
-            self.tell_using(shared, now, target, out);
+            self.report_in_use(shared, now, target, out);
         }
     }
 
-    /// Hands one input to the scheduler and carries out what it wants.
-    fn scheduler(&mut self, shared: &mut Shared, now: Time, input: SchedulerInput, out: &mut Out) {
+    /// Hands one input to the scheduler and carries out its outputs.
+    fn drive_scheduler(
+        &mut self,
+        shared: &mut Shared,
+        now: Time,
+        input: SchedulerInput,
+        out: &mut Out,
+    ) {
         let mut inputs = vec![input];
         while let Some(input) = inputs.pop() {
-            let mut wants = Vec::new();
-            self.scheduler.handle(now, input, &mut wants);
-            for want in wants {
-                inputs.extend(self.carry_out(shared, now, want, out));
+            let mut outputs = Vec::new();
+            self.scheduler.handle(now, input, &mut outputs);
+            for output in outputs {
+                inputs.extend(self.carry_out(shared, now, output, out));
             }
         }
     }
 
-    /// Carries out one wish of the scheduler; returns what it has to hear at once.
+    /// Carries out one output of the scheduler; returns the input that it has to
+    /// receive next, if any.
     fn carry_out(
         &mut self,
         shared: &mut Shared,
         now: Time,
-        want: SchedulerOutput,
+        output: SchedulerOutput,
         out: &mut Out,
     ) -> Option<SchedulerInput> {
-        match want {
+        match output {
             SchedulerOutput::Send {
                 ticket,
                 target,
@@ -230,7 +252,7 @@
                 measure::waited(self.waits.refused(now, ticket), out);
                 out.send(ENTRY, Msg::Refused { ticket, failure });
             }
-            SchedulerOutput::Preempt(ticket) => out.send(ENTRY, Msg::GiveWay(ticket)),
+            SchedulerOutput::Preempt(ticket) => out.send(ENTRY, Msg::Preempt(ticket)),
             SchedulerOutput::Load { target, key } => {
                 return self.load(shared, now, target, key, out);
             }
@@ -247,21 +269,21 @@
                 worth,
             } => {
                 let change = residents::Change {
-                    whole,
+                    full: whole,
                     added,
                     removed,
                     running,
                     queued,
                     worth,
                 };
-                self.tell_residents(shared, now, target, change, out);
+                self.publish_residents(shared, now, target, change, out);
             }
             SchedulerOutput::Wake(at) => shared.wake(ENGINES, at),
         }
         None
     }
 
-    /// Lets a request go to its engine, if this instance may still send there.
+    /// Dispatches a request to its engine, if the lease still permits it.
     fn send(
         &mut self,
         shared: &mut Shared,
@@ -273,10 +295,10 @@
     ) -> Option<SchedulerInput> {
         let name = shared.names.target_name(target).clone();
         let fencing = fencing(shared, target);
-        // Guard: a request sent after the lease lapsed could meet an engine
-        // whose new owner is unloading the adapter. The holder compares the
-        // lease with the clock now, not with a timer that may be late.
-        if self.holder.may_send(now, &name, fencing).is_none() {
+        // Guard: after the lease expired, a new owner may be unloading the
+        // adapter that the request needs. The lessee compares the lease with
+        // the current time, not with a timer that may fire late.
+        if self.lessee.may_send(now, &name, fencing).is_none() {
             base::hit!(send_without_lease);
             let failure = Failure::not_run(Refusal::Moved);
             self.waits.left(ticket);
@@ -284,49 +306,53 @@
             return Some(SchedulerInput::Finished { ticket, ok: true });
         }
         measure::waited(self.waits.sent(now, ticket), out);
-        out.send(ENTRY, Msg::Turn { ticket, priority });
+        out.send(ENTRY, Msg::Dispatch { ticket, priority });
         None
     }
 
-    /// Tells the scheduler of adapters that were numbered since the last time.
-    fn teach(&mut self, shared: &mut Shared, now: Time, out: &mut Out) {
+    /// Sends the scheduler and the router the adapters that were interned since
+    /// the last call.
+    fn publish_new_adapters(&mut self, shared: &mut Shared, now: Time, out: &mut Out) {
         for (adapter, hash) in shared.names.take_new_adapters() {
-            self.scheduler(shared, now, SchedulerInput::Adapter { adapter, hash }, out);
-            out.send(ENTRY, Msg::News(News::Adapter { adapter, hash }));
+            self.drive_scheduler(shared, now, SchedulerInput::Adapter { adapter, hash }, out);
+            out.send(ENTRY, Msg::TargetUpdate(News::Adapter { adapter, hash }));
         }
     }
 
-    /// Tells the scheduler what its engines hold beyond the text in force: adapters
-    /// that operators removed, and what nobody here has loaded.
-    fn retire(&mut self, shared: &mut Shared, now: Time, out: &mut Out) {
-        let held = self
+    /// Tells the scheduler which resident adapters the text in force does not
+    /// name: adapters that operators removed, and unknown ones in an engine's
+    /// report. The scheduler unloads them.
+    fn update_retired(&mut self, shared: &mut Shared, now: Time, out: &mut Out) {
+        let resident = self
             .engines
             .values()
-            .flat_map(|engine| engine.held.iter().chain(&engine.listed));
-        let gone =
-            held.filter(|key| orders::weights(shared, &shared.names.resident(**key)).is_none());
-        let gone: BTreeSet<AdapterKey> = gone.copied().collect();
-        self.scheduler(shared, now, SchedulerInput::Retired(gone), out);
+            .flat_map(|engine| engine.resident.iter().chain(&engine.published));
+        let retired =
+            resident.filter(|key| orders::weights(shared, &shared.names.resident(**key)).is_none());
+        let retired: BTreeSet<AdapterKey> = retired.copied().collect();
+        self.drive_scheduler(shared, now, SchedulerInput::Retired(retired), out);
     }
 
-    /// Takes the queues of engines that the platform calls leaving apart.
+    /// Empties the queues of owned engines that the platform lists as leaving.
     ///
-    /// Guard: what waits in the queue of such an engine would still be sent to
-    /// it, long after the list's word, and be cut off when it stops. Refused as
-    /// `not run`, each request goes to another engine; those running go on.
+    /// Guard: queued requests would still be sent to such an engine long after
+    /// it was listed as leaving, and be cut off when it stops. They are refused
+    /// as `not run`, so that each goes to another engine; running requests
+    /// continue.
     fn on_fleet(&mut self, shared: &mut Shared, now: Time, out: &mut Out) {
         let owned = self.engines.iter();
-        let owned = owned.filter(|(_, engine)| engine.owned.is_some() && engine.life.is_some());
+        let owned =
+            owned.filter(|(_, engine)| engine.owned.is_some() && engine.incarnation.is_some());
         let leaving = owned.map(|(target, _)| *target);
-        let leaving: Vec<TargetNo> = leaving.filter(|target| !stays(shared, *target)).collect();
+        let leaving: Vec<TargetNo> = leaving.filter(|target| !is_live(shared, *target)).collect();
         for target in leaving {
             base::hit!(leaving_engine_emptied);
             let name = shared.names.target_name(target).clone();
             out.emit(Output::Event(Event::EngineLeaving(name)));
             if let Some(engine) = self.engines.get_mut(&target) {
-                engine.life = None;
+                engine.incarnation = None;
             }
-            self.scheduler(shared, now, SchedulerInput::Lost(target), out);
+            self.drive_scheduler(shared, now, SchedulerInput::Lost(target), out);
         }
     }
 
@@ -337,7 +363,7 @@
                 brand: shared.names.brand(name),
                 weight: brand.weight,
             };
-            self.scheduler(shared, now, input, out);
+            self.drive_scheduler(shared, now, input, out);
         }
         let mut rolled = Vec::new();
         for (name, adapter) in &model.adapters {
@@ -359,17 +385,17 @@
                 _ => {}
             }
         }
-        self.teach(shared, now, out);
-        self.retire(shared, now, out);
+        self.publish_new_adapters(shared, now, out);
+        self.update_retired(shared, now, out);
         for (old, new) in rolled {
-            self.scheduler(shared, now, SchedulerInput::Rolled { old, new }, out);
-            out.send(ENTRY, Msg::News(News::Rolled { old, new }));
+            self.drive_scheduler(shared, now, SchedulerInput::Rolled { old, new }, out);
+            out.send(ENTRY, Msg::TargetUpdate(News::Rolled { old, new }));
         }
     }
 }
 
-/// Tells whether the platform lists a target as staying.
-fn stays(shared: &Shared, target: TargetNo) -> bool {
+/// Returns whether the platform lists a target as live.
+fn is_live(shared: &Shared, target: TargetNo) -> bool {
     let info = shared.targets.get(&target);
     info.is_some_and(|info| info.listed.state == State::Live)
 }
--- a/crates/node/src/engines/calls.rs
+++ b/crates/node/src/engines/calls.rs
@@ -1,30 +1,30 @@
-//! Calls that this service makes and answers: heartbeats, confirmations,
-//! handovers, news of residents.
+//! Calls that this service makes and answers: heartbeats, confirmations of
+//! ownership, handovers of engines, published residents.
 
 use std::net::SocketAddr;
 
 use base::{InstanceName, Time, Verdict};
-use owner::Input as HolderInput;
+use owner::Input as LesseeInput;
 use route::Input as SchedulerInput;
 use wire::call::{Beat, Call, Reply, Share};
 
 use super::{Engines, residents};
 use crate::{
-    heartbeat::BEAT_LIMIT,
+    heartbeat::HEARTBEAT_TIMEOUT,
     io::Output,
-    msg::{BEAT, ENTRY, Msg},
+    msg::{ENTRY, HEARTBEAT, Msg},
     shared::{Out, Purpose, Shared},
 };
 
-/// Beats from one account of shares to the next.
+/// Every how many heartbeats the brands' shares are reported.
 const SHARES_EVERY: u64 = 5;
 
-/// Brands in one account, those with most tokens.
+/// Upper limit of brands in one report; those with the most tokens are kept.
 const SHARES_MAX: usize = 32;
 
 impl Engines {
-    /// Fills in a heartbeat and sends it.
-    pub(super) fn send_beat(
+    /// Builds a heartbeat and sends it.
+    pub(super) fn send_heartbeat(
         &mut self,
         shared: &mut Shared,
         now: Time,
@@ -32,9 +32,9 @@
         address: SocketAddr,
         out: &mut Out,
     ) {
-        let reach = self.reach(shared);
-        let news = self.told.as_ref() != Some(&reach);
-        self.told = Some(reach.clone());
+        let engines = self.zone_engines(shared);
+        let changed = self.reported.as_ref() != Some(&engines);
+        self.reported = Some(engines.clone());
         let settings = &shared.settings;
         let beat = Beat {
             instance: settings.name.clone(),
@@ -42,23 +42,32 @@
             incarnation: settings.incarnation,
             peer: settings.peer.to_string(),
             text: shared.version,
-            leaving: shared.draining || self.holder.leaving(),
+            leaving: shared.draining || self.lessee.leaving(),
             serial,
-            heard: self.holder.heard(),
-            roster: self.holder.roster(),
-            engines: news.then_some(reach),
-            busy: self.holder.busy(),
+            heard: self.lessee.heard(),
+            roster: self.lessee.roster(),
+            engines: changed.then_some(engines),
+            busy: self.lessee.busy(),
             loads: self.scheduler.loads_wanted(),
             shares: self.shares(shared, serial),
         };
-        // The lease counts from here: before the first byte leaves.
-        self.hold(shared, now, HolderInput::Sent { serial }, out);
-        let purpose = Purpose::Beat { serial, control };
-        shared.call(BEAT, purpose, address, Call::Beat(beat), BEAT_LIMIT, out);
+        // The lease is counted from before the heartbeat is sent, so that it
+        // never ends later here than at the leader.
+        self.drive_lessee(shared, now, LesseeInput::Sent { serial }, out);
+        let purpose = Purpose::Heartbeat { serial, control };
+        shared.call(
+            HEARTBEAT,
+            purpose,
+            address,
+            Call::Beat(beat),
+            HEARTBEAT_TIMEOUT,
+            out,
+        );
     }
 
-    /// Returns what brands got here, in every [`SHARES_EVERY`]th beat: operators
-    /// look at it, no decision needs it.
+    /// Returns the brands' shares of this instance's engines, in every
+    /// [`SHARES_EVERY`]th heartbeat. They are shown to operators; no decision
+    /// depends on them.
     fn shares(&self, shared: &Shared, serial: u64) -> Vec<Share> {
         if !serial.is_multiple_of(SHARES_EVERY) {
             return Vec::new();
@@ -78,9 +87,9 @@
         named.collect()
     }
 
-    /// Returns the engines of this zone that the list names live, and those
-    /// leaving that still have requests.
-    fn reach(&self, shared: &Shared) -> Vec<base::TargetName> {
+    /// Returns the engines of this zone in the platform's list, live and
+    /// leaving.
+    fn zone_engines(&self, shared: &Shared) -> Vec<base::TargetName> {
         let zone = &shared.settings.zone;
         let targets = shared.targets.values();
         let mine = targets.filter(|info| info.listed.zone == *zone && info.engine().is_some());
@@ -101,16 +110,16 @@
                 if reply.is_err() {
                     return;
                 }
-                let input = HolderInput::Confirmed {
+                let input = LesseeInput::Confirmed {
                     from: to,
                     target,
                     round,
                     granted,
                 };
-                self.hold(shared, now, input, out);
+                self.drive_lessee(shared, now, input, out);
             }
-            Purpose::Residents { to, target } if residents::asks_for_all(&reply) => {
-                self.tell_whole(shared, now, &to, &target, out);
+            Purpose::Residents { to, target } if residents::asks_for_full(&reply) => {
+                self.send_full(shared, now, &to, &target, out);
             }
             _ => {}
         }
@@ -126,20 +135,21 @@
     ) {
         let body = match body {
             Call::Confirm(ask) => {
-                let mut wants = Vec::new();
-                let granted = self.holder.confirm(now, &ask, &mut wants);
-                self.follow(shared, now, wants, out);
+                let mut outputs = Vec::new();
+                let granted = self.lessee.confirm(now, &ask, &mut outputs);
+                self.carry_out_lessee(shared, now, outputs, out);
                 Reply::Confirm { granted }
             }
             Call::Handover(handover) => {
-                self.hold(shared, now, HolderInput::Handover(handover), out);
-                // Whoever hands over waits for this instance to take the
-                // lease: it asks now rather than with its next beat.
-                out.send(BEAT, Msg::BeatNow);
+                self.drive_lessee(shared, now, LesseeInput::Handover(handover), out);
+                // The instance that hands over waits for this one to take the
+                // lease, which is requested now rather than with the next
+                // heartbeat.
+                out.send(HEARTBEAT, Msg::HeartbeatNow);
                 Reply::Done
             }
-            Call::Residents(news) => {
-                let granted = self.hear_residents(shared, now, news, out);
+            Call::Residents(message) => {
+                let granted = self.apply_residents(shared, now, message, out);
                 Reply::Confirm { granted }
             }
             _ => Reply::Done,
@@ -147,37 +157,40 @@
         out.emit(Output::Reply { call, body });
     }
 
-    /// Uses this zone's fixed part of the store's budget: the leader, silent
-    /// for as long as a lease, has set it aside by now.
-    pub(super) fn budget_alone(&mut self, shared: &mut Shared, now: Time, out: &mut Out) {
+    /// Limits loads to this instance's part of its zone's fixed share of the
+    /// weight store's rate. The leader reserves this share for a zone that it
+    /// has not heard from for the duration of a lease.
+    pub(super) fn use_fixed_share(&mut self, shared: &mut Shared, now: Time, out: &mut Out) {
         let rate = shared.model.store.rate;
-        let mates = self.holder.mates().count() + 1;
-        let part = owner::fixed_share(rate, self.holder.zones(), mates);
-        self.scheduler(shared, now, SchedulerInput::Budget(part), out);
+        let instances = self.lessee.mates().count() + 1;
+        let share = owner::fixed_share(rate, self.lessee.zones(), instances);
+        self.drive_scheduler(shared, now, SchedulerInput::Budget(share), out);
     }
 
-    /// Takes the roster's peers into the addresses that calls go to.
-    pub(super) fn learn_peers(&mut self, shared: &mut Shared, out: &mut Out) {
+    /// Updates the addresses of peers and the owners of engines from the
+    /// leader's roster.
+    pub(super) fn update_peers(&mut self, shared: &mut Shared, out: &mut Out) {
         let before = shared.peers.len();
-        // Guard: instances are replaced every day under new names; news for
-        // those long gone would be sent for ever, and each call waited for.
-        let (holder, listed) = (&self.holder, &shared.listed);
+        // Guard: instances are replaced every day under new names. Without this
+        // removal, changes would be sent forever to those that are gone, and
+        // each such call would wait for its time limit.
+        let (lessee, listed) = (&self.lessee, &shared.listed);
         shared
             .peers
-            .retain(|name, _| holder.peers().contains_key(name) || listed.contains(name));
-        for (name, peer) in self.holder.peers() {
+            .retain(|name, _| lessee.peers().contains_key(name) || listed.contains(name));
+        for (name, peer) in self.lessee.peers() {
             if let Ok(address) = peer.address.parse() {
                 shared.peers.insert(name.clone(), address);
             }
         }
-        for (name, peer) in self.holder.peers() {
+        for (name, peer) in self.lessee.peers() {
             for (target, fence) in &peer.owns {
                 let target = shared.names.target(target);
                 out.send(ENTRY, Msg::Owner(target, name.clone(), *fence));
             }
         }
         if shared.peers.len() != before {
-            self.told = None;
+            self.reported = None;
         }
     }
 }
--- a/crates/node/src/engines/measure.rs
+++ b/crates/node/src/engines/measure.rs
@@ -1,5 +1,5 @@
-//! What the users measure: load stalls and batch efficiency, and the loads
-//! behind them.
+//! Measures the load stalls and the batch efficiency of owned engines, and
+//! reports their loads and unloads.
 
 #[cfg(test)]
 mod tests;
@@ -16,12 +16,11 @@
     shared::{Out, Shared},
 };
 
-/// Requests that wait at engines owned here, each until it is sent for the
-/// first time.
+/// The requests queued for engines owned here, each until it is first sent.
 #[derive(Debug, Default)]
 pub(super) struct Waits {
     requests: BTreeMap<Ticket, Wait>,
-    /// Loads under way.
+    /// Loads that were ordered and have not ended.
     loads: BTreeSet<(TargetNo, AdapterKey)>,
 }
 
@@ -31,53 +30,56 @@
     key: AdapterKey,
     class: Class,
     since: Time,
-    /// When the engine held the adapter; none while it doesn't.
-    held: Option<Time>,
+    /// When the adapter became resident; none until it is.
+    resident: Option<Time>,
 }
 
-/// How long a request waited.
+/// Time that a request waited, by cause.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Waited {
     class: Class,
-    /// For its adapter.
+    /// Wait for the adapter to be loaded.
     stall: Duration,
-    /// For a place beside that, if it got one.
+    /// Wait for a place in the batch after that; none if it got no place.
     queued: Option<Duration>,
 }
 
 impl Waits {
-    /// Notes a request; `listed` says whether the engine is known to hold its
-    /// adapter. Engines are listed as holders from the begin of an awaited
-    /// load on, so a load under way goes before that.
+    /// Records a request that enters a queue.
+    ///
+    /// `published` says whether its adapter is published as resident. That
+    /// happens as soon as an awaited load begins, so an adapter that is still
+    /// loading does not count as resident.
     pub(super) fn arrived(
         &mut self,
         now: Time,
         ticket: Ticket,
         (target, key): (TargetNo, AdapterKey),
         class: Class,
-        listed: bool,
+        published: bool,
     ) {
         let loading = self.loads.contains(&(target, key));
-        if listed && loading {
+        if published && loading {
             base::hit!(joins_a_load);
         }
-        let held = listed && !loading;
+        let resident = published && !loading;
         let wait = Wait {
             target,
             key,
             class,
             since: now,
-            held: held.then_some(now),
+            resident: resident.then_some(now),
         };
         self.requests.insert(ticket, wait);
     }
 
-    /// Notes that a load was ordered.
+    /// Records that a load was ordered.
     pub(super) fn load_begun(&mut self, load: (TargetNo, AdapterKey)) {
         self.loads.insert(load);
     }
 
-    /// Ends the stall of those that waited for this load, if it is `done`.
+    /// Records the end of a load; if it is `done`, the requests that waited for
+    /// it are no longer stalled.
     pub(super) fn load_ended(&mut self, now: Time, load: (TargetNo, AdapterKey), done: bool) {
         self.loads.remove(&load);
         if !done {
@@ -85,24 +87,24 @@
         }
         for wait in self.requests.values_mut() {
             if (wait.target, wait.key) == load {
-                wait.held.get_or_insert(now);
+                wait.resident.get_or_insert(now);
             }
         }
     }
 
-    /// Ends the wait of a request that is sent for the first time.
+    /// Returns the wait of a request that is sent for the first time.
     pub(super) fn sent(&mut self, now: Time, ticket: Ticket) -> Option<Waited> {
         let wait = self.requests.remove(&ticket)?;
-        let held = wait.held.unwrap_or(now);
+        let resident = wait.resident.unwrap_or(now);
         Some(Waited {
             class: wait.class,
-            stall: held.since(wait.since),
-            queued: Some(now.since(held)),
+            stall: resident.since(wait.since),
+            queued: Some(now.since(resident)),
         })
     }
 
-    /// Ends the wait of a request that is given up. It counts as a stall, too:
-    /// left out, the longest ones would be those that nobody sees.
+    /// Returns the wait of a request that is refused. It counts as a stall as
+    /// well: otherwise the longest stalls would be missing from the metric.
     pub(super) fn refused(&mut self, now: Time, ticket: Ticket) -> Option<Waited> {
         let waited = self.sent(now, ticket)?;
         Some(Waited {
@@ -111,13 +113,13 @@
         })
     }
 
-    /// Forgets a request whose caller left, or that moves on.
+    /// Removes a request whose caller left, or that goes to another engine.
     pub(super) fn left(&mut self, ticket: Ticket) {
         self.requests.remove(&ticket);
     }
 }
 
-/// Reports how long a request waited.
+/// Emits the metrics of a request's wait.
 pub(super) fn waited(waited: Option<Waited>, out: &mut Out) {
     let Some(waited) = waited else { return };
     let class = waited.class;
@@ -127,7 +129,7 @@
     }
 }
 
-/// Reports how much of an engine's batch is in use.
+/// Emits the use of an engine's batch.
 pub(super) fn batch(shared: &Shared, target: TargetNo, running: u32, out: &mut Out) {
     let Some(info) = shared.targets.get(&target) else {
         return;
@@ -142,7 +144,7 @@
     }
 }
 
-/// Reports the end of an order to load.
+/// Emits the end of an order to load.
 pub(super) fn load_ended(
     shared: &Shared,
     (target, key): (TargetNo, AdapterKey),
@@ -162,7 +164,7 @@
     }));
 }
 
-/// Reports an unload.
+/// Emits an unload.
 pub(super) fn unloaded(shared: &Shared, target: TargetNo, key: AdapterKey, out: &mut Out) {
     let name = shared.names.target_name(target).clone();
     let resident = shared.names.resident(key);
--- a/crates/node/src/engines/measure/tests.rs
+++ b/crates/node/src/engines/measure/tests.rs
@@ -1,4 +1,4 @@
-//! What counts as a load stall.
+//! Tests of what counts as a load stall.
 
 use base::{AdapterNo, Version};
 use googletest::prelude::*;
@@ -23,12 +23,12 @@
     })
 }
 
-/// A performer's request starts a load; a second one comes while it runs, and
-/// a third after it. The directory lists the engine as a holder from the begin
-/// of the load on, so by the directory alone the second one would have found
-/// its adapter and its stall would be lost in the queue's wait.
+/// A request starts a load, a second one arrives during the load, a third one
+/// after it. The adapter is published as resident from the beginning of the
+/// load, so without a look at running loads the stall of the second request
+/// would be counted as time in the queue.
 #[test]
-fn a_request_that_joins_a_load_is_stalled() {
+fn a_request_that_arrives_during_a_load_is_stalled() {
     base::covers!(joins_a_load);
     let mut waits = Waits::default();
     waits.arrived(at(0), Ticket(1), LOAD, Class::Live, false);
@@ -42,10 +42,10 @@
     assert_that!(waits.sent(at(70), Ticket(1)), none());
 }
 
-/// A load fails, and the request is given up before another one ends: it has
-/// stalled all the time, and never had a place.
+/// A load fails and the request is refused before another load ends: all its
+/// time in the queue is a stall, as it never got a place in the batch.
 #[test]
-fn a_request_that_is_given_up_is_stalled() {
+fn a_refused_request_is_stalled() {
     let mut waits = Waits::default();
     waits.arrived(at(0), Ticket(1), LOAD, Class::Live, false);
     waits.arrived(at(0), Ticket(2), LOAD, Class::Live, false);
--- a/crates/node/src/engines/orders.rs
+++ b/crates/node/src/engines/orders.rs
@@ -1,8 +1,8 @@
-//! Orders to engines: each checked against the lease immediately before it
-//! goes out, and its answer against what the engine went through meanwhile.
+//! Orders to engines. Each is checked against the lease immediately before it
+//! is sent, and its result is ignored if the engine restarted meanwhile.
 
 use base::{AdapterKey, Fence, TargetNo, Time};
-use owner::Order as Ask;
+use owner::Order as OrderKind;
 use route::{Input as SchedulerInput, LoadEnd};
 use wire::engine::Resident;
 
@@ -12,28 +12,31 @@
     shared::{Out, Shared},
 };
 
-/// What an order was, until it ends.
+/// An outstanding order, with the fencing number it was sent under.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Sent {
+    /// A load, and when it was sent.
     Load(TargetNo, AdapterKey, Fence, Time),
     Unload(TargetNo, AdapterKey, Fence),
-    /// A load of something resident, which only makes the engine refuse
-    /// earlier owners.
-    Touch(TargetNo, AdapterKey, Fence),
+    /// A load of an adapter that is already resident, which makes the engine
+    /// refuse the orders of earlier owners.
+    RaiseFence(TargetNo, AdapterKey, Fence),
 }
 
 impl Sent {
     fn target(self) -> TargetNo {
         match self {
-            Sent::Load(target, ..) | Sent::Unload(target, ..) | Sent::Touch(target, ..) => target,
+            Sent::Load(target, ..) | Sent::Unload(target, ..) | Sent::RaiseFence(target, ..) => {
+                target
+            }
         }
     }
 
     fn fence(self) -> Fence {
         match self {
-            Sent::Load(_, _, fence, _) | Sent::Unload(_, _, fence) | Sent::Touch(_, _, fence) => {
-                fence
-            }
+            Sent::Load(_, _, fence, _)
+            | Sent::Unload(_, _, fence)
+            | Sent::RaiseFence(_, _, fence) => fence,
         }
     }
 }
@@ -55,8 +58,8 @@
         };
         let name = shared.names.target_name(target).clone();
         let may = self
-            .holder
-            .may_order(now, &name, Ask::Load, fencing(shared, target));
+            .lessee
+            .may_order(now, &name, OrderKind::Load, fencing(shared, target));
         let Some(fence) = may else {
             return Some(failed);
         };
@@ -84,8 +87,8 @@
         let resident = shared.names.resident(key);
         let name = shared.names.target_name(target).clone();
         let fencing = fencing(shared, target);
-        let ask = Ask::Unload(&resident);
-        let Some(fence) = self.holder.may_order(now, &name, ask, fencing) else {
+        let kind = OrderKind::Unload(&resident);
+        let Some(fence) = self.lessee.may_order(now, &name, kind, fencing) else {
             return Some(SchedulerInput::Unloaded {
                 target,
                 key,
@@ -96,7 +99,7 @@
             target: name,
             resident: resident.clone(),
         };
-        self.hold(shared, now, input, out);
+        self.drive_lessee(shared, now, input, out);
         let body = Order::Unload(resident);
         let sent = Sent::Unload(target, key, fence);
         self.order(shared, target, body, fence, sent, out);
@@ -142,14 +145,14 @@
             return;
         };
         let name = shared.names.target_name(sent.target()).clone();
-        // What an order did to an engine that has restarted since is gone.
-        let stands = shared.watched.ordered(&name, watch).is_ok();
+        // An engine that restarted since has lost the effect of the order.
+        let valid = shared.watched.ordered(&name, watch).is_ok();
         if end == OrderEnd::Fenced {
             let fence = sent.fence();
             out.emit(Output::Event(Event::Fenced(name.clone(), fence)));
         }
         let fresh = end == OrderEnd::Done;
-        let done = stands && (fresh || end == OrderEnd::AlreadyLoaded);
+        let done = valid && (fresh || end == OrderEnd::AlreadyLoaded);
         match sent {
             Sent::Load(target, key, fence, begun) => {
                 self.waits.load_ended(now, (target, key), done);
@@ -162,7 +165,7 @@
                 }
                 let end = self.load_end(target, done, fresh);
                 let input = SchedulerInput::Loaded { target, key, end };
-                self.scheduler(shared, now, input, out);
+                self.drive_scheduler(shared, now, input, out);
             }
             Sent::Unload(target, key, _) => {
                 if done {
@@ -170,21 +173,21 @@
                 }
                 let ok = done;
                 let input = SchedulerInput::Unloaded { target, key, ok };
-                self.scheduler(shared, now, input, out);
+                self.drive_scheduler(shared, now, input, out);
             }
-            Sent::Touch(target, key, fence) if done => {
+            Sent::RaiseFence(target, key, fence) if done => {
                 self.note_loaded(shared, now, target, key, (fence, fresh), out);
             }
-            Sent::Touch(..) => {}
+            Sent::RaiseFence(..) => {}
         }
     }
 
-    /// Returns how a load ends for the scheduler: only what is `Done` takes
-    /// requests.
+    /// Returns the result of a load for the scheduler, which only sends requests
+    /// to an adapter whose load is `Done`.
     ///
-    /// Guard: without a lease another owner may exist; what it has loaded it
-    /// may unload, under a request sent from here. Only an adapter that this
-    /// order loaded afresh is used.
+    /// Guard: without a valid lease there may be another owner, which could
+    /// unload an adapter that it has loaded while a request from here runs on
+    /// it. Only an adapter that this order itself loaded is used.
     fn load_end(&self, target: TargetNo, done: bool, fresh: bool) -> LoadEnd {
         if done && (fresh || !self.restricted(target)) {
             LoadEnd::Done
@@ -194,14 +197,15 @@
     }
 }
 
-/// Returns where the weights of `resident` lie, by the text in force.
+/// Returns the path of `resident`'s weights in the weight store; none if the
+/// text in force doesn't name this adapter and version.
 pub(super) fn weights(shared: &Shared, resident: &Resident) -> Option<String> {
     let adapter = shared.model.adapters.get(&resident.adapter)?;
     let known = adapter.versions.contains(&resident.version);
     known.then(|| adapter.weights_of(resident.version))
 }
 
-/// Tells whether an engine refuses orders under an old fencing number.
+/// Returns whether an engine refuses orders with an old fencing number.
 pub(super) fn fencing(shared: &Shared, target: TargetNo) -> bool {
     let info = shared.targets.get(&target).and_then(|info| info.engine());
     info.is_some_and(|engine| engine.fencing)
--- a/crates/node/src/engines/ownership.rs
+++ b/crates/node/src/engines/ownership.rs
@@ -1,7 +1,8 @@
-//! What changes of ownership mean for the scheduler, and the holder's messages.
+//! Drives the lessee: carries out its outputs, and tells the scheduler what a
+//! change of ownership permits.
 
 use base::{Fence, Incarnation, TargetName, TargetNo, Time};
-use owner::{Input as HolderInput, Output as HolderOutput, Own};
+use owner::{Input as LesseeInput, Output as LesseeOutput, Own};
 use route::{Engine as Owned, Input as SchedulerInput, Ordering};
 use wire::call::{BeatReply, Call};
 
@@ -9,52 +10,53 @@
 use crate::{
     io::{Event, Order, Output},
     msg::ENGINES,
-    shared::{CALL_LIMIT, Out, Purpose, Shared},
+    shared::{CALL_TIMEOUT, Out, Purpose, Shared},
 };
 
 impl Engines {
-    /// Hands one input to the holder and carries out what it wants.
-    pub(super) fn hold(
+    /// Hands one input to the lessee and carries out its outputs.
+    pub(super) fn drive_lessee(
         &mut self,
         shared: &mut Shared,
         now: Time,
-        input: HolderInput,
+        input: LesseeInput,
         out: &mut Out,
     ) {
-        let mut wants = Vec::new();
-        self.holder.handle(now, input, &mut wants);
-        self.follow(shared, now, wants, out);
+        let mut outputs = Vec::new();
+        self.lessee.handle(now, input, &mut outputs);
+        self.carry_out_lessee(shared, now, outputs, out);
     }
 
-    pub(super) fn follow(
+    /// Carries out outputs of the lessee.
+    pub(super) fn carry_out_lessee(
         &mut self,
         shared: &mut Shared,
         now: Time,
-        wants: Vec<HolderOutput>,
+        outputs: Vec<LesseeOutput>,
         out: &mut Out,
     ) {
-        for want in wants {
-            match want {
-                HolderOutput::Ask { to, round, confirm } => {
+        for output in outputs {
+            match output {
+                LesseeOutput::Ask { to, round, confirm } => {
                     let Some(address) = shared.peers.get(&to).copied() else {
                         continue;
                     };
                     let target = confirm.target.clone();
                     let purpose = Purpose::Confirm { to, target, round };
                     let body = Call::Confirm(confirm);
-                    shared.call(ENGINES, purpose, address, body, CALL_LIMIT, out);
+                    shared.call(ENGINES, purpose, address, body, CALL_TIMEOUT, out);
                 }
-                HolderOutput::Changed { target, own } => {
+                LesseeOutput::Changed { target, own } => {
                     self.on_changed(shared, now, &target, own, out);
                 }
-                HolderOutput::Handover { to, handover } => {
+                LesseeOutput::Handover { to, handover } => {
                     if let Some(address) = shared.peers.get(&to).copied() {
                         let body = Call::Handover(handover);
                         let purpose = Purpose::Handover;
-                        shared.call(ENGINES, purpose, address, body, CALL_LIMIT, out);
+                        shared.call(ENGINES, purpose, address, body, CALL_TIMEOUT, out);
                     }
                 }
-                HolderOutput::Wake(at) => shared.wake(ENGINES, at),
+                LesseeOutput::Wake(at) => shared.wake(ENGINES, at),
             }
         }
     }
@@ -71,14 +73,14 @@
         let engine = self.engines.entry(target).or_default();
         engine.owned = (own != Own::None).then_some(own);
         if own == Own::None {
-            engine.life = None;
+            engine.incarnation = None;
             out.emit(Output::Event(Event::Lost(name.clone())));
-            self.scheduler(shared, now, SchedulerInput::Lost(target), out);
-            self.tell_using(shared, now, target, out);
+            self.drive_scheduler(shared, now, SchedulerInput::Lost(target), out);
+            self.report_in_use(shared, now, target, out);
             return;
         }
-        // What the engine holds now is for its next report to say.
-        engine.polled = Time::ZERO;
+        // Polls the engine at once, as its resident adapters are not known.
+        engine.last_poll = Time::ZERO;
         let event = match own {
             Own::Full { fence } => Some(Event::Owns(name.clone(), fence)),
             Own::Restricted { fence } => Some(Event::Restricted(name.clone(), fence)),
@@ -87,22 +89,28 @@
         if let Some(event) = event {
             out.emit(Output::Event(event));
         }
-        self.own(shared, now, target, out);
+        self.publish_owned(shared, now, target, out);
     }
 
-    /// Tells the scheduler of an engine that is owned and has been seen.
-    pub(super) fn own(&mut self, shared: &mut Shared, now: Time, target: TargetNo, out: &mut Out) {
+    /// Sends the scheduler an engine that is owned and has reported.
+    pub(super) fn publish_owned(
+        &mut self,
+        shared: &mut Shared,
+        now: Time,
+        target: TargetNo,
+        out: &mut Out,
+    ) {
         let Some(engine) = self.engines.get(&target) else {
             return;
         };
-        let (Some(own), Some(life)) = (engine.owned, engine.life) else {
+        let (Some(own), Some(incarnation)) = (engine.owned, engine.incarnation) else {
             return;
         };
-        if !super::stays(shared, target) {
+        if !super::is_live(shared, target) {
             return;
         }
-        let held = engine.held.clone();
-        let Some(owned) = owned(shared, target, own, life) else {
+        let held = engine.resident.clone();
+        let Some(owned) = owned(shared, target, own, incarnation) else {
             return;
         };
         let input = SchedulerInput::Owned {
@@ -110,14 +118,15 @@
             held,
             inherited: true,
         };
-        self.scheduler(shared, now, input, out);
-        self.retire(shared, now, out);
-        self.touch(shared, now, target, out);
+        self.drive_scheduler(shared, now, input, out);
+        self.update_retired(shared, now, out);
+        self.raise_fence(shared, now, target, out);
     }
 
-    /// Orders a load of something resident, so that an engine that checks
-    /// fencing numbers refuses earlier owners from now on.
-    pub(super) fn touch(
+    /// Orders the load of an adapter that is resident already, if earlier owners
+    /// may still give orders: an engine that checks fencing numbers refuses
+    /// theirs once it has received this one.
+    pub(super) fn raise_fence(
         &mut self,
         shared: &mut Shared,
         now: Time,
@@ -125,11 +134,11 @@
         out: &mut Out,
     ) {
         let name = shared.names.target_name(target).clone();
-        let due = self.holder.untouched().any(|open| *open == name);
+        let due = self.lessee.untouched().any(|open| *open == name);
         let Some(engine) = self.engines.get(&target) else {
             return;
         };
-        let Some(key) = engine.held.first().copied().filter(|_| due) else {
+        let Some(key) = engine.resident.first().copied().filter(|_| due) else {
             return;
         };
         let resident = shared.names.resident(key);
@@ -145,12 +154,13 @@
             target,
             body,
             fence,
-            Sent::Touch(target, key, fence),
+            Sent::RaiseFence(target, key, fence),
             out,
         );
     }
 
-    /// Notes a load that the engine confirmed.
+    /// Tells the lessee of a load that the engine confirmed. `fresh` is false if
+    /// the adapter was resident before.
     pub(super) fn note_loaded(
         &mut self,
         shared: &mut Shared,
@@ -160,18 +170,18 @@
         (fence, fresh): (Fence, bool),
         out: &mut Out,
     ) {
-        let input = HolderInput::Loaded {
+        let input = LesseeInput::Loaded {
             target: shared.names.target_name(target).clone(),
             fence,
             resident: shared.names.resident(key),
             fresh,
         };
-        self.hold(shared, now, input, out);
+        self.drive_lessee(shared, now, input, out);
     }
 
-    /// Tells the holder what this instance's requests still use at an engine
-    /// that it lost.
-    pub(super) fn tell_using(
+    /// Tells the lessee which adapters this instance's requests still use on an
+    /// engine that it no longer owns; the lessee reports it to the new owner.
+    pub(super) fn report_in_use(
         &mut self,
         shared: &mut Shared,
         now: Time,
@@ -187,35 +197,37 @@
         let adapters = engine.using.values();
         let adapters = adapters.map(|key| shared.names.resident(*key)).collect();
         let target = shared.names.target_name(target).clone();
-        self.hold(shared, now, HolderInput::Using { target, adapters }, out);
+        self.drive_lessee(shared, now, LesseeInput::Using { target, adapters }, out);
     }
 
-    pub(super) fn on_beat(
+    pub(super) fn on_heartbeat_reply(
         &mut self,
         shared: &mut Shared,
         now: Time,
         reply: BeatReply,
         out: &mut Out,
     ) {
-        self.heard = now;
+        self.leader_heard = now;
         if reply.tell {
-            self.told = None;
+            self.reported = None;
         }
-        self.scheduler(shared, now, SchedulerInput::Budget(reply.loads), out);
-        self.hold(shared, now, HolderInput::Reply(reply), out);
-        self.learn_peers(shared, out);
+        self.drive_scheduler(shared, now, SchedulerInput::Budget(reply.loads), out);
+        self.drive_lessee(shared, now, LesseeInput::Reply(reply), out);
+        self.update_peers(shared, out);
     }
 
     /// Returns the fencing number under which `target` is owned here.
     pub(super) fn fence(&self, now: Time, target: &TargetName) -> Option<Fence> {
-        match self.holder.own(now, target) {
+        match self.lessee.own(now, target) {
             Own::Full { fence } | Own::Restricted { fence } => Some(fence),
             Own::None => None,
         }
     }
 }
 
-fn owned(shared: &Shared, target: TargetNo, own: Own, life: Incarnation) -> Option<Owned> {
+/// Returns the scheduler's view of an owned engine; none unless the text in
+/// force names the target's pool as one of engines.
+fn owned(shared: &Shared, target: TargetNo, own: Own, incarnation: Incarnation) -> Option<Owned> {
     let engine = shared.targets.get(&target)?.engine()?;
     let ordering = match own {
         Own::Full { .. } => Ordering::Full,
@@ -225,7 +237,7 @@
     };
     Some(Owned {
         target,
-        incarnation: life,
+        incarnation,
         slots: engine.slots,
         batch: engine.batch,
         ordering,
--- a/crates/node/src/engines/reports.rs
+++ b/crates/node/src/engines/reports.rs
@@ -1,5 +1,5 @@
-//! Engines' reports: asked for regularly, and taken only when nothing has
-//! overtaken them.
+//! Polls the owned engines for their reports, and drops reports that are
+//! outdated when they arrive.
 
 use std::time::Duration;
 
@@ -16,15 +16,16 @@
     shared::{Out, Shared},
 };
 
-/// How often an owned engine is asked for its report.
-const POLL_EVERY: Duration = Duration::from_millis(500);
+/// Time between two polls of an owned engine.
+const POLL_INTERVAL: Duration = Duration::from_millis(500);
 
-/// A question for a report, until it is answered.
+/// An outstanding poll of an engine.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Poll {
     target: TargetNo,
+    /// Tells whether an event has made the answer outdated meanwhile.
     watch: Watch,
-    begun: Time,
+    sent: Time,
 }
 
 impl Engines {
@@ -44,33 +45,33 @@
         let Some(report) = report else {
             if shared.watched.failed(&name, poll.watch).is_ok() {
                 self.note_silent(target, &name, true, out);
-                out.send(ENTRY, Msg::News(News::Reachable(target, false)));
+                out.send(ENTRY, Msg::TargetUpdate(News::Reachable(target, false)));
             }
             return;
         };
-        let life = report.incarnation;
+        let incarnation = report.incarnation;
         let look = shared
             .watched
-            .finish(&name, poll.watch, poll.begun, Some(life));
+            .finish(&name, poll.watch, poll.sent, Some(incarnation));
         let Ok(look) = look else {
             return;
         };
         self.note_silent(target, &name, false, out);
-        out.send(ENTRY, Msg::News(News::Reachable(target, true)));
+        out.send(ENTRY, Msg::TargetUpdate(News::Reachable(target, true)));
         if look == Look::Restarted {
             let input = owner::Input::Restarted {
                 target: name.clone(),
             };
-            self.hold(shared, now, input, out);
+            self.drive_lessee(shared, now, input, out);
             if let Some(engine) = self.engines.get_mut(&target) {
-                engine.held.clear();
+                engine.resident.clear();
             }
             out.emit(Output::Event(Event::EngineRestarted(name)));
         }
         self.take_report(shared, now, &poll, report, out);
     }
 
-    /// Tells operators when an engine falls silent and when it is back.
+    /// Logs when an engine stops answering polls and when it answers again.
     fn note_silent(&mut self, target: TargetNo, name: &TargetName, silent: bool, out: &mut Out) {
         let engine = self.engines.entry(target).or_default();
         if std::mem::replace(&mut engine.silent, silent) != silent {
@@ -88,24 +89,24 @@
         out: &mut Out,
     ) {
         let target = poll.target;
-        let taken = poll.begun - Duration::from_millis(report.age_ms);
+        let taken = poll.sent - Duration::from_millis(report.age_ms);
         let mut held = Vec::new();
         for one in &report.resident {
             if let Ok(resident) = one.lora_name.parse() {
                 held.push((shared.names.key(&resident), one.in_use));
             }
         }
-        self.drop_unlearned(target, &mut held);
+        self.drop_unknown(target, &mut held);
         let engine = self.engines.entry(target).or_default();
-        let new = engine.life != Some(report.incarnation);
-        engine.life = Some(report.incarnation);
-        engine.held = held.iter().map(|(key, _)| *key).collect();
-        self.teach(shared, now, out);
+        let new = engine.incarnation != Some(report.incarnation);
+        engine.incarnation = Some(report.incarnation);
+        engine.resident = held.iter().map(|(key, _)| *key).collect();
+        self.publish_new_adapters(shared, now, out);
         if new {
-            out.send(ENTRY, Msg::Life(target, report.incarnation));
-            self.own(shared, now, target, out);
+            out.send(ENTRY, Msg::Incarnation(target, report.incarnation));
+            self.publish_owned(shared, now, target, out);
         } else {
-            self.touch(shared, now, target, out);
+            self.raise_fence(shared, now, target, out);
         }
         measure::batch(shared, target, report.running, out);
         let load = Report {
@@ -116,35 +117,35 @@
             waiting: report.waiting,
             cached: report.cached,
         };
-        out.send(ENTRY, Msg::News(News::Report(load)));
+        out.send(ENTRY, Msg::TargetUpdate(News::Report(load)));
         let input = SchedulerInput::Report {
             target,
             incarnation: report.incarnation,
             taken,
             held,
         };
-        self.scheduler(shared, now, input, out);
+        self.drive_scheduler(shared, now, input, out);
     }
 
-    /// Asks each engine that is due for its report.
+    /// Polls each owned engine that is due.
     pub(super) fn poll(&mut self, shared: &mut Shared, now: Time, out: &mut Out) {
         for (target, engine) in &mut self.engines {
             let Some(info) = shared.targets.get(target) else {
                 continue;
             };
-            if engine.owned.is_none() || now < engine.polled + POLL_EVERY {
+            if engine.owned.is_none() || now < engine.last_poll + POLL_INTERVAL {
                 continue;
             }
             let name = info.listed.name.clone();
             let Some(watch) = shared.watched.begin(&name) else {
                 continue;
             };
-            engine.polled = now;
+            engine.last_poll = now;
             self.next_poll += 1;
             let poll = Poll {
                 target: *target,
                 watch,
-                begun: now,
+                sent: now,
             };
             self.polls.insert(self.next_poll, poll);
             out.emit(Output::Poll {
@@ -153,26 +154,27 @@
                 address: info.address,
             });
         }
-        shared.wake(ENGINES, now + POLL_EVERY);
+        shared.wake(ENGINES, now + POLL_INTERVAL);
     }
 
-    /// Leaves out what this instance may not learn from a report.
+    /// Without a valid lease, removes adapters from a report that this instance
+    /// did not know to be resident before.
     ///
-    /// Guard: an owner without a lease sees in a report what its successor has
-    /// loaded, and would send requests there that the successor knows nothing
-    /// of; it would unload the adapter under them. Only what was known before
-    /// stays, and nothing of it once the engine has restarted.
-    fn drop_unlearned(&self, target: TargetNo, held: &mut Vec<(AdapterKey, u32)>) {
+    /// Guard: another owner may have loaded them. This instance would send
+    /// requests that use them, and the other owner, which doesn't know of these
+    /// requests, would unload the adapters while they run. After a restart of
+    /// the engine no adapter is known.
+    fn drop_unknown(&self, target: TargetNo, resident: &mut Vec<(AdapterKey, u32)>) {
         let Some(engine) = self.engines.get(&target) else {
             return;
         };
         if self.restricted(target) {
-            base::hit!(restricted_learns_nothing);
-            held.retain(|(key, _)| engine.held.contains(key));
+            base::hit!(restricted_ignores_new_residents);
+            resident.retain(|(key, _)| engine.resident.contains(key));
         }
     }
 
-    /// Tells whether an engine is owned here without a valid lease.
+    /// Returns whether an engine is owned here without a valid lease.
     pub(super) fn restricted(&self, target: TargetNo) -> bool {
         let owned = self.engines.get(&target).and_then(|engine| engine.owned);
         matches!(owned, Some(Own::Restricted { .. }))
--- a/crates/node/src/engines/residents.rs
+++ b/crates/node/src/engines/residents.rs
@@ -1,8 +1,9 @@
-//! Tells the other entry instances what the owned engines hold, and hears it
-//! from them.
+//! Publishes the resident adapters and the load of owned engines to the other
+//! entry instances, and applies what they publish about theirs.
 //!
-//! Only changes travel. Each message carries a serial under the owner's
-//! fencing number; whoever finds a hole says so in its reply and gets all.
+//! Messages carry changes only, and are numbered per engine under the owner's
+//! fencing number. A receiver that finds a gap says so in its reply and is sent
+//! the full state.
 
 use std::net::SocketAddr;
 
@@ -13,13 +14,14 @@
 use super::Engines;
 use crate::{
     msg::{ENGINES, ENTRY, Msg},
-    shared::{CALL_LIMIT, Out, Purpose, Shared},
+    shared::{CALL_TIMEOUT, Out, Purpose, Shared},
 };
 
-/// What changed at an engine.
+/// A change of an engine's resident adapters and load; see `route::Residents`.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Change {
-    pub(super) whole: bool,
+    /// Whether `added` is the full set of resident adapters.
+    pub(super) full: bool,
     pub(super) added: Vec<AdapterKey>,
     pub(super) removed: Vec<AdapterKey>,
     pub(super) running: u32,
@@ -27,16 +29,16 @@
     pub(super) worth: u32,
 }
 
-/// What this instance has heard of another owner's engine.
+/// The last message applied about an engine that another instance owns.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Heard {
+pub(super) struct Position {
     fence: u64,
     serial: u64,
 }
 
 impl Engines {
-    /// Tells this instance's own router and all peers.
-    pub(super) fn tell_residents(
+    /// Sends a change to this instance's own router and to all peers.
+    pub(super) fn publish_residents(
         &mut self,
         shared: &mut Shared,
         now: Time,
@@ -48,31 +50,31 @@
         let Some(fence) = self.fence(now, &name) else {
             return;
         };
-        let news = Residents {
+        let update = Residents {
             target,
             fence,
-            whole: change.whole,
+            whole: change.full,
             added: change.added.clone(),
             removed: change.removed.clone(),
             running: change.running,
             queued: change.queued,
             worth: change.worth,
         };
-        out.send(ENTRY, Msg::News(News::Residents(news)));
-        self.remember(target, &change);
+        out.send(ENTRY, Msg::TargetUpdate(News::Residents(update)));
+        self.record_published(target, &change);
         let serial = self.serials.entry(target).or_default();
         *serial += 1;
-        let body = self.residents(shared, now, &name, target, &change);
+        let body = self.residents_message(shared, now, &name, target, &change);
         let Some(body) = body else {
             return;
         };
         for (to, address) in peers(shared) {
-            tell(shared, to, address, body.clone(), out);
+            send(shared, to, address, body.clone(), out);
         }
     }
 
-    /// Sends everything to a peer that has missed something.
-    pub(super) fn tell_whole(
+    /// Sends the full state to a peer that has missed a change.
+    pub(super) fn send_full(
         &mut self,
         shared: &mut Shared,
         now: Time,
@@ -85,46 +87,47 @@
             return;
         };
         let change = Change {
-            whole: true,
-            added: engine.listed.iter().copied().collect(),
+            full: true,
+            added: engine.published.iter().copied().collect(),
             removed: Vec::new(),
             running: engine.running,
             queued: engine.queued,
             worth: engine.worth,
         };
-        let Some(body) = self.residents(shared, now, target, no, &change) else {
+        let Some(body) = self.residents_message(shared, now, target, no, &change) else {
             return;
         };
         if let Some(address) = shared.peers.get(to).copied() {
-            tell(shared, to.clone(), address, body, out);
+            send(shared, to.clone(), address, body, out);
         }
     }
 
-    /// Takes in what another owner says; false asks for everything.
-    pub(super) fn hear_residents(
+    /// Applies what another owner published. Returns false if a change before
+    /// it is missing, so that the owner sends the full state.
+    pub(super) fn apply_residents(
         &mut self,
         shared: &mut Shared,
         now: Time,
-        news: call::Residents,
+        message: call::Residents,
         out: &mut Out,
     ) -> bool {
-        let target = shared.names.target(&news.target);
-        let heard = self.others.entry(target).or_default();
-        // Guard: an owner that was replaced may go on telling for a while; its
-        // news would put adapters into the directory that its successor has
-        // unloaded. A lower fencing number is dropped.
-        if news.fence.get() < heard.fence {
+        let target = shared.names.target(&message.target);
+        let last = self.remote.entry(target).or_default();
+        // Guard: an owner that was replaced may go on publishing for a while,
+        // and would add adapters to the directory that its successor has
+        // unloaded. Messages with a lower fencing number are dropped.
+        if message.fence.get() < last.fence {
             base::hit!(older_owner_ignored);
             return true;
         }
-        let next = news.fence.get() == heard.fence && news.serial == heard.serial + 1;
-        if !news.whole && !next {
-            base::hit!(hole_in_residents);
+        let next = message.fence.get() == last.fence && message.serial == last.serial + 1;
+        if !message.whole && !next {
+            base::hit!(gap_in_residents);
             return false;
         }
-        *heard = Heard {
-            fence: news.fence.get(),
-            serial: news.serial,
+        *last = Position {
+            fence: message.fence.get(),
+            serial: message.serial,
         };
         let mut keys = |list: Vec<(base::AdapterName, base::Version)>| {
             let keys = list.into_iter().map(|(adapter, version)| AdapterKey {
@@ -135,34 +138,35 @@
         };
         let residents = Residents {
             target,
-            fence: news.fence,
-            whole: news.whole,
-            added: keys(news.added),
-            removed: keys(news.removed),
-            running: news.in_flight,
-            queued: news.queued,
-            worth: news.worth,
+            fence: message.fence,
+            whole: message.whole,
+            added: keys(message.added),
+            removed: keys(message.removed),
+            running: message.in_flight,
+            queued: message.queued,
+            worth: message.worth,
         };
-        self.teach(shared, now, out);
-        out.send(ENTRY, Msg::News(News::Residents(residents)));
+        self.publish_new_adapters(shared, now, out);
+        out.send(ENTRY, Msg::TargetUpdate(News::Residents(residents)));
         true
     }
 
-    fn remember(&mut self, target: TargetNo, change: &Change) {
+    fn record_published(&mut self, target: TargetNo, change: &Change) {
         let engine = self.engines.entry(target).or_default();
-        if change.whole {
-            engine.listed.clear();
+        if change.full {
+            engine.published.clear();
         }
         for key in &change.removed {
-            engine.listed.remove(key);
+            engine.published.remove(key);
         }
-        engine.listed.extend(change.added.iter().copied());
+        engine.published.extend(change.added.iter().copied());
         engine.running = change.running;
         engine.queued = change.queued;
         engine.worth = change.worth;
     }
 
-    fn residents(
+    /// Builds the message about a change; none if the engine is not owned.
+    fn residents_message(
         &self,
         shared: &Shared,
         now: Time,
@@ -180,7 +184,7 @@
             target: name.clone(),
             fence,
             serial: self.serials.get(&target).copied().unwrap_or(0),
-            whole: change.whole,
+            whole: change.full,
             added: named(&change.added),
             removed: named(&change.removed),
             in_flight: change.running,
@@ -190,7 +194,7 @@
     }
 }
 
-fn tell(
+fn send(
     shared: &mut Shared,
     to: InstanceName,
     address: SocketAddr,
@@ -200,7 +204,7 @@
     let target = body.target.clone();
     let purpose = Purpose::Residents { to, target };
     let body = Call::Residents(body);
-    shared.call(ENGINES, purpose, address, body, CALL_LIMIT, out);
+    shared.call(ENGINES, purpose, address, body, CALL_TIMEOUT, out);
 }
 
 fn peers(shared: &Shared) -> Vec<(InstanceName, SocketAddr)> {
@@ -209,7 +213,7 @@
     others.map(|(name, at)| (name.clone(), *at)).collect()
 }
 
-/// Tells whether the reply asks for everything.
-pub(super) fn asks_for_all(reply: &Result<Reply, base::Verdict>) -> bool {
+/// Returns whether a peer asks for the full state.
+pub(super) fn asks_for_full(reply: &Result<Reply, base::Verdict>) -> bool {
     matches!(reply, Ok(Reply::Confirm { granted: false }))
 }
