--- a/crates/node/src/entry.rs
+++ b/crates/node/src/entry.rs
@@ -1,8 +1,9 @@
-//! Requests from arrival to final answer.
+//! Handles requests from arrival to final answer.
 //!
-//! Each request has a [`request::Request`] that decides what it needs next;
-//! this service finds it a target, gets it claimed, and puts it into the
-//! queue of its engine or passes it on to the engine's owner.
+//! A [`request::Request`] per request decides what to do next. This service
+//! carries it out: it claims the idempotency key at the leader, chooses a
+//! target, and queues the request for the target's engine or forwards it to
+//! the engine's owner.
 
 mod active;
 mod explain;
@@ -23,37 +24,42 @@
     engine::{BadResident, Resident},
 };
 
-use self::{active::Live, hop::Hops};
+use self::{active::Active, hop::Hops};
 use crate::{
     io::{Arrival, Input, Output, Progress},
     msg::{ENGINES, ENTRY, Msg},
     shared::{Out, Purpose, Shared},
 };
 
-/// Time before the leader is told again what became of a claimed request.
-const SETTLE_AGAIN: Duration = Duration::from_millis(500);
+/// Delay before the outcome of a claimed request is reported to the leader
+/// again.
+const SETTLE_RETRY: Duration = Duration::from_millis(500);
 
-/// All requests of this instance's callers, and those passed on to it.
+/// The requests of this instance's own callers, and those forwarded to it.
 #[derive(Debug)]
 pub(crate) struct Entry {
     router: Router,
     budget: RetryBudget,
-    requests: BTreeMap<Ticket, Live>,
+    requests: BTreeMap<Ticket, Active>,
     hops: Hops,
+    /// Owner of each engine and its fencing number, from the leader's roster.
     owners: BTreeMap<TargetNo, (InstanceName, Fence)>,
-    turn: u64,
-    /// Moments at which requests have to hear that time has passed.
+    /// Selects the control instance to try while the leader is unknown.
+    rotation: u64,
+    /// Times at which requests have to be woken.
     deadlines: BTreeSet<(Time, Ticket)>,
-    /// Signs of life of the owners that requests wait at.
-    pulses: BTreeMap<InstanceName, ping::Pulse>,
-    /// Requests that wait for an engine to get an owner.
+    /// Whether the owners of forwarded, unanswered requests are alive.
+    liveness: BTreeMap<InstanceName, ping::Liveness>,
+    /// Requests that wait for an engine to get an owner, by the time of the
+    /// next attempt to place them.
     parked: BTreeSet<(Time, Ticket)>,
-    /// What the leader has not heard yet of claimed requests.
+    /// Outcomes of claimed requests to be reported to the leader again.
     unsettled: Vec<Settle>,
-    /// Calls under way that tell it.
+    /// Number of outstanding calls that report an outcome.
     settling: u32,
-    /// When a planned stop may end, once nothing runs.
+    /// Earliest end of the graceful shutdown; none before [`Msg::Drain`].
     stop: Option<Time>,
+    /// Whether [`Output::Drained`] has been emitted.
     stopped: bool,
 }
 
@@ -67,9 +73,9 @@
             requests: BTreeMap::new(),
             hops: Hops::default(),
             owners: BTreeMap::new(),
-            turn: 0,
+            rotation: 0,
             deadlines: BTreeSet::new(),
-            pulses: BTreeMap::new(),
+            liveness: BTreeMap::new(),
             parked: BTreeSet::new(),
             unsettled: Vec::new(),
             settling: 0,
@@ -82,18 +88,18 @@
         match msg {
             Msg::Input(Input::Arrive(arrival)) => self.arrive(shared, now, arrival, out),
             Msg::Input(Input::Hop(hop)) => self.hops.arrive(shared, now, hop, out),
-            Msg::Input(Input::CallerGone(ticket)) => self.left(shared, now, ticket, out),
+            Msg::Input(Input::CallerGone(ticket)) => self.caller_gone(shared, now, ticket, out),
             Msg::Input(Input::Progress {
                 ticket,
                 attempt,
                 step,
                 progress,
             }) => self.progress(shared, now, (ticket, attempt, step), progress, out),
-            Msg::News(news) => self.router.note(now, news),
+            Msg::TargetUpdate(update) => self.router.note(now, update),
             Msg::Owner(target, owner, fence) => self.note_owner(target, owner, fence),
-            Msg::Turn { ticket, priority } => self.turn(shared, now, ticket, priority, out),
+            Msg::Dispatch { ticket, priority } => self.dispatch(shared, now, ticket, priority, out),
             Msg::Refused { ticket, failure } => self.refused(shared, now, ticket, failure, out),
-            Msg::GiveWay(ticket) => self.give_way(shared, now, ticket, out),
+            Msg::Preempt(ticket) => self.preempt(shared, now, ticket, out),
             Msg::Replied { purpose, reply } => self.on_reply(shared, now, purpose, reply, out),
             Msg::Called {
                 call,
@@ -118,17 +124,17 @@
 
     fn arrive(&mut self, shared: &mut Shared, now: Time, arrival: Arrival, out: &mut Out) {
         let ticket = arrival.ticket;
-        match Live::new(shared, &self.router, now, arrival) {
-            Ok(live) => {
-                let start = live.start.clone();
-                self.requests.insert(ticket, live);
+        match Active::new(shared, &self.router, now, arrival) {
+            Ok(active) => {
+                let start = active.start.clone();
+                self.requests.insert(ticket, active);
                 self.step(shared, now, ticket, 0, Step::Start(start), out);
             }
             Err(failure) => active::refuse(ticket, failure, out),
         }
     }
 
-    /// Hands one input to a request and carries out what it wants.
+    /// Hands one input to a request and carries out its outputs.
     fn step(
         &mut self,
         shared: &mut Shared,
@@ -140,28 +146,28 @@
     ) {
         let mut inputs = vec![input];
         while let Some(input) = inputs.pop() {
-            let Some(live) = self.requests.get_mut(&ticket) else {
+            let Some(active) = self.requests.get_mut(&ticket) else {
                 return;
             };
-            let mut wants = Vec::new();
-            live.request.handle(now, input, &mut wants);
-            for want in wants {
-                inputs.extend(self.carry_out(shared, now, (ticket, step), want, out));
+            let mut outputs = Vec::new();
+            active.request.handle(now, input, &mut outputs);
+            for output in outputs {
+                inputs.extend(self.carry_out(shared, now, (ticket, step), output, out));
             }
         }
-        self.forget_if_over(ticket);
+        self.remove_if_over(ticket);
     }
 
-    /// Forgets a request that is over, and when it would have had to end.
+    /// Removes a request that is over, along with its deadline.
     ///
-    /// Guard: the deadline of overnight work lies hours ahead. Kept until then,
-    /// those of requests long answered would grow into hundreds of megabytes.
-    fn forget_if_over(&mut self, ticket: Ticket) {
+    /// Guard: the deadlines of batch requests are hours ahead. If they were kept
+    /// until then, those of answered requests would take hundreds of megabytes.
+    fn remove_if_over(&mut self, ticket: Ticket) {
         let over = self
             .requests
             .get(&ticket)
-            .filter(|live| live.request.is_over());
-        let Some(deadline) = over.map(|live| live.start.deadline) else {
+            .filter(|active| active.request.is_over());
+        let Some(deadline) = over.map(|active| active.start.deadline) else {
             return;
         };
         if self.deadlines.remove(&(deadline, ticket)) {
@@ -170,8 +176,8 @@
         self.requests.remove(&ticket);
     }
 
-    fn left(&mut self, shared: &mut Shared, now: Time, ticket: Ticket, out: &mut Out) {
-        if self.hops.left(ticket, out) {
+    fn caller_gone(&mut self, shared: &mut Shared, now: Time, ticket: Ticket, out: &mut Out) {
+        if self.hops.caller_gone(ticket, out) {
             return;
         }
         self.step(shared, now, ticket, 0, Step::CallerGone, out);
@@ -206,8 +212,8 @@
                 Step::Piece { attempt, part }
             }
             Progress::End { whole, answer } => {
-                if let Some(live) = self.requests.get_mut(&ticket) {
-                    live.kept = answer;
+                if let Some(active) = self.requests.get_mut(&ticket) {
+                    active.answer = answer;
                 }
                 self.end_attempt(now, ticket, attempt, whole, out);
                 Step::End { attempt, whole }
@@ -217,8 +223,14 @@
                 reason,
                 retry,
             } => {
-                let reason = self.moved(ticket, verdict, reason);
-                self.end_attempt(now, ticket, attempt, !blames(reason, verdict), out);
+                let reason = self.failure_reason(ticket, verdict, reason);
+                self.end_attempt(
+                    now,
+                    ticket,
+                    attempt,
+                    !is_target_failure(reason, verdict),
+                    out,
+                );
                 Step::AttemptFailed {
                     attempt,
                     verdict,
@@ -230,20 +242,24 @@
         self.step(shared, now, ticket, step, input, out);
     }
 
-    /// Tells an owner that could not take the request, without fault of the
-    /// engine, from a target that failed.
-    fn moved(&mut self, ticket: Ticket, verdict: Verdict, reason: Refusal) -> Refusal {
-        let Some(live) = self.requests.get_mut(&ticket) else {
+    /// Returns the reason of a failed attempt; [`Refusal::Moved`] if the owner
+    /// it was forwarded to did not accept it, which is no failure of the engine.
+    fn failure_reason(&mut self, ticket: Ticket, verdict: Verdict, reason: Refusal) -> Refusal {
+        let Some(active) = self.requests.get_mut(&ticket) else {
             return reason;
         };
-        let Some(sent) = live.sent.as_ref().filter(|sent| sent.passed.is_some()) else {
+        let Some(sent) = active
+            .sent
+            .as_ref()
+            .filter(|sent| sent.forwarded_to.is_some())
+        else {
             return reason;
         };
-        let turned_away = matches!(reason, Refusal::Unavailable | Refusal::Moved);
-        if verdict != Verdict::NotRun || !turned_away {
+        let not_accepted = matches!(reason, Refusal::Unavailable | Refusal::Moved);
+        if verdict != Verdict::NotRun || !not_accepted {
             return reason;
         }
-        live.turned_away.push(sent.target);
+        active.rejected.push(sent.target);
         Refusal::Moved
     }
 
@@ -255,14 +271,14 @@
         part: Part,
         out: &mut Out,
     ) {
-        let Some(live) = self.requests.get_mut(&ticket) else {
+        let Some(active) = self.requests.get_mut(&ticket) else {
             return;
         };
-        let Some(sent) = live.sent.as_mut().filter(|sent| sent.attempt == attempt) else {
+        let Some(sent) = active.sent.as_mut().filter(|sent| sent.attempt == attempt) else {
             return;
         };
         if let Part::Tokens(count) = part {
-            live.tokens.came(now, count);
+            active.tokens.record(now, count);
         }
         if !std::mem::replace(&mut sent.began, true) {
             let took = now.since(sent.at);
@@ -273,7 +289,7 @@
         }
     }
 
-    /// Notes that the attempt under way is over, once.
+    /// Records the end of the current attempt, if it has not been recorded.
     fn end_attempt(
         &mut self,
         now: Time,
@@ -282,10 +298,10 @@
         ok: bool,
         out: &mut Out,
     ) {
-        let Some(live) = self.requests.get_mut(&ticket) else {
+        let Some(active) = self.requests.get_mut(&ticket) else {
             return;
         };
-        let Some(sent) = live.sent.take_if(|sent| sent.attempt == attempt) else {
+        let Some(sent) = active.sent.take_if(|sent| sent.attempt == attempt) else {
             return;
         };
         let target = sent.target;
@@ -295,8 +311,8 @@
         }
     }
 
-    /// Goes on with a request whose turn at an engine owned here has come.
-    fn turn(
+    /// Sends a request that the scheduler of an engine owned here dispatched.
+    fn dispatch(
         &mut self,
         shared: &mut Shared,
         now: Time,
@@ -305,24 +321,24 @@
         out: &mut Out,
     ) {
         if self.hops.has(ticket) {
-            self.hops.turn(shared, now, ticket, priority, out);
+            self.hops.dispatch(shared, now, ticket, priority, out);
             return;
         }
-        let Some(live) = self.requests.get_mut(&ticket) else {
+        let Some(active) = self.requests.get_mut(&ticket) else {
             out.send(ENGINES, Msg::Ended { ticket, ok: true });
             return;
         };
-        let Some(target) = live.queued.take() else {
+        let Some(target) = active.queued.take() else {
             out.send(ENGINES, Msg::Ended { ticket, ok: true });
             return;
         };
-        live.priority = priority;
-        live.local = true;
+        active.priority = priority;
+        active.local = true;
         self.step(shared, now, ticket, 0, Step::Placed { target }, out);
     }
 
-    /// Tries another target for a request that was turned away by an engine's
-    /// queue here, unless it was turned away for good.
+    /// Handles a refusal by the queue of an engine owned here: tries another
+    /// target, unless the reason applies to all targets.
     fn refused(
         &mut self,
         shared: &mut Shared,
@@ -334,13 +350,13 @@
         if self.hops.refused(ticket, &failure, out) {
             return;
         }
-        let Some(live) = self.requests.get_mut(&ticket) else {
+        let Some(active) = self.requests.get_mut(&ticket) else {
             return;
         };
-        let Some(target) = live.queued.take() else {
+        let Some(target) = active.queued.take() else {
             return;
         };
-        live.turned_away.push(target);
+        active.rejected.push(target);
         let again = matches!(failure.reason, Refusal::Unavailable | Refusal::Moved);
         let input = if again {
             self.find_place(shared, now, ticket, &[], out)
@@ -352,20 +368,20 @@
         }
     }
 
-    /// Breaks a running batch request off in favour of more urgent work; it
-    /// is sent again later and goes on where it stopped.
-    fn give_way(&mut self, shared: &mut Shared, now: Time, ticket: Ticket, out: &mut Out) {
-        if self.hops.give_way(ticket, out) {
+    /// Cancels a running batch request in favour of more urgent work. It is
+    /// sent again later and continues where it stopped.
+    fn preempt(&mut self, shared: &mut Shared, now: Time, ticket: Ticket, out: &mut Out) {
+        if self.hops.preempt(ticket, out) {
             return;
         }
-        let Some(live) = self.requests.get_mut(&ticket) else {
+        let Some(active) = self.requests.get_mut(&ticket) else {
             return;
         };
-        let Some(sent) = &live.sent else {
+        let Some(sent) = &active.sent else {
             return;
         };
-        if live.start.mark == Mark::Once {
-            // A marked request can't be sent again: it runs out.
+        if active.start.mark == Mark::Once {
+            // A marked request can't be sent again, so it runs to its end.
             out.send(ENGINES, Msg::Dequeue(ticket));
             return;
         }
@@ -395,19 +411,19 @@
     ) {
         match purpose {
             Purpose::Claim { ticket } => {
-                if self.claim_again(shared, ticket, &reply, out) {
+                if self.retry_claim(shared, ticket, &reply, out) {
                     return;
                 }
-                let claimed = self.claimed(shared, ticket, reply, out);
-                if let Some(live) = self.requests.get_mut(&ticket)
+                let claimed = self.claim_result(shared, ticket, reply, out);
+                if let Some(active) = self.requests.get_mut(&ticket)
                     && let ClaimReply::Ran(Some(answer)) = &claimed
                 {
-                    live.replay = Some(answer.clone());
+                    active.replay = Some(answer.clone());
                 }
                 let input = Step::Claimed(place::claim_reply(&claimed));
                 self.step(shared, now, ticket, 0, input, out);
             }
-            Purpose::Ping { to } => self.on_pulse(shared, now, &to, &reply, out),
+            Purpose::Ping { to } => self.on_ping_reply(shared, now, &to, &reply, out),
             Purpose::Settle(settle) => {
                 self.settling -= 1;
                 self.on_settled(shared, now, *settle, reply);
@@ -418,7 +434,8 @@
 }
 
 impl Entry {
-    /// Keeps what the leader has not heard for another try.
+    /// Handles the reply to a reported outcome; schedules a retry unless the
+    /// leader acknowledged it.
     fn on_settled(
         &mut self,
         shared: &mut Shared,
@@ -429,18 +446,18 @@
         match reply {
             Ok(Reply::Done | Reply::Claim(_)) => return,
             Ok(Reply::Elsewhere { leader }) => shared.leader = leader,
-            _ => self.turn += 1,
+            _ => self.rotation += 1,
         }
         self.unsettled.push(settle);
-        shared.wake(ENTRY, now + SETTLE_AGAIN);
+        shared.wake(ENTRY, now + SETTLE_RETRY);
     }
 
     fn on_wake(&mut self, shared: &mut Shared, now: Time, out: &mut Out) {
         for settle in std::mem::take(&mut self.unsettled) {
-            self.report(shared, settle, out);
+            self.report_outcome(shared, settle, out);
         }
         self.ping_owners(shared, now, out);
-        self.look_again(shared, now, out);
+        self.retry_parked(shared, now, out);
         while let Some((at, ticket)) = self.deadlines.first().copied() {
             if at > now {
                 shared.wake(ENTRY, at);
@@ -451,7 +468,8 @@
         }
     }
 
-    /// Ends a planned stop once the grace time is over and nothing runs.
+    /// Ends the graceful shutdown once the grace period is over and no request
+    /// is left.
     fn stop_when_done(&mut self, shared: &mut Shared, now: Time, out: &mut Out) {
         let Some(stop) = self.stop.filter(|_| !self.stopped) else {
             return;
@@ -468,13 +486,14 @@
     }
 }
 
-/// Returns whether a failed attempt speaks against its target: what the owner
-/// refused for load or for a missing lease does not.
-fn blames(reason: Refusal, verdict: Verdict) -> bool {
+/// Returns whether a failed attempt is a failure of its target. A refusal by the
+/// owner because of load or a missing lease is not.
+fn is_target_failure(reason: Refusal, verdict: Verdict) -> bool {
     reason == Refusal::TargetFailed
         || (reason == Refusal::Unavailable && verdict != Verdict::NotRun)
 }
 
+/// Converts the adapter that a target reports having used.
 fn ran_on(shared: &mut Shared, ran: Option<Result<Resident, BadResident>>) -> RanOn {
     match ran {
         None => RanOn::Unnamed,
--- a/crates/node/src/entry/active.rs
+++ b/crates/node/src/entry/active.rs
@@ -1,4 +1,5 @@
-//! One request of this instance's own callers, beside its decisions.
+//! A request of one of this instance's own callers: what is known about it
+//! besides the state in [`Request`].
 
 use std::time::Duration;
 
@@ -15,80 +16,90 @@
     shared::{Out, Shared},
 };
 
-/// When a caller of a service that has not come up may come back.
+/// Retry-after time for callers of a service that has not come up.
 const UP_RETRY: Duration = Duration::from_secs(2);
 
-/// A request under way.
+/// A request that has not been answered.
 #[derive(Debug)]
-pub(super) struct Live {
+pub(super) struct Active {
     pub(super) request: Request,
     pub(super) start: Start,
+    /// What the router and the scheduler need of the request.
     pub(super) ask: Ask,
     pub(super) brand: BrandName,
+    /// Adapter to run on; none for a plain service.
     pub(super) resident: Option<Resident>,
     pub(super) key: Option<IdempotencyKey>,
+    /// Hash of method, path and body.
     pub(super) body: [u8; 16],
-    pub(super) began: Time,
-    /// The engine in whose queue it waits here.
+    /// When it arrived.
+    pub(super) arrived: Time,
+    /// Engine owned here in whose queue it waits.
     pub(super) queued: Option<TargetNo>,
-    /// Whether the target that it was placed on is owned here.
+    /// Whether it was dispatched by the scheduler of this instance, as the
+    /// target is owned here.
     pub(super) local: bool,
+    /// Priority in the engine's own queue.
     pub(super) priority: i32,
-    /// Targets whose owner turned it away since it last waited.
-    pub(super) turned_away: Vec<TargetNo>,
+    /// Targets whose owner did not accept it, and engines without a reachable
+    /// owner; cleared when the request is parked.
+    pub(super) rejected: Vec<TargetNo>,
+    /// The current attempt.
     pub(super) sent: Option<Sent>,
-    /// How often its claim was sent to a control instance that could not take
-    /// it.
-    pub(super) claims: u32,
+    /// Number of times that a control instance did not accept its claim.
+    pub(super) claim_retries: u32,
     /// Since when it waits for an engine to get an owner.
     pub(super) parked: Option<Time>,
-    /// Its answer, where that may have to be kept.
-    pub(super) kept: Option<Answer>,
-    /// The first run's answer.
+    /// Copy of its answer, for the leader to store.
+    pub(super) answer: Option<Answer>,
+    /// Stored answer of an earlier request with the same idempotency key.
     pub(super) replay: Option<Answer>,
     pub(super) tokens: Tokens,
 }
 
-/// Tokens of the answer so far.
+/// Counts the tokens of an answer.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Tokens {
     count: u32,
-    /// When the first and the last one came.
+    /// When the first and the last one arrived.
     span: Option<(Time, Time)>,
 }
 
 impl Tokens {
-    pub(super) fn came(&mut self, now: Time, count: u32) {
+    pub(super) fn record(&mut self, now: Time, count: u32) {
         self.count += count;
         let first = self.span.map_or(now, |(first, _)| first);
         self.span = Some((first, now));
     }
 }
 
-/// The attempt under way.
+/// An attempt that was sent and has not ended.
 #[derive(Clone, Debug)]
 pub(super) struct Sent {
     pub(super) attempt: AttemptNo,
     pub(super) target: TargetNo,
     pub(super) at: Time,
     pub(super) local: bool,
-    /// The other instance that owns the target, where it was passed on.
-    pub(super) passed: Option<InstanceName>,
+    /// Owner of the target, if the attempt was forwarded to it.
+    pub(super) forwarded_to: Option<InstanceName>,
+    /// Whether a part of the response body has arrived.
     pub(super) began: bool,
 }
 
-impl Live {
-    /// Looks up what the request needs.
+impl Active {
+    /// Creates the request from the text in force.
     ///
     /// # Errors
     ///
-    /// Fails as `not run` when the brand has no such service or version.
+    /// Fails as `not run` if the brand has no such service or adapter version,
+    /// if the service has not come up, or if it requires an idempotency key and
+    /// the request has none.
     pub(super) fn new(
         shared: &mut Shared,
         router: &Router,
         now: Time,
         arrival: Arrival,
-    ) -> Result<Live, Failure> {
+    ) -> Result<Active, Failure> {
         let model = shared.model.clone();
         let service = model.service(&arrival.brand, &arrival.service);
         let service = service.ok_or_else(|| Failure::not_run(Refusal::NotFound))?;
@@ -101,7 +112,9 @@
         let class = arrival
             .class
             .map_or(service.class, |c| c.min(service.class));
-        let timeout = arrival.timeout.unwrap_or(deadline(&model.limits, class));
+        let timeout = arrival
+            .timeout
+            .unwrap_or(default_timeout(&model.limits, class));
         let key = resident.as_ref().map(|r| shared.names.key(r));
         let start = Start {
             class,
@@ -122,7 +135,7 @@
             tokens: arrival.tokens,
             deadline: now + timeout,
         };
-        Ok(Live {
+        Ok(Active {
             request: Request::default(),
             start,
             ask,
@@ -130,27 +143,27 @@
             resident,
             key: arrival.key,
             body: arrival.body,
-            began: now,
+            arrived: now,
             queued: None,
             local: false,
             priority: 0,
-            turned_away: Vec::new(),
+            rejected: Vec::new(),
             sent: None,
-            claims: 0,
+            claim_retries: 0,
             parked: None,
-            kept: None,
+            answer: None,
             replay: None,
             tokens: Tokens::default(),
         })
     }
 
-    /// Notes the attempt that is under way from now on.
+    /// Records the attempt that is sent now.
     pub(super) fn note_sent(
         &mut self,
         now: Time,
         attempt: AttemptNo,
         target: TargetNo,
-        passed: Option<InstanceName>,
+        forwarded_to: Option<InstanceName>,
     ) {
         self.parked = None;
         self.sent = Some(Sent {
@@ -158,25 +171,26 @@
             target,
             at: now,
             local: self.local,
-            passed,
+            forwarded_to,
             began: false,
         });
     }
 
-    /// Returns the owner that has it and has not answered yet.
-    pub(super) fn waits_at(&self) -> Option<&InstanceName> {
+    /// Returns the owner that it was forwarded to, until the first part of the
+    /// response body arrives.
+    pub(super) fn awaited_owner(&self) -> Option<&InstanceName> {
         let sent = self.sent.as_ref().filter(|sent| !sent.began)?;
-        sent.passed.as_ref()
+        sent.forwarded_to.as_ref()
     }
 
-    /// Reports how it ended.
+    /// Emits the metrics of its end.
     pub(super) fn ended(&self, now: Time, failure: Option<Failure>, out: &mut Out) {
         if let Some((first, last)) = self.tokens.span {
             out.emit(Output::Event(Event::Streamed {
                 brand: self.brand.clone(),
                 class: self.start.class,
                 tokens: self.tokens.count,
-                first: first.since(self.began),
+                first: first.since(self.arrived),
                 rest: last.since(first),
             }));
         }
@@ -184,12 +198,12 @@
             brand: self.brand.clone(),
             class: self.start.class,
             failure,
-            took: now.since(self.began),
+            took: now.since(self.arrived),
         }));
     }
 }
 
-/// Returns the adapter's version that the request is for.
+/// Returns the adapter and version that a request for `service` runs on.
 fn resident(
     shared: &mut Shared,
     router: &Router,
@@ -214,8 +228,8 @@
     }))
 }
 
-/// Returns whether the request may be repeated; one that may not has to name
-/// itself by a key.
+/// Returns whether the request may run more than once. One that may not needs
+/// an idempotency key.
 fn mark(service: &Service, keyed: bool) -> Result<Mark, Failure> {
     match (service.mark, keyed) {
         (_, true) => Ok(Mark::Once),
@@ -224,17 +238,17 @@
     }
 }
 
-/// Turns a request away before anything was decided about it.
+/// Refuses a request at arrival.
 pub(super) fn refuse(ticket: Ticket, failure: Failure, out: &mut Out) {
     let end = Ending::Failed(failure);
     out.emit(Output::Finish { ticket, end });
 }
 
-/// Returns how long a request of `class` may take when it doesn't say.
-pub(super) fn deadline(limits: &Limits, class: Class) -> Duration {
+/// Returns the time limit of requests of `class` that don't set one.
+pub(super) fn default_timeout(limits: &Limits, class: Class) -> Duration {
     match class {
         Class::Critical => limits.critical_deadline,
-        Class::Live => limits.live_deadline,
+        Class::Active => limits.live_deadline,
         Class::Batch => limits.batch_deadline,
     }
 }
--- a/crates/node/src/entry/explain.rs
+++ b/crates/node/src/entry/explain.rs
@@ -1,7 +1,7 @@
-//! Says why requests go where they do, for operators.
+//! Explains to operators to which target a request would be sent, and why.
 
 use base::{BrandName, ServiceName, Time, Tokens, Version};
-use route::{Ask, Candidate as Known, Explanation, Standing as Seen};
+use route::{Ask, Candidate as RouterCandidate, Explanation, Standing as RouterStanding};
 use text::model::{Model, Service, ServiceKind};
 use wire::{
     call::Reply,
@@ -16,7 +16,7 @@
 };
 
 impl Entry {
-    /// Answers an operator's question; it changes nothing.
+    /// Answers an operator's query without changing any state.
     pub(super) fn explain(
         &self,
         shared: &mut Shared,
@@ -48,21 +48,24 @@
             class: service.class,
             prefix: 0,
             tokens: Tokens(0),
-            deadline: now + active::deadline(&model.limits, service.class),
+            deadline: now + active::default_timeout(&model.limits, service.class),
         };
-        let seen = self.router.explain(now, &ask);
-        Some(self.told(shared, (name, service), (resident, serves), &seen))
+        let explanation = self.router.explain(now, &ask);
+        Some(self.answer(shared, (name, service), (resident, serves), &explanation))
     }
 
-    fn told(
+    /// Builds the answer from what the router says.
+    fn answer(
         &self,
         shared: &Shared,
         (name, service): (&ServiceName, &Service),
         (resident, serves): (Option<Resident>, Option<Version>),
-        seen: &Explanation,
+        explanation: &Explanation,
     ) -> Explained {
-        let next = seen.next.map(|no| shared.names.target_name(no).clone());
-        let candidates = seen.candidates.iter();
+        let next = explanation
+            .next
+            .map(|no| shared.names.target_name(no).clone());
+        let candidates = explanation.candidates.iter();
         Explained {
             instance: shared.settings.name.clone(),
             text: shared.version,
@@ -72,14 +75,14 @@
             resident: resident.map(|r| r.to_string()),
             serves,
             next,
-            why: reason(seen, serves.is_some()),
+            why: reason(explanation, serves.is_some()),
             targets: candidates
                 .filter_map(|c| self.candidate(shared, c))
                 .collect(),
         }
     }
 
-    fn candidate(&self, shared: &Shared, known: &Known) -> Option<Candidate> {
+    fn candidate(&self, shared: &Shared, known: &RouterCandidate) -> Option<Candidate> {
         let listed = &shared.targets.get(&known.target)?.listed;
         let owner = self.owners.get(&known.target);
         Some(Candidate {
@@ -87,18 +90,19 @@
             zone: listed.zone.clone(),
             owner: owner.map(|(owner, _)| owner.clone()),
             holds: known.holds,
-            // Loads are small and never negative.
+            // As a percentage. Loads are small and never negative.
             load: (known.load * 100.0) as u32,
             standing: match known.standing {
-                Seen::Usable => Standing::Usable,
-                Seen::LeftOut => Standing::LeftOut,
-                Seen::Leaving => Standing::Leaving,
-                Seen::Unreachable => Standing::Unreachable,
+                RouterStanding::Usable => Standing::Usable,
+                RouterStanding::LeftOut => Standing::LeftOut,
+                RouterStanding::Leaving => Standing::Leaving,
+                RouterStanding::Unreachable => Standing::Unreachable,
             },
         })
     }
 }
 
+/// Returns the service of that name, or the first one that uses the adapter.
 fn find<'m>(
     model: &'m Model,
     brand: &BrandName,
@@ -114,13 +118,17 @@
     }
 }
 
-fn reason(seen: &Explanation, assistant: bool) -> Reason {
-    let Some(next) = seen.next else {
+/// Returns why the router chose the target.
+fn reason(explanation: &Explanation, assistant: bool) -> Reason {
+    let Some(next) = explanation.next else {
         return Reason::Nobody;
     };
     if !assistant {
         return Reason::LeastLoaded;
     }
-    let holds = seen.candidates.iter().any(|c| c.target == next && c.holds);
+    let holds = explanation
+        .candidates
+        .iter()
+        .any(|c| c.target == next && c.holds);
     if holds { Reason::Holds } else { Reason::Home }
 }
--- a/crates/node/src/entry/hop.rs
+++ b/crates/node/src/entry/hop.rs
@@ -1,7 +1,8 @@
-//! Requests passed on by other entry instances, for engines owned here.
+//! Requests that other entry instances forward to this one, for engines owned
+//! here.
 //!
-//! The sender decides about attempts and what its caller sees; here a request
-//! waits for its turn, is sent once, and its answer flows back as it comes.
+//! The forwarding instance decides on retries and on what its caller receives.
+//! Here a request is queued, sent once, and its answer passed back as it arrives.
 
 use std::collections::BTreeMap;
 
@@ -16,33 +17,36 @@
     shared::{Out, Shared},
 };
 
-/// The only attempt of a request that was passed on.
+/// Number of the only attempt of a forwarded request.
 const ATTEMPT: u32 = 1;
 
-/// One request passed on to this instance.
+/// A request forwarded to this instance.
 #[derive(Debug)]
-struct Passed {
+struct Forwarded {
     hop: Hop,
     target: TargetNo,
     ask: Ask,
+    /// Whether it was sent to the engine.
     sent: bool,
+    /// Whether a part of the response body has arrived.
     began: bool,
-    headed: bool,
+    /// Whether the response head was passed back.
+    head_passed: bool,
 }
 
-/// All of them.
+/// The forwarded requests that have not ended.
 #[derive(Debug, Default)]
 pub(super) struct Hops {
-    passed: BTreeMap<Ticket, Passed>,
+    requests: BTreeMap<Ticket, Forwarded>,
 }
 
 impl Hops {
     pub(super) fn has(&self, ticket: Ticket) -> bool {
-        self.passed.contains_key(&ticket)
+        self.requests.contains_key(&ticket)
     }
 
     pub(super) fn is_empty(&self) -> bool {
-        self.passed.is_empty()
+        self.requests.is_empty()
     }
 
     pub(super) fn arrive(&mut self, shared: &mut Shared, now: Time, hop: Hop, out: &mut Out) {
@@ -66,15 +70,15 @@
             tokens: hop.tokens,
             deadline: now + hop.timeout,
         };
-        let passed = Passed {
+        let forwarded = Forwarded {
             hop,
             target,
             ask,
             sent: false,
             began: false,
-            headed: false,
+            head_passed: false,
         };
-        self.passed.insert(ticket, passed);
+        self.requests.insert(ticket, forwarded);
         out.send(
             ENGINES,
             Msg::Queue {
@@ -85,8 +89,8 @@
         );
     }
 
-    /// Sends a request whose turn has come.
-    pub(super) fn turn(
+    /// Sends a request that the scheduler dispatched.
+    pub(super) fn dispatch(
         &mut self,
         shared: &Shared,
         now: Time,
@@ -94,15 +98,15 @@
         priority: i32,
         out: &mut Out,
     ) {
-        let Some(passed) = self.passed.get_mut(&ticket) else {
+        let Some(forwarded) = self.requests.get_mut(&ticket) else {
             return;
         };
-        let Some(info) = shared.targets.get(&passed.target) else {
+        let Some(info) = shared.targets.get(&forwarded.target) else {
             return;
         };
-        passed.sent = true;
-        if let Some(key) = passed.ask.key {
-            let target = passed.target;
+        forwarded.sent = true;
+        if let Some(key) = forwarded.ask.key {
+            let target = forwarded.target;
             out.send(
                 ENGINES,
                 Msg::Using {
@@ -112,7 +116,7 @@
                 },
             );
         }
-        let hop = &passed.hop;
+        let hop = &forwarded.hop;
         out.emit(Output::Send(Attempt {
             ticket,
             attempt: ATTEMPT,
@@ -129,11 +133,12 @@
             class: hop.class,
             mark: hop.mark,
             resume: hop.resume,
-            timeout: passed.ask.deadline.since(now),
+            timeout: forwarded.ask.deadline.since(now),
         }));
     }
 
-    /// Passes the engine's answer back as it comes; the sender judges it.
+    /// Passes the engine's answer back as it arrives; the forwarding instance
+    /// checks it.
     pub(super) fn progress(
         &mut self,
         ticket: Ticket,
@@ -141,17 +146,17 @@
         progress: Progress,
         out: &mut Out,
     ) {
-        let Some(passed) = self.passed.get_mut(&ticket) else {
+        let Some(forwarded) = self.requests.get_mut(&ticket) else {
             return;
         };
         let flow = Flow::Pass;
         match progress {
             Progress::Head { .. } => {
-                passed.headed = true;
+                forwarded.head_passed = true;
                 out.emit(Output::Flow { ticket, step, flow });
             }
             Progress::Piece(_) => {
-                if !std::mem::replace(&mut passed.began, true) {
+                if !std::mem::replace(&mut forwarded.began, true) {
                     out.send(ENGINES, Msg::Began(ticket));
                 }
                 out.emit(Output::Flow { ticket, step, flow });
@@ -175,30 +180,31 @@
                     verdict,
                     retry,
                 };
-                let ok = super::blames(reason, verdict);
-                self.fail(ticket, failure, !ok, out);
+                let failed = super::is_target_failure(reason, verdict);
+                self.fail(ticket, failure, !failed, out);
             }
         }
     }
 
-    /// Answers a request that was turned away; false when it isn't one of
-    /// these.
+    /// Ends a request that the engine's queue refused; returns false if it is
+    /// not a forwarded one.
     pub(super) fn refused(&mut self, ticket: Ticket, failure: &Failure, out: &mut Out) -> bool {
-        if self.passed.remove(&ticket).is_none() {
+        if self.requests.remove(&ticket).is_none() {
             return false;
         }
         active::refuse(ticket, failure.clone(), out);
         true
     }
 
-    /// Breaks a request off in favour of more urgent work; the sender sends it
-    /// again and it goes on where it stopped.
-    pub(super) fn give_way(&mut self, ticket: Ticket, out: &mut Out) -> bool {
-        let Some(passed) = self.passed.get(&ticket) else {
+    /// Cancels a request in favour of more urgent work; the forwarding instance
+    /// sends it again and it continues where it stopped. Returns false if it is
+    /// not a forwarded one.
+    pub(super) fn preempt(&mut self, ticket: Ticket, out: &mut Out) -> bool {
+        let Some(forwarded) = self.requests.get(&ticket) else {
             return false;
         };
-        if passed.hop.mark == Mark::Once {
-            // A marked request can't be sent again: it runs out.
+        if forwarded.hop.mark == Mark::Once {
+            // A marked request can't be sent again, so it runs to its end.
             out.send(ENGINES, Msg::Dequeue(ticket));
             return true;
         }
@@ -207,22 +213,23 @@
             verdict: Verdict::MayHaveRun,
             retry: None,
         };
-        self.abandon(ticket, out);
+        self.cancel(ticket, out);
         out.send(ENGINES, Msg::Dequeue(ticket));
         self.fail(ticket, failure, true, out);
         true
     }
 
-    /// Frees the engine's place of a request whose sender left.
-    pub(super) fn left(&mut self, ticket: Ticket, out: &mut Out) -> bool {
-        let Some(passed) = self.passed.remove(&ticket) else {
+    /// Ends a request whose forwarding instance disconnected, and frees its
+    /// place at the engine. Returns false if it is not a forwarded one.
+    pub(super) fn caller_gone(&mut self, ticket: Ticket, out: &mut Out) -> bool {
+        let Some(forwarded) = self.requests.remove(&ticket) else {
             return false;
         };
-        if passed.sent {
-            self.abandon(ticket, out);
+        if forwarded.sent {
+            self.cancel(ticket, out);
         }
         out.send(ENGINES, Msg::Dequeue(ticket));
-        if passed.sent {
+        if forwarded.sent {
             out.send(ENGINES, Msg::Ended { ticket, ok: true });
         }
         let end = Ending::Failed(Failure::not_run(Refusal::CallerGone));
@@ -230,14 +237,17 @@
         true
     }
 
-    fn abandon(&self, ticket: Ticket, out: &mut Out) {
+    fn cancel(&self, ticket: Ticket, out: &mut Out) {
         let attempt = ATTEMPT;
         out.emit(Output::Cancel { ticket, attempt });
     }
 
     fn fail(&mut self, ticket: Ticket, failure: Failure, ok: bool, out: &mut Out) {
-        let headed = self.passed.get(&ticket).is_some_and(|p| p.headed);
-        let end = if headed {
+        let head_passed = self
+            .requests
+            .get(&ticket)
+            .is_some_and(|forwarded| forwarded.head_passed);
+        let end = if head_passed {
             Ending::Broken(failure)
         } else {
             Ending::Failed(failure)
@@ -246,7 +256,7 @@
     }
 
     fn end(&mut self, ticket: Ticket, end: Ending, ok: bool, out: &mut Out) {
-        self.passed.remove(&ticket);
+        self.requests.remove(&ticket);
         out.send(ENGINES, Msg::Ended { ticket, ok });
         out.emit(Output::Finish { ticket, end });
     }
--- a/crates/node/src/entry/ping.rs
+++ b/crates/node/src/entry/ping.rs
@@ -1,8 +1,9 @@
-//! Finds out owners that have fallen silent under requests passed on to them.
+//! Detects owners that stopped responding while requests forwarded to them wait
+//! for an answer.
 //!
-//! A request may wait long in its owner's queue without a word, so silence
-//! says nothing by itself. While any waits there, the owner is asked for a
-//! sign of life on a connection of its own.
+//! A request may wait long in its owner's queue, so the lack of an answer alone
+//! proves nothing. As long as a forwarded request waits, its owner is pinged on a
+//! separate connection.
 
 use std::time::Duration;
 
@@ -14,57 +15,61 @@
 use crate::{
     io::Output,
     msg::ENTRY,
-    shared::{CALL_LIMIT, Out, Purpose, Shared},
+    shared::{CALL_TIMEOUT, Out, Purpose, Shared},
 };
 
-/// Time between two signs of life asked of one owner.
-const EVERY: Duration = Duration::from_millis(500);
+/// Time between two pings of one owner.
+const PING_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Signs of life that an owner may miss: one may be lost to a busy moment.
+/// Number of consecutive failed pings after which an owner counts as
+/// unresponsive. A single one may fail because the owner is briefly overloaded.
 const MISSED_MAX: u32 = 2;
 
-/// What is known of an owner's life.
+/// State of the pings of one owner.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Pulse {
+pub(super) struct Liveness {
+    /// When the next ping is due.
     next: Time,
+    /// Consecutive failed pings.
     missed: u32,
 }
 
 impl Entry {
-    /// Begins to ask `owner` for signs of life.
+    /// Starts to ping `owner`, unless it is pinged already.
     pub(super) fn watch_owner(&mut self, shared: &mut Shared, now: Time, owner: InstanceName) {
-        let next = now + EVERY;
-        let fresh = Pulse { next, missed: 0 };
-        self.pulses.entry(owner).or_insert(fresh);
+        let next = now + PING_INTERVAL;
+        let fresh = Liveness { next, missed: 0 };
+        self.liveness.entry(owner).or_insert(fresh);
         shared.wake(ENTRY, next);
     }
 
-    /// Asks the owners that requests wait at.
+    /// Pings the owners that have not answered a forwarded request yet.
     pub(super) fn ping_owners(&mut self, shared: &mut Shared, now: Time, out: &mut Out) {
-        let waiting: Vec<InstanceName> = self.waiting_at().cloned().collect();
-        self.pulses.retain(|owner, _| waiting.contains(owner));
-        for (owner, pulse) in &mut self.pulses {
-            if now < pulse.next {
-                shared.wake(ENTRY, pulse.next);
+        let waiting: Vec<InstanceName> = self.awaited_owners().cloned().collect();
+        self.liveness.retain(|owner, _| waiting.contains(owner));
+        for (owner, liveness) in &mut self.liveness {
+            if now < liveness.next {
+                shared.wake(ENTRY, liveness.next);
                 continue;
             }
             let Some(address) = shared.peers.get(owner).copied() else {
                 continue;
             };
-            pulse.next = now + CALL_LIMIT + EVERY;
-            shared.wake(ENTRY, pulse.next);
+            liveness.next = now + CALL_TIMEOUT + PING_INTERVAL;
+            shared.wake(ENTRY, liveness.next);
             let purpose = Purpose::Ping { to: owner.clone() };
-            shared.call(ENTRY, purpose, address, Call::Version, CALL_LIMIT, out);
+            shared.call(ENTRY, purpose, address, Call::Version, CALL_TIMEOUT, out);
         }
     }
 
-    /// Takes an owner's sign of life, or that there was none.
+    /// Handles the end of a ping.
     ///
-    /// Guard: an owner that is frozen, or whose connection something between
-    /// has forgotten, would keep a request until its deadline, though another
-    /// instance owns the engine by then. Such an attempt is broken off and the
-    /// request placed anew. It may have run: a marked one is not sent again.
-    pub(super) fn on_pulse(
+    /// Guard: if the owner is frozen, or a device in the network path has
+    /// dropped the connection's state, a request would wait until its deadline,
+    /// though another instance owns the engine by then. The attempt is cancelled
+    /// and the request is placed again. It may have run, so a marked request is
+    /// not sent again.
+    pub(super) fn on_ping_reply(
         &mut self,
         shared: &mut Shared,
         now: Time,
@@ -72,36 +77,41 @@
         reply: &Result<Reply, Verdict>,
         out: &mut Out,
     ) {
-        let Some(pulse) = self.pulses.get_mut(owner) else {
+        let Some(liveness) = self.liveness.get_mut(owner) else {
             return;
         };
-        pulse.next = now + EVERY;
-        shared.wake(ENTRY, pulse.next);
-        pulse.missed = if reply.is_ok() { 0 } else { pulse.missed + 1 };
-        if pulse.missed < MISSED_MAX {
+        liveness.next = now + PING_INTERVAL;
+        shared.wake(ENTRY, liveness.next);
+        liveness.missed = if reply.is_ok() {
+            0
+        } else {
+            liveness.missed + 1
+        };
+        if liveness.missed < MISSED_MAX {
             return;
         }
-        base::hit!(silent_owner_left);
-        self.pulses.remove(owner);
+        base::hit!(unresponsive_owner_abandoned);
+        self.liveness.remove(owner);
         let stuck = self
             .requests
             .iter()
-            .filter(|(_, live)| live.waits_at() == Some(owner));
+            .filter(|(_, active)| active.awaited_owner() == Some(owner));
         let stuck: Vec<Ticket> = stuck.map(|(ticket, _)| *ticket).collect();
         for ticket in stuck {
-            self.leave_owner(shared, now, ticket, out);
+            self.abandon_owner(shared, now, ticket, out);
         }
     }
 
-    fn leave_owner(&mut self, shared: &mut Shared, now: Time, ticket: Ticket, out: &mut Out) {
-        let Some(live) = self.requests.get_mut(&ticket) else {
+    /// Cancels the attempt that was forwarded to an unresponsive owner.
+    fn abandon_owner(&mut self, shared: &mut Shared, now: Time, ticket: Ticket, out: &mut Out) {
+        let Some(active) = self.requests.get_mut(&ticket) else {
             return;
         };
-        let Some(sent) = &live.sent else {
+        let Some(sent) = &active.sent else {
             return;
         };
         let (attempt, target) = (sent.attempt, sent.target);
-        live.turned_away.push(target);
+        active.rejected.push(target);
         out.emit(Output::Cancel {
             ticket,
             attempt: attempt.0,
@@ -116,7 +126,10 @@
         self.step(shared, now, ticket, 0, input, out);
     }
 
-    fn waiting_at(&self) -> impl Iterator<Item = &InstanceName> {
-        self.requests.values().filter_map(|live| live.waits_at())
+    /// Returns the owners of forwarded requests without an answer.
+    fn awaited_owners(&self) -> impl Iterator<Item = &InstanceName> {
+        self.requests
+            .values()
+            .filter_map(|active| active.awaited_owner())
     }
 }
--- a/crates/node/src/entry/place.rs
+++ b/crates/node/src/entry/place.rs
@@ -1,10 +1,11 @@
-//! What a request wants, carried out: a claim, a place, an attempt, an end.
+//! Carries out the outputs of a request: claims its key, places it on a target,
+//! sends attempts, and ends it.
 
 use std::time::Duration;
 
 use base::{Failure, Refusal, TargetNo, Ticket, Time, Verdict};
 use request::{
-    AttemptNo, ClaimReply as Claimed, Fate, Fault, Final, Input as Step, Output as Want,
+    AttemptNo, ClaimReply as Claimed, Fate, Fault, Final, Input as Step, Output as RequestOutput,
 };
 use route::News;
 use wire::call::{self, Call, Claim, ClaimReply, Reply, Settle};
@@ -13,66 +14,67 @@
 use crate::{
     io::{Attempt, Ending, Event, Flow, Output, Route},
     msg::{ENGINES, ENTRY, Msg},
-    shared::{CALL_LIMIT, Out, Purpose, Shared},
+    shared::{CALL_TIMEOUT, Out, Purpose, Shared},
 };
 
-/// How long a claim may take: one round of the log, and one more after a
-/// leader change.
-const CLAIM_LIMIT: Duration = Duration::from_millis(2_000);
+/// Time limit for a claim: one round of replication in the log, and one more
+/// after a change of leader.
+const CLAIM_TIMEOUT: Duration = Duration::from_millis(2_000);
 
-/// Longest wait for an engine to get an owner: a lease that has to be waited
-/// out takes three seconds, and the next owner's first heartbeat one more.
+/// Longest wait for an engine to get an owner. The previous lease may take three
+/// seconds to expire, and the first heartbeat of the next owner one more.
 const PARK_MAX: Duration = Duration::from_secs(6);
 
-/// Pause between two looks for a place.
-const PARK_LOOK: Duration = Duration::from_millis(100);
+/// Time between two attempts to place a request that waits for an owner.
+const PARK_RETRY: Duration = Duration::from_millis(100);
 
-/// Control instances that one claim is sent to after the first.
-const CLAIMS_MAX: u32 = 3;
+/// Upper limit of retries of a claim at other control instances.
+const CLAIM_RETRIES_MAX: u32 = 3;
 
-/// When a caller whose claim can't be made may come back: an election takes
-/// about as long.
+/// Retry-after time for callers whose claim failed: about the duration of an
+/// election.
 const CLAIM_RETRY: Duration = Duration::from_millis(1_500);
 
 impl Entry {
-    /// Carries out one wish of a request; returns what it has to hear at once.
+    /// Carries out one output of a request; returns the input that it has to
+    /// receive next, if any.
     pub(super) fn carry_out(
         &mut self,
         shared: &mut Shared,
         now: Time,
         (ticket, step): (Ticket, u64),
-        want: Want,
+        output: RequestOutput,
         out: &mut Out,
     ) -> Option<Step> {
         let flow = |flow| Output::Flow { ticket, step, flow };
-        match want {
-            Want::Claim => return self.claim(shared, ticket, out),
-            Want::Place { avoid, retry } => {
+        match output {
+            RequestOutput::Claim => return self.claim(shared, ticket, out),
+            RequestOutput::Place { avoid, retry } => {
                 if retry && !self.may_retry(&avoid) {
                     let failure = Failure::not_run(Refusal::Unavailable);
                     return Some(Step::NoPlace(failure));
                 }
                 return self.find_place(shared, now, ticket, &avoid, out);
             }
-            Want::Send {
+            RequestOutput::Send {
                 attempt,
                 target,
                 resume_from,
             } => self.send(shared, now, ticket, (attempt, target, resume_from), out),
-            Want::Cancel { attempt } => self.cancel(now, ticket, attempt, out),
-            Want::PassHead | Want::Pass => out.emit(flow(Flow::Pass)),
-            Want::Hold => out.emit(flow(Flow::Hold)),
-            Want::DropHeld => out.emit(flow(Flow::Drop)),
-            Want::Release => out.emit(flow(Flow::Release)),
-            Want::Settle(fate) => self.settle_claim(shared, ticket, fate, out),
-            Want::Blame { target, fault } => {
+            RequestOutput::Cancel { attempt } => self.cancel(now, ticket, attempt, out),
+            RequestOutput::PassHead | RequestOutput::Pass => out.emit(flow(Flow::Pass)),
+            RequestOutput::Hold => out.emit(flow(Flow::Hold)),
+            RequestOutput::DropHeld => out.emit(flow(Flow::Drop)),
+            RequestOutput::Release => out.emit(flow(Flow::Release)),
+            RequestOutput::Settle(fate) => self.settle_claim(shared, ticket, fate, out),
+            RequestOutput::Blame { target, fault } => {
                 if fault == Fault::WrongAdapter {
                     let name = shared.names.target_name(target).clone();
                     out.emit(Output::Event(Event::WrongAdapter(name)));
                 }
             }
-            Want::Finish(end) => self.finish(now, ticket, end, out),
-            Want::Wake { at } => {
+            RequestOutput::Finish(end) => self.finish(now, ticket, end, out),
+            RequestOutput::Wake { at } => {
                 self.deadlines.insert((at, ticket));
                 shared.wake(ENTRY, at);
             }
@@ -80,37 +82,40 @@
         None
     }
 
+    /// Returns whether the retry budget of the target that failed last allows
+    /// a retry, and charges it.
     fn may_retry(&mut self, avoid: &[TargetNo]) -> bool {
         avoid.last().is_none_or(|failed| self.budget.spend(*failed))
     }
 
     fn claim(&mut self, shared: &mut Shared, ticket: Ticket, out: &mut Out) -> Option<Step> {
-        let live = self.requests.get(&ticket)?;
-        let key = live.key?;
+        let active = self.requests.get(&ticket)?;
+        let key = active.key?;
         let retry = CLAIM_RETRY;
-        let Some((_, address)) = shared.control(self.turn) else {
+        let Some((_, address)) = shared.control(self.rotation) else {
             return Some(Step::Claimed(Claimed::NotNow { retry }));
         };
         let claim = Claim {
-            brand: live.brand.clone(),
+            brand: active.brand.clone(),
             key: key.hash,
-            body: live.body,
+            body: active.body,
             instance: shared.settings.name.clone(),
             attempt: self.attempt_id(shared, ticket),
             dated: key.dated,
         };
         let purpose = Purpose::Claim { ticket };
         let body = Call::Claim(claim);
-        shared.call(ENTRY, purpose, address, body, CLAIM_LIMIT, out);
+        shared.call(ENTRY, purpose, address, body, CLAIM_TIMEOUT, out);
         None
     }
 
-    /// Sends a claim to another control instance, under the same attempt, where
-    /// the one asked certainly did not take it.
+    /// Retries a claim at another control instance, under the same attempt
+    /// number, if the last one certainly did not accept it. Returns whether a
+    /// retry is outstanding.
     ///
-    /// Leaders change in every rolling restart; without this each change would
-    /// show as marked requests that are refused though a leader is there.
-    pub(super) fn claim_again(
+    /// The leader changes in every rolling restart. Without a retry, marked
+    /// requests would be refused at each change though there is a leader.
+    pub(super) fn retry_claim(
         &mut self,
         shared: &mut Shared,
         ticket: Ticket,
@@ -122,30 +127,31 @@
             Err(Verdict::NotRun) => shared.leader = None,
             _ => return false,
         }
-        self.turn += 1;
-        let Some(live) = self.requests.get_mut(&ticket) else {
+        self.rotation += 1;
+        let Some(active) = self.requests.get_mut(&ticket) else {
             return false;
         };
-        live.claims += 1;
-        if live.claims > CLAIMS_MAX {
+        active.claim_retries += 1;
+        if active.claim_retries > CLAIM_RETRIES_MAX {
             return false;
         }
-        base::hit!(claim_sent_elsewhere);
+        base::hit!(claim_retried);
         self.claim(shared, ticket, out).is_none()
     }
 
-    /// Tells claims of two lives of this instance apart.
+    /// Returns the attempt number of a claim, which differs between incarnations
+    /// of this instance.
     fn attempt_id(&self, shared: &Shared, ticket: Ticket) -> u64 {
-        let life = shared.settings.incarnation.get().to_le_bytes();
-        base::stable_hash(&[&life, &ticket.0.to_le_bytes()])
+        let incarnation = shared.settings.incarnation.get().to_le_bytes();
+        base::stable_hash(&[&incarnation, &ticket.0.to_le_bytes()])
     }
 
-    /// Turns the end of a claim call into its reply.
+    /// Returns the reply to a claim from the end of the call.
     ///
-    /// A call that brought no reply may still be granted later. Nothing has
-    /// been sent to any target and nothing will be, so the caller hears `not
-    /// run`; the grant, should it come, is given back.
-    pub(super) fn claimed(
+    /// A claim with an unknown outcome may still be granted. As nothing has been
+    /// sent to a target and nothing will be, the caller is told `not run`, and
+    /// the claim is released by settling it as not run.
+    pub(super) fn claim_result(
         &mut self,
         shared: &mut Shared,
         ticket: Ticket,
@@ -160,14 +166,15 @@
             }
             Ok(_) | Err(Verdict::NotRun) => ClaimReply::NotNow { retry: CLAIM_RETRY },
             Err(_) => {
-                base::hit!(unheard_claim_given_back);
+                base::hit!(unknown_claim_released);
                 self.settle_claim(shared, ticket, Fate::NotRun, out);
                 ClaimReply::NotNow { retry: CLAIM_RETRY }
             }
         }
     }
 
-    /// Finds a target; returns what the request has to hear at once.
+    /// Chooses a target, and queues the request if the engine is owned here.
+    /// Returns the input that the request has to receive next, if any.
     pub(super) fn find_place(
         &mut self,
         shared: &mut Shared,
@@ -177,24 +184,25 @@
         out: &mut Out,
     ) -> Option<Step> {
         loop {
-            let live = self.requests.get_mut(&ticket)?;
-            let all: Vec<TargetNo> = avoid.iter().chain(&live.turned_away).copied().collect();
-            let choice = self.router.choose(now, &live.ask, &all);
-            // A target that failed this request once is better than none.
-            let choice = choice.or_else(|_| self.router.choose(now, &live.ask, &live.turned_away));
+            let active = self.requests.get_mut(&ticket)?;
+            let all: Vec<TargetNo> = avoid.iter().chain(&active.rejected).copied().collect();
+            let choice = self.router.choose(now, &active.ask, &all);
+            // With no other target left, one that failed this request may be
+            // used again.
+            let choice = choice.or_else(|_| self.router.choose(now, &active.ask, &active.rejected));
             let target = match choice {
                 Ok(choice) => choice.target,
-                Err(failure) if live.turned_away.is_empty() => return Some(Step::NoPlace(failure)),
+                Err(failure) if active.rejected.is_empty() => return Some(Step::NoPlace(failure)),
                 Err(failure) => return self.park(shared, now, ticket, failure),
             };
-            live.local = false;
-            if live.start.adapter.is_none() {
+            active.local = false;
+            if active.start.adapter.is_none() {
                 return Some(Step::Placed { target });
             }
             let owner = self.owners.get(&target).map(|(owner, _)| owner);
             if owner == Some(&shared.settings.name) {
-                live.queued = Some(target);
-                let ask = live.ask;
+                active.queued = Some(target);
+                let ask = active.ask;
                 out.send(
                     ENGINES,
                     Msg::Queue {
@@ -208,17 +216,17 @@
             if owner.is_some_and(|owner| shared.peers.contains_key(owner)) {
                 return Some(Step::Placed { target });
             }
-            live.turned_away.push(target);
+            active.rejected.push(target);
         }
     }
 
-    /// Lets a request wait for an engine of its pool to get an owner.
+    /// Lets a request wait until an engine of its pool gets an owner.
     ///
-    /// Guard: in a planned stop and after a failure an engine has no owner for
-    /// a moment. Refusing at once would show as a burst of failures in every
-    /// rolling restart, though nothing is wrong with any engine. It is bounded
-    /// by [`PARK_MAX`] and by the deadline; after that the caller is told to
-    /// come back.
+    /// Guard: after a shutdown or a failure of its owner, an engine has no owner
+    /// for a moment. Refusing requests at once would cause a burst of failures in
+    /// every rolling restart, though all engines work. The wait is limited by
+    /// [`PARK_MAX`] and by the deadline; after that the caller is told when to
+    /// retry.
     fn park(
         &mut self,
         shared: &mut Shared,
@@ -226,21 +234,21 @@
         ticket: Ticket,
         failure: Failure,
     ) -> Option<Step> {
-        let live = self.requests.get_mut(&ticket)?;
-        let since = *live.parked.get_or_insert(now);
+        let active = self.requests.get_mut(&ticket)?;
+        let since = *active.parked.get_or_insert(now);
         if now.since(since) >= PARK_MAX {
             return Some(Step::NoPlace(failure));
         }
         base::hit!(parked_without_owner);
-        live.turned_away.clear();
-        let at = now + PARK_LOOK;
+        active.rejected.clear();
+        let at = now + PARK_RETRY;
         self.parked.insert((at, ticket));
         shared.wake(ENTRY, at);
         None
     }
 
-    /// Looks again for a place for the requests that wait for one.
-    pub(super) fn look_again(&mut self, shared: &mut Shared, now: Time, out: &mut Out) {
+    /// Tries again to place the parked requests that are due.
+    pub(super) fn retry_parked(&mut self, shared: &mut Shared, now: Time, out: &mut Out) {
         while let Some((at, ticket)) = self.parked.first().copied() {
             if at > now {
                 shared.wake(ENTRY, at);
@@ -261,27 +269,27 @@
         (attempt, target, resume): (AttemptNo, TargetNo, u32),
         out: &mut Out,
     ) {
-        let Some(live) = self.requests.get_mut(&ticket) else {
+        let Some(active) = self.requests.get_mut(&ticket) else {
             return;
         };
         let Some(info) = shared.targets.get(&target) else {
             return;
         };
-        let timeout = live.start.deadline.since(now);
-        let direct = live.local || live.start.adapter.is_none();
-        let passed = self.owners.get(&target).filter(|_| !direct);
-        let passed = passed.and_then(|(owner, _)| Some((owner, shared.peers.get(owner)?)));
-        let passed = passed.map(|(owner, address)| (owner.clone(), *address));
-        let route = match passed {
+        let timeout = active.start.deadline.since(now);
+        let direct = active.local || active.start.adapter.is_none();
+        let forwarded = self.owners.get(&target).filter(|_| !direct);
+        let forwarded = forwarded.and_then(|(owner, _)| Some((owner, shared.peers.get(owner)?)));
+        let forwarded = forwarded.map(|(owner, address)| (owner.clone(), *address));
+        let route = match forwarded {
             Some((_, address)) => Route::Owner { address, timeout },
             None => Route::Target {
                 address: info.address,
-                priority: live.priority,
+                priority: active.priority,
             },
         };
-        let owner = passed.map(|(owner, _)| owner);
-        live.note_sent(now, attempt, target, owner.clone());
-        if let Some(key) = live.start.adapter.filter(|_| live.local) {
+        let owner = forwarded.map(|(owner, _)| owner);
+        active.note_sent(now, attempt, target, owner.clone());
+        if let Some(key) = active.start.adapter.filter(|_| active.local) {
             let using = Msg::Using {
                 ticket,
                 target,
@@ -294,10 +302,10 @@
             attempt: attempt.0,
             target: info.listed.name.clone(),
             route,
-            resident: live.resident.clone(),
-            brand: live.brand.clone(),
-            class: live.start.class,
-            mark: live.start.mark,
+            resident: active.resident.clone(),
+            brand: active.brand.clone(),
+            class: active.start.class,
+            mark: active.start.mark,
             resume,
             timeout,
         }));
@@ -320,18 +328,18 @@
     }
 
     fn settle_claim(&mut self, shared: &mut Shared, ticket: Ticket, fate: Fate, out: &mut Out) {
-        let Some(live) = self.requests.get_mut(&ticket) else {
+        let Some(active) = self.requests.get_mut(&ticket) else {
             return;
         };
-        let Some(key) = live.key else {
+        let Some(key) = active.key else {
             return;
         };
         let fate = match fate {
             Fate::NotRun => call::Fate::NotRun,
             Fate::MayHaveRun => call::Fate::MayHaveRun,
-            Fate::Ran => call::Fate::Ran(live.kept.take()),
+            Fate::Ran => call::Fate::Ran(active.answer.take()),
         };
-        let brand = live.brand.clone();
+        let brand = active.brand.clone();
         let settle = Settle {
             brand,
             key: key.hash,
@@ -339,27 +347,27 @@
             attempt: self.attempt_id(shared, ticket),
             fate,
         };
-        self.report(shared, settle, out);
+        self.report_outcome(shared, settle, out);
     }
 
-    /// Tells the leader what became of a claimed request; repeated until it is
-    /// heard.
-    pub(super) fn report(&mut self, shared: &mut Shared, settle: Settle, out: &mut Out) {
-        let Some((_, address)) = shared.control(self.turn) else {
+    /// Reports the outcome of a claimed request to the leader. It is retried
+    /// until the leader acknowledges it.
+    pub(super) fn report_outcome(&mut self, shared: &mut Shared, settle: Settle, out: &mut Out) {
+        let Some((_, address)) = shared.control(self.rotation) else {
             self.unsettled.push(settle);
             return;
         };
         self.settling += 1;
         let purpose = Purpose::Settle(Box::new(settle.clone()));
         let body = Call::Settle(settle);
-        shared.call(ENTRY, purpose, address, body, CALL_LIMIT, out);
+        shared.call(ENTRY, purpose, address, body, CALL_TIMEOUT, out);
     }
 
     fn finish(&mut self, now: Time, ticket: Ticket, end: Final, out: &mut Out) {
-        let Some(live) = self.requests.get_mut(&ticket) else {
+        let Some(active) = self.requests.get_mut(&ticket) else {
             return;
         };
-        if live.queued.take().is_some() {
+        if active.queued.take().is_some() {
             out.send(ENGINES, Msg::Dequeue(ticket));
         }
         let failure = match &end {
@@ -370,7 +378,7 @@
             Final::Whole => Ending::Whole,
             Final::Failed(failure) => Ending::Failed(failure),
             Final::Broken(failure) => Ending::Broken(failure),
-            Final::Replay => match live.replay.take() {
+            Final::Replay => match active.replay.take() {
                 Some(answer) => Ending::Replay(answer),
                 None => Ending::Failed(Failure {
                     reason: Refusal::Duplicate,
@@ -379,12 +387,12 @@
                 }),
             },
         };
-        live.ended(now, failure, out);
+        active.ended(now, failure, out);
         out.emit(Output::Finish { ticket, end });
     }
 }
 
-/// Turns the reply to a claim into what the request's decisions take.
+/// Converts the reply to a claim into the input of a [`request::Request`].
 pub(super) fn claim_reply(reply: &ClaimReply) -> Claimed {
     match reply {
         ClaimReply::Yours => Claimed::Yours,
