--- a/crates/kernel/src/lib.rs
+++ b/crates/kernel/src/lib.rs
@@ -1,10 +1,11 @@
-//! Micro-kernel: holds the services of one node and carries messages between
-//! them by name.
+//! A deterministic message loop between the services of one node.
 //!
-//! The kernel knows nothing of what the services decide. A service is a name
-//! and a closure; it reads one message and puts any number of messages for
-//! other services, and outputs for the world outside, into the [`Outbox`].
-//! Delivery is first in, first out, so one input has exactly one outcome.
+//! It lets services call each other by name, without references between them,
+//! and knows nothing of what they decide. A service is a name and a closure that
+//! handles one message at a time. It puts messages to other services and outputs
+//! for the embedding program into the [`Outbox`]. Messages are delivered one
+//! after the other in first-in, first-out order, so the same input always has
+//! the same result.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -13,9 +14,8 @@
 
 use base::Time;
 
-/// Messages that one input may cause inside a node before the kernel stops
-/// it; two services that answer each other for ever are a bug that would
-/// otherwise freeze the node.
+/// Upper limit of messages that follow from one input. Two services that answer
+/// each other endlessly are a bug, which would otherwise block the node forever.
 pub const MESSAGES_MAX: usize = 1_000_000;
 
 /// The name of a service within one node.
@@ -28,7 +28,8 @@
     }
 }
 
-/// What a service leaves behind: messages for services, outputs for outside.
+/// Collects what a service sends: messages to services, and outputs for the
+/// embedding program.
 #[derive(Debug)]
 pub struct Outbox<M, O> {
     messages: VecDeque<(Name, M)>,
@@ -45,12 +46,12 @@
 }
 
 impl<M, O> Outbox<M, O> {
-    /// Sends `msg` to the service called `to`.
+    /// Queues `msg` for the service called `to`.
     pub fn send(&mut self, to: Name, msg: M) {
         self.messages.push_back((to, msg));
     }
 
-    /// Hands `output` to the world outside.
+    /// Adds an output for the embedding program.
     pub fn emit(&mut self, output: O) {
         self.outputs.push(output);
     }
@@ -58,10 +59,12 @@
 
 type Handler<S, M, O> = Box<dyn FnMut(&mut S, Time, M, &mut Outbox<M, O>) + Send>;
 
-/// The services of one node over a state `S` that they share.
+/// The services of one node, which share the state `S`, exchange messages `M` and
+/// return outputs `O`.
 pub struct Kernel<S, M, O> {
     services: BTreeMap<Name, Handler<S, M, O>>,
     outbox: Outbox<M, O>,
+    /// Names of missing services that messages were sent to.
     undelivered: Vec<Name>,
 }
 
@@ -84,7 +87,7 @@
 }
 
 impl<S, M, O> Kernel<S, M, O> {
-    /// Adds a service; one registered earlier under the same name is replaced.
+    /// Adds a service, or replaces the one of the same name.
     pub fn register(
         &mut self,
         name: Name,
@@ -93,11 +96,12 @@
         self.services.insert(name, Box::new(handler));
     }
 
-    /// Delivers `msg` to the service called `to`, and all that follows from it.
+    /// Delivers `msg` to the service called `to`, then all messages that follow
+    /// from it, and appends the outputs to `out`.
     ///
     /// # Panics
     ///
-    /// Panics when more than [`MESSAGES_MAX`] messages follow from one.
+    /// Panics if more than [`MESSAGES_MAX`] messages are delivered.
     pub fn run(&mut self, state: &mut S, now: Time, to: Name, msg: M, out: &mut Vec<O>) {
         self.outbox.send(to, msg);
         let mut delivered = 0;
@@ -105,7 +109,7 @@
             delivered += 1;
             assert!(
                 delivered <= MESSAGES_MAX,
-                "services answer each other without end"
+                "more than {MESSAGES_MAX} messages follow from one input"
             );
             match self.services.get_mut(&name) {
                 Some(handler) => handler(state, now, msg, &mut self.outbox),
@@ -115,7 +119,8 @@
         out.append(&mut self.outbox.outputs);
     }
 
-    /// Takes the names that messages were sent to in vain since the last call.
+    /// Removes and returns the names of missing services that messages were sent
+    /// to since the last call.
     pub fn take_undelivered(&mut self) -> Vec<Name> {
         std::mem::take(&mut self.undelivered)
     }
--- a/crates/kernel/tests/delivery.rs
+++ b/crates/kernel/tests/delivery.rs
@@ -1,4 +1,5 @@
-//! Services find each other by name, in order, and a missing one is reported.
+//! Tests that messages are delivered by name and in order, and that messages to
+//! missing services are reported.
 
 use base::Time;
 use googletest::prelude::*;
@@ -6,10 +7,10 @@
 
 const PING: Name = Name("ping");
 const PONG: Name = Name("pong");
-const NOBODY: Name = Name("nobody");
+const MISSING: Name = Name("missing");
 
 #[test]
-fn messages_follow_each_other_in_order() {
+fn messages_are_delivered_in_order() {
     let mut kernel: Kernel<u32, u32, String> = Kernel::default();
     kernel.register(PING, |seen, _, n, out| {
         *seen += 1;
@@ -29,9 +30,9 @@
 }
 
 #[test]
-fn a_message_to_nobody_is_reported() {
+fn a_message_to_a_missing_service_is_reported() {
     let mut kernel: Kernel<(), u32, ()> = Kernel::default();
-    kernel.run(&mut (), Time::ZERO, NOBODY, 1, &mut Vec::new());
-    assert_that!(kernel.take_undelivered(), elements_are![eq(&NOBODY)]);
+    kernel.run(&mut (), Time::ZERO, MISSING, 1, &mut Vec::new());
+    assert_that!(kernel.take_undelivered(), elements_are![eq(&MISSING)]);
     assert_that!(kernel.take_undelivered(), is_empty());
 }
