--- a/crates/quetzalarch/src/lib.rs
+++ b/crates/quetzalarch/src/lib.rs
@@ -28,7 +28,7 @@
 //! let settings = Settings {
 //!     name: "dubrava-1".parse().unwrap(),
 //!     zone: "dubrava".parse().unwrap(),
-//!     life: Incarnation(1),
+//!     incarnation: Incarnation(1),
 //!     peer: "127.0.0.1:7001".parse().unwrap(),
 //!     controls: BTreeMap::new(),
 //!     seed: Seed(1),
