--- a/crates/node/tests/node/guards.rs
+++ b/crates/node/tests/node/guards.rs
@@ -1,4 +1,5 @@
-//! Guards of what a node knows: texts, lists, leases, other owners' news.
+//! Tests of the guards against outdated information: texts, lists, leases, and
+//! what other owners publish about their engines.
 
 use std::time::Duration;
 
@@ -11,7 +12,7 @@
     platform::List,
 };
 
-use crate::world::{TEXT, World, weighing};
+use crate::world::{TEXT, World, text_with_weight};
 
 fn in_force(world: &World) -> Vec<TextVersion> {
     let texts = world.events.iter().filter_map(|event| match event {
@@ -21,19 +22,19 @@
     texts.collect()
 }
 
-/// A user sees: a change that was accepted is undone for a moment. A reply
-/// with the text before it was on its way while the newer one came.
+/// Guards against an accepted change being reverted for a moment: the reply to
+/// an older fetch arrives after a newer text came into force.
 #[test]
-fn a_version_never_goes_back() {
+fn the_text_version_never_decreases() {
     base::covers!(older_text_ignored);
     let mut world = World::serving();
     world.held_text = true;
-    world.text = (TextVersion(2), weighing(2));
+    world.text = (TextVersion(2), text_with_weight(2));
     world.pass(Duration::from_secs(2));
     let late = world.take_text();
-    // Nothing of it came in time; the next try brings a newer one.
+    // The fetch ends without a reply; the next one returns a newer text.
     world.held_text = false;
-    world.text = (TextVersion(3), weighing(3));
+    world.text = (TextVersion(3), text_with_weight(3));
     world.lose(late);
     world.pass(Duration::from_secs(2));
     assert_that!(world.node.version(), eq(TextVersion(3)));
@@ -52,21 +53,21 @@
     );
 }
 
-/// A user sees: after a pause of the machine, requests run on the version of
-/// hours ago. The process was frozen through a change; it asks around before
-/// it is ready again.
+/// Guards against requests running on an adapter version that is hours old: the
+/// process is frozen while the text changes. It has to query the other
+/// instances before it is ready again.
 #[test]
 fn a_thawed_node_asks_before_it_takes_work() {
-    base::covers!(thawed_asks_around);
+    base::covers!(freeze_detected);
     let mut world = World::serving();
     assert_that!(world.ready, eq(true));
-    world.text = (TextVersion(2), weighing(2));
+    world.text = (TextVersion(2), text_with_weight(2));
     world.now = world.now + Duration::from_secs(300);
     let from = world.trace.len();
     world.input(Input::Wake);
     world.pass(Duration::from_secs(1));
-    let told = &world.trace[from..];
-    let at = |what: &str| told.iter().position(|line| line.contains(what));
+    let lines = &world.trace[from..];
+    let at = |what: &str| lines.iter().position(|line| line.contains(what));
     let order = [
         at("Ready(false)"),
         at("TextInForce(TextVersion(2))"),
@@ -77,9 +78,8 @@
     assert_that!(world.node.version(), eq(TextVersion(2)));
 }
 
-/// A user sees: a target that is being replaced gets new work after all. Two
-/// answers of the platform overtook each other, and the older one names the
-/// target live.
+/// Guards against requests to a target that is being replaced: two answers of
+/// the platform arrive out of order, and the older one lists the target as live.
 #[test]
 fn an_older_list_is_ignored() {
     base::covers!(older_list_ignored);
@@ -91,20 +91,20 @@
     assert_that!(world.ended.contains_key(&ticket), eq(true));
 }
 
-/// A user sees: a request refused by the engine because its adapter has just
-/// been unloaded. The node has a new engine whose earlier owner may still give
-/// orders; until the engine has taken one of the node's own, which makes it
-/// refuse the others, no request may go there.
+/// Guards against requests refused by an engine whose adapter was just unloaded:
+/// the earlier owner of a newly owned engine may still send orders. No request
+/// may be sent before the engine has accepted an order of the node, which makes
+/// it refuse those of the earlier owner.
 #[test]
-fn nothing_is_sent_to_an_engine_that_obeys_others() {
+fn nothing_is_sent_while_earlier_owners_may_give_orders() {
     base::covers!(send_without_lease);
     let mut world = World::bare();
     world.owned.insert("e-1".to_owned(), Fence(7));
     world.former = vec![Fence(3)];
     world
-        .held
+        .resident
         .insert("e-1".to_owned(), vec!["film-live@2".to_owned()]);
-    world.engines = false;
+    world.engines_answer = false;
     world.list(1, &[("e-1", "drafting"), ("p-1", "portal")]);
     world.pass(Duration::from_secs(20));
     world.arrive(1, "letters", None);
@@ -115,7 +115,7 @@
     assert_that!(world.sent.len(), eq(1));
 }
 
-fn news(fence: u64, serial: u64, whole: bool) -> Call {
+fn residents(fence: u64, serial: u64, whole: bool) -> Call {
     Call::Residents(Residents {
         owner: "blato-1".parse().unwrap(),
         target: "e-2".parse().unwrap(),
@@ -130,33 +130,33 @@
     })
 }
 
-/// A user sees: requests go to an engine for an adapter that it dropped long
-/// ago, and wait for a load each time. News of residents were lost, or come
-/// from an owner that was replaced.
+/// Guards against requests sent to an engine for an adapter that is no longer
+/// resident, each of which would wait for a load: a published change was lost,
+/// or comes from an owner that was replaced.
 #[test]
-fn news_of_residents_are_taken_in_order() {
-    base::covers!(hole_in_residents);
+fn published_residents_are_applied_in_order() {
+    base::covers!(gap_in_residents);
     base::covers!(older_owner_ignored);
     let mut world = World::serving();
     let granted = |world: &mut World, call| match world.called(1, call) {
         Some(Reply::Confirm { granted }) => granted,
         other => panic!("{other:?}"),
     };
-    assert_that!(granted(&mut world, news(4, 1, true)), eq(true));
-    assert_that!(granted(&mut world, news(4, 2, false)), eq(true));
-    assert_that!(granted(&mut world, news(4, 4, false)), eq(false));
-    assert_that!(granted(&mut world, news(4, 4, true)), eq(true));
-    assert_that!(granted(&mut world, news(5, 1, true)), eq(true));
-    assert_that!(granted(&mut world, news(4, 5, false)), eq(true));
-    assert_that!(granted(&mut world, news(5, 2, false)), eq(true));
+    assert_that!(granted(&mut world, residents(4, 1, true)), eq(true));
+    assert_that!(granted(&mut world, residents(4, 2, false)), eq(true));
+    assert_that!(granted(&mut world, residents(4, 4, false)), eq(false));
+    assert_that!(granted(&mut world, residents(4, 4, true)), eq(true));
+    assert_that!(granted(&mut world, residents(5, 1, true)), eq(true));
+    assert_that!(granted(&mut world, residents(4, 5, false)), eq(true));
+    assert_that!(granted(&mut world, residents(5, 2, false)), eq(true));
 }
 
-/// A node without leader goes on answering the version that it has, and one
-/// that never heard of a text is never ready.
+/// A node that never received a text is never ready. Without a leader it still
+/// answers calls for its version.
 #[test]
 fn readiness_needs_a_text() {
     let mut world = World::bare();
-    world.leader = false;
+    world.leader_answers = false;
     world.input(Input::List(None::<List>));
     world.pass(Duration::from_secs(10));
     assert_that!(world.ready, eq(false));
@@ -166,15 +166,15 @@
     world.input(Input::Replied { call: 999, reply });
 }
 
-/// A user sees: one instance answers by a text that nobody wrote. It was a
-/// little behind and patched a text that was not the one the patch was made
-/// for; the result is compared, and the whole text fetched instead.
+/// Guards against one instance serving a text that no operator wrote: patches
+/// are applied to a text that they were not made for. The hash of the result
+/// differs, and the full text is fetched instead.
 #[test]
-fn a_patch_that_does_not_fit_is_not_taken() {
+fn a_patch_for_another_text_is_rejected() {
     base::covers!(patch_does_not_fit);
     let mut world = World::serving();
-    let second = weighing(2);
-    let third = weighing(3);
+    let second = text_with_weight(2);
+    let third = text_with_weight(3);
     world.held_text = true;
     world.text = (TextVersion(2), second.clone());
     world.pass(Duration::from_secs(2));
@@ -190,37 +190,37 @@
     assert_that!(world.asked, some(eq(TextVersion(0))));
 }
 
-/// A user sees: a request that loses its adapter amid the answer. The node has
-/// lost leader and lease; the engine restarts, its successor loads an adapter,
-/// the node sees it in a report and sends a request there that the successor
-/// knows nothing of.
+/// Guards against an adapter being unloaded while a request runs on it. The node
+/// has lost the leader and its lease, the engine restarts, and the next owner
+/// loads an adapter. If the node took it from the engine's report, it would send
+/// a request that the next owner does not know of.
 #[test]
-fn an_owner_without_lease_learns_no_residents() {
-    base::covers!(restricted_learns_nothing);
+fn an_owner_without_lease_ignores_new_residents() {
+    base::covers!(restricted_ignores_new_residents);
     let mut world = World::serving();
-    world.mates = vec!["dubrava-2"];
+    world.zone_peers = vec!["dubrava-2"];
     world.pass(Duration::from_secs(3));
-    world.leader = false;
+    world.leader_answers = false;
     world.pass(Duration::from_secs(20));
-    world.life = 2;
+    world.incarnation = 2;
     world
-        .held
+        .resident
         .insert("e-1".to_owned(), vec!["film-live@2".to_owned()]);
-    world.engines = false;
+    world.engines_answer = false;
     world.pass(Duration::from_secs(2));
     world.arrive(1, "letters", None);
     world.pass(Duration::from_secs(2));
     assert_that!(world.sent, is_empty());
 }
 
-/// A user sees: nothing answers in a zone that is cut off, because its only
-/// instance was restarted. It has the text that was in force, serves it, and
-/// takes a newer one as soon as somebody in reach has it.
+/// Guards against a zone without service: it is cut off and its only instance
+/// restarts. The instance serves the text saved on disk, and a newer one as soon
+/// as an instance that it can reach has it.
 #[test]
-fn a_saved_text_is_served_until_a_newer_one_is_heard_of() {
+fn a_saved_text_is_served_until_a_newer_one_is_known() {
     base::covers!(saved_text_taken);
     let mut world = World::bare();
-    world.leader = false;
+    world.leader_answers = false;
     let version = TextVersion(3);
     let text = TEXT.to_owned();
     world.input(Input::Saved { version, text });
@@ -230,24 +230,24 @@
     assert_that!(world.node.version(), eq(version));
     world.arrive(1, "listing", None);
     assert_that!(world.sent.len(), eq(1));
-    world.leader = true;
-    world.text = (TextVersion(4), weighing(2));
+    world.leader_answers = true;
+    world.text = (TextVersion(4), text_with_weight(2));
     world.pass(Duration::from_secs(3));
     assert_that!(world.node.version(), eq(TextVersion(4)));
 }
 
-/// A user sees: a change that was accepted is undone for a moment. The check of
-/// one text takes long, a newer one comes into force, then the check ends.
+/// Guards against an accepted change being reverted for a moment: the check of
+/// one text ends after a newer text came into force.
 #[test]
-fn a_check_that_ends_late_takes_nothing_back() {
+fn a_late_check_does_not_revert_the_text() {
     base::covers!(late_check_ignored);
     let mut world = World::serving();
     world.slow_check = true;
-    world.text = (TextVersion(2), weighing(2));
+    world.text = (TextVersion(2), text_with_weight(2));
     world.pass(Duration::from_secs(2));
     assert_that!(world.node.version(), eq(TextVersion(1)));
     world.slow_check = false;
-    world.text = (TextVersion(3), weighing(3));
+    world.text = (TextVersion(3), text_with_weight(3));
     world.pass(Duration::from_secs(2));
     assert_that!(world.node.version(), eq(TextVersion(3)));
     let model = text::Model::try_from(TEXT).ok().map(std::sync::Arc::new);
@@ -260,21 +260,23 @@
     );
 }
 
-/// An instance that was replaced under another name gets no more news.
+/// An instance that was replaced by one of another name is no longer sent
+/// published residents.
 #[test]
-fn nobody_calls_an_instance_that_is_gone() {
+fn an_instance_that_is_gone_is_not_called() {
     let mut world = World::serving();
-    world.mates = vec!["dubrava-2"];
+    world.zone_peers = vec!["dubrava-2"];
     world.pass(Duration::from_secs(3));
     let called = |world: &World, from: usize| {
-        let told = world.trace[from..].iter();
-        told.filter(|line| line.contains("Residents(") && line.contains("9101"))
+        let lines = world.trace[from..].iter();
+        lines
+            .filter(|line| line.contains("Residents(") && line.contains("9101"))
             .count()
     };
     world.arrive(1, "letters", None);
     world.pass(Duration::from_secs(2));
     assert_that!(called(&world, 0), gt(0));
-    world.mates.clear();
+    world.zone_peers.clear();
     world.pass(Duration::from_secs(3));
     let from = world.trace.len();
     world.input(Input::CallerGone(base::Ticket(1)));
--- a/crates/node/tests/node/main.rs
+++ b/crates/node/tests/node/main.rs
@@ -1,5 +1,5 @@
-//! One node driven by hand: every call, report and attempt passes through the
-//! test, which may answer, hold or lose it.
+//! Tests of one node. The test receives each of its calls, polls, orders and
+//! attempts, and may answer, delay or drop it.
 
 mod guards;
 mod requests;
--- a/crates/node/tests/node/requests.rs
+++ b/crates/node/tests/node/requests.rs
@@ -1,4 +1,4 @@
-//! A request's way through the node.
+//! Tests of the handling of requests by one node.
 
 use std::time::Duration;
 
@@ -16,7 +16,7 @@
     raw.parse().unwrap()
 }
 
-/// Returns why a request failed, and when to come back.
+/// Returns the failure of a request that ended with one.
 fn failure(world: &World, ticket: base::Ticket) -> Option<Failure> {
     match world.ended.get(&ticket)? {
         Ending::Failed(failure) | Ending::Broken(failure) => Some(failure.clone()),
@@ -24,9 +24,10 @@
     }
 }
 
-/// An instance that has answered overnight work for hours holds nothing of it.
+/// Guards against a growing set of deadlines: those of batch requests lie hours
+/// ahead, and have to be removed when a request ends.
 #[test]
-fn a_request_that_is_over_leaves_nothing_behind() {
+fn the_deadline_of_an_ended_request_is_removed() {
     base::covers!(deadline_forgotten);
     let mut world = World::serving();
     let ticket = world.arrive(1, "listing", None);
@@ -39,7 +40,7 @@
     let mut world = World::serving();
     world.arrive(1, "letters", None);
     world.pass(Duration::from_secs(2));
-    assert_that!(world.held["e-1"], elements_are![eq("film-live@2")]);
+    assert_that!(world.resident["e-1"], elements_are![eq("film-live@2")]);
     assert_that!(world.sent.len(), eq(1));
     assert_that!(world.sent[0].resident, some(eq(&resident("film-live@2"))));
     assert_that!(
@@ -61,10 +62,10 @@
     assert_that!(run(), eq(&run()));
 }
 
-/// A user sees: the first requests after a new text fail halfway, because
-/// what they depend on is not there yet. The text names a service whose
-/// dependency's pool has no live target; the cause would be services that
-/// come up in any order.
+/// Guards against requests that fail halfway after a new text, because a service
+/// that they depend on is not available: the text names a service whose
+/// dependency's pool has no live target. Services have to come up in the order
+/// of their dependencies.
 #[test]
 fn dependencies_come_up_before_dependents() {
     base::covers!(service_not_up);
@@ -86,13 +87,13 @@
     assert_that!(world.ended.contains_key(&after), eq(false));
 }
 
-/// A user sees: "not run" for an application that then runs. The leader's
-/// reply to the claim is lost; the claim may stand or not. Nothing was sent,
-/// so the answer is right, but the claim has to be given back, or a resend
-/// would be told "running" for ever.
+/// Guards against a claim that is never released. The leader's reply to the
+/// claim is lost, so it may have been granted. The caller is told `not run`, as
+/// nothing was sent. Unless the claim is released, a request with the same
+/// idempotency key would be told `running` forever.
 #[test]
-fn a_claim_that_was_not_heard_is_given_back() {
-    base::covers!(unheard_claim_given_back);
+fn a_claim_with_unknown_outcome_is_released() {
+    base::covers!(unknown_claim_released);
     let mut world = World::serving();
     let ticket = world.arrive(1, "submissions", Some(9));
     let (call, claim) = world.held_calls.remove(0);
@@ -113,10 +114,10 @@
     assert_that!((settle.key, settle.attempt), eq((claim.key, claim.attempt)));
 }
 
-/// What became of a claimed request is told to the leader until it is heard,
-/// also when leaders change in between.
+/// The outcome of a claimed request is reported until the leader acknowledges
+/// it.
 #[test]
-fn a_fate_is_told_until_it_is_heard() {
+fn an_outcome_is_reported_until_it_is_acknowledged() {
     let mut world = World::serving();
     world.arrive(1, "submissions", Some(9));
     let (call, _) = world.held_calls.remove(0);
@@ -141,8 +142,8 @@
     assert_that!(world.held_calls, is_empty());
 }
 
-/// A user sees: half of all requests fail in a rolling restart. The engine
-/// has no owner for a moment; requests wait for the next one instead.
+/// Guards against half of all requests failing in a rolling restart: an engine
+/// has no owner for a moment. Requests wait for its next owner.
 #[test]
 fn a_request_waits_for_an_engine_to_get_an_owner() {
     base::covers!(parked_without_owner);
@@ -159,7 +160,7 @@
 }
 
 #[test]
-fn a_request_that_waits_too_long_is_told_to_come_back() {
+fn a_request_that_waits_too_long_is_told_when_to_retry() {
     let mut world = World::serving();
     world.owned.clear();
     world.pass(Duration::from_secs(2));
@@ -170,15 +171,16 @@
     assert_that!(failure.retry, some(anything()));
 }
 
-/// A user sees: a draft in the voice of last month's version. A new text
-/// serves version 1 instead of 2; requests that came before stay on theirs.
+/// Guards against answers by an outdated adapter version: a new text serves
+/// version 3 instead of 2. Requests that arrived before stay on version 2,
+/// later ones run on version 3.
 #[test]
 fn requests_are_pinned_to_the_version_they_were_meant_for() {
     let mut world = World::serving();
     world.arrive(1, "letters", None);
     world.pass(Duration::from_secs(2));
-    let older = TEXT.replace("[1, 2], serve = 2", "[1, 2, 3], serve = 3");
-    world.text = (TextVersion(2), older);
+    let newer = TEXT.replace("[1, 2], serve = 2", "[1, 2, 3], serve = 3");
+    world.text = (TextVersion(2), newer);
     world.pass(Duration::from_secs(10));
     world.arrive(2, "letters", None);
     world.pass(Duration::from_secs(5));
@@ -191,9 +193,9 @@
     assert_that!(sent.last(), some(eq(&resident("film-live@3"))));
 }
 
-/// A user sees: a letter that is cut off when a machine is replaced, although
-/// it was sent long after the replacement was announced. The request waited in
-/// the queue of an engine that the platform then called leaving.
+/// Guards against answers that are cut off when a machine is replaced: a request
+/// waits in the queue of an engine that is then listed as leaving. It must not
+/// be sent there any more.
 #[test]
 fn a_leaving_engine_gets_nothing_from_its_queue() {
     base::covers!(leaving_engine_emptied);
@@ -203,7 +205,7 @@
     world.owned.insert("e-2".to_owned(), Fence(8));
     world.list(1, &targets);
     world.pass(Duration::from_secs(20));
-    world.engines = false;
+    world.engines_answer = false;
     world.arrive(1, "letters", None);
     world.pass(Duration::from_millis(500));
     assert_that!(world.sent, is_empty());
@@ -211,7 +213,7 @@
     let leaving = if first == ["e-1"] { "e-1" } else { "e-2" };
     world.leaving = vec![leaving];
     world.list(2, &targets);
-    world.engines = true;
+    world.engines_answer = true;
     world.finish_orders();
     world.pass(Duration::from_secs(4));
     let to: Vec<_> = world.sent.iter().map(|sent| sent.target.as_str()).collect();
@@ -219,12 +221,13 @@
     assert_that!(to[0], not(eq(leaving)));
 }
 
-/// A user sees: applications refused in every rolling restart, though a leader
-/// is there. The control instance asked has just handed leadership over; it
-/// took nothing, so the claim goes to the next one under the same attempt.
+/// Guards against marked requests refused in every rolling restart though there
+/// is a leader: the control instance that was sent the claim is no longer the
+/// leader and did not accept it. The claim is retried at another one under the
+/// same attempt number.
 #[test]
 fn a_claim_follows_the_leader() {
-    base::covers!(claim_sent_elsewhere);
+    base::covers!(claim_retried);
     let mut world = World::serving();
     let ticket = world.arrive(1, "submissions", Some(9));
     let mut attempts = Vec::new();
@@ -246,8 +249,8 @@
     assert_that!(world.held_calls, is_empty());
 }
 
-/// A user sees: an adapter that was removed for a reason still answers days
-/// later. The text no longer names one version; it is unloaded as soon as no
+/// Guards against a removed adapter that still answers days later: the text no
+/// longer names one of its versions. That version is unloaded as soon as no
 /// request uses it, and not before.
 #[test]
 fn what_the_text_no_longer_names_is_unloaded() {
@@ -259,30 +262,30 @@
     let third = TEXT.replace("[1, 2], serve = 2", "[1, 3], serve = 3");
     world.text = (TextVersion(2), third);
     world.pass(Duration::from_secs(3));
-    assert_that!(world.held["e-1"], contains(eq("film-live@2")));
+    assert_that!(world.resident["e-1"], contains(eq("film-live@2")));
     world.fail(&attempt, Refusal::BadRequest);
     world.input(Input::CallerGone(attempt.ticket));
     world.pass(Duration::from_secs(3));
-    assert_that!(world.held["e-1"], not(contains(eq("film-live@2"))));
+    assert_that!(world.resident["e-1"], not(contains(eq("film-live@2"))));
 }
 
-/// A user sees: a draft that takes until its deadline whenever one instance
-/// hangs. The request was passed on to the engine's owner, which then froze; it
-/// gives no sign of life, and the request goes to the next owner instead.
+/// Guards against requests that wait until their deadline whenever an instance
+/// hangs: the request was forwarded to the engine's owner, which then freezes
+/// and answers no pings. The request goes to the next owner instead.
 #[test]
-fn a_request_does_not_wait_for_a_silent_owner() {
-    base::covers!(silent_owner_left);
+fn a_request_does_not_wait_for_an_unresponsive_owner() {
+    base::covers!(unresponsive_owner_abandoned);
     let mut world = World::bare();
-    world.mates = vec!["dubrava-2"];
-    world.theirs = vec![("e-1", Fence(7))];
+    world.zone_peers = vec!["dubrava-2"];
+    world.peer_owned = vec![("e-1", Fence(7))];
     world.list(1, &[("e-1", "drafting"), ("p-1", "portal")]);
     world.pass(Duration::from_secs(20));
     world.arrive(1, "letters", None);
     assert_that!(world.sent.len(), eq(1));
     world.pass(Duration::from_secs(5));
     assert_that!(world.sent.len(), eq(1));
-    world.mute_mates = true;
-    world.theirs.clear();
+    world.peers_silent = true;
+    world.peer_owned.clear();
     world.owned.insert("e-1".to_owned(), Fence(8));
     world.pass(Duration::from_secs(8));
     assert_that!(world.sent.len(), eq(2));
--- a/crates/node/tests/node/world.rs
+++ b/crates/node/tests/node/world.rs
@@ -1,4 +1,5 @@
-//! What stands around the node: a leader, engines and a list, in virtual time.
+//! A simulated environment of one node, in virtual time: the leader, peers,
+//! engines and the platform's list.
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
@@ -16,7 +17,7 @@
     platform,
 };
 
-/// Two brands' services on one engine pool and one plain pool.
+/// A text with three services of one brand, on an engine pool and a plain pool.
 pub(crate) const TEXT: &str = r#"
 [store]
 rate = 5
@@ -62,53 +63,54 @@
 film-live = { versions = [1, 2], serve = 2 }
 "#;
 
-/// Returns the text with another weight of the brand `film`.
-pub(crate) fn weighing(weight: u32) -> String {
+/// Returns [`TEXT`] with another weight of the brand `film`.
+pub(crate) fn text_with_weight(weight: u32) -> String {
     TEXT.replace("weight = 1", &format!("weight = {weight}"))
 }
 
-/// Most wakes in one stretch of time that passes.
+/// Upper limit of wakes in one call of [`World::pass`].
 const WAKES_MAX: u32 = 20_000;
 
-/// The mates' port.
-const MATE: u16 = 9101;
+/// Port of the zone peers' listeners.
+const PEER_PORT: u16 = 9101;
 
 /// The node's own name.
 pub(crate) const ME: &str = "dubrava-1";
 
-/// The world around one node.
+/// One node and its simulated environment.
 pub(crate) struct World {
     pub(crate) node: Node,
     pub(crate) now: Time,
-    /// Whether the leader answers.
-    pub(crate) leader: bool,
+    /// Whether the leader answers calls.
+    pub(crate) leader_answers: bool,
     /// The newest accepted text, as the leader has it.
     pub(crate) text: (TextVersion, String),
-    /// Engines that the leader gives to the node, by fencing number.
+    /// Engines on which the leader grants leases to the node, with their fencing
+    /// numbers.
     pub(crate) owned: BTreeMap<String, Fence>,
-    /// Whether checks of texts never end by themselves.
+    /// Whether the test ends the checks of texts itself.
     pub(crate) slow_check: bool,
-    /// Which life the engines live.
-    pub(crate) life: u64,
-    /// Engines that the first mate owns.
-    pub(crate) theirs: Vec<(&'static str, Fence)>,
-    /// Whether the mates answer calls.
-    pub(crate) mute_mates: bool,
-    /// Other instances of the zone, as the leader names them.
-    pub(crate) mates: Vec<&'static str>,
-    /// Targets that the platform calls leaving.
+    /// Incarnation of all engines.
+    pub(crate) incarnation: u64,
+    /// Engines that the zone peers own.
+    pub(crate) peer_owned: Vec<(&'static str, Fence)>,
+    /// Whether the zone peers don't answer calls.
+    pub(crate) peers_silent: bool,
+    /// Zone peers in the leader's roster.
+    pub(crate) zone_peers: Vec<&'static str>,
+    /// Targets that the platform lists as leaving.
     pub(crate) leaving: Vec<&'static str>,
-    /// Earlier owners of the engines, as the leader names them.
+    /// Fencing numbers of the engines' earlier owners, in the leader's leases.
     pub(crate) former: Vec<Fence>,
-    /// Whether engines answer orders.
-    pub(crate) engines: bool,
-    /// What the engines hold.
-    pub(crate) held: BTreeMap<String, Vec<String>>,
-    /// Attempts sent and not yet answered by the test.
+    /// Whether engines answer orders at once.
+    pub(crate) engines_answer: bool,
+    /// Resident adapters by engine.
+    pub(crate) resident: BTreeMap<String, Vec<String>>,
+    /// All attempts sent, less those that a test removes.
     pub(crate) sent: Vec<Attempt>,
-    /// Final answers.
+    /// How requests ended.
     pub(crate) ended: BTreeMap<Ticket, Ending>,
-    /// What operators were told.
+    /// Events emitted.
     pub(crate) events: Vec<Event>,
     /// Replies to other processes.
     pub(crate) replies: BTreeMap<u64, Reply>,
@@ -116,13 +118,15 @@
     pub(crate) held_calls: Vec<(u64, Call)>,
     /// Whether the test answers calls for the text itself.
     pub(crate) held_text: bool,
-    /// The version that the last call for a text said the node has.
+    /// Version that the node had at its last call for a text; zero asks for the
+    /// full text.
     pub(crate) asked: Option<TextVersion>,
-    /// Orders that no engine has answered yet.
+    /// Orders that have not been answered.
     orders: Vec<(u64, TargetName, Order)>,
+    /// Last value of [`Output::Ready`].
     pub(crate) ready: bool,
     wake: Time,
-    /// Every output, for comparing two runs.
+    /// All outputs with their times, as text.
     pub(crate) trace: Vec<String>,
 }
 
@@ -134,7 +138,7 @@
 }
 
 impl World {
-    /// Makes a node that owns the engine `e-1` and has the text in force.
+    /// Creates a node that owns the engine `e-1` and has [`TEXT`] in force.
     pub(crate) fn serving() -> World {
         let mut world = World::bare();
         world.owned.insert("e-1".to_owned(), Fence(7));
@@ -143,7 +147,7 @@
         world
     }
 
-    /// Makes a node that has heard nothing yet.
+    /// Creates a node that has received no input.
     pub(crate) fn bare() -> World {
         let controls = [("control-1", 9001), ("control-2", 9002)];
         let controls = controls.map(|(who, port)| (name(who), ([127, 0, 0, 1], port).into()));
@@ -159,18 +163,18 @@
         World {
             node: Node::new(settings, Time::ZERO),
             now: Time::ZERO,
-            leader: true,
+            leader_answers: true,
             text: (TextVersion(1), TEXT.to_owned()),
             owned: BTreeMap::new(),
             slow_check: false,
-            life: 1,
-            theirs: Vec::new(),
-            mute_mates: false,
-            mates: Vec::new(),
+            incarnation: 1,
+            peer_owned: Vec::new(),
+            peers_silent: false,
+            zone_peers: Vec::new(),
             leaving: Vec::new(),
             former: Vec::new(),
-            engines: true,
-            held: BTreeMap::new(),
+            engines_answer: true,
+            resident: BTreeMap::new(),
             sent: Vec::new(),
             ended: BTreeMap::new(),
             events: Vec::new(),
@@ -185,7 +189,7 @@
         }
     }
 
-    /// Hands in a platform's list of live targets.
+    /// Hands in a list of the platform with these targets and their pools.
     pub(crate) fn list(&mut self, serial: u64, targets: &[(&str, &str)]) {
         let targets = targets
             .iter()
@@ -209,15 +213,18 @@
         self.input(Input::List(Some(list)));
     }
 
-    /// Lets time pass, waking the node whenever it asked for it.
+    /// Advances the time, waking the node whenever it asked for it.
     pub(crate) fn pass(&mut self, d: Duration) {
         let end = self.now + d;
         let mut wakes = 0;
         while self.wake <= end {
             wakes += 1;
-            // A node that wakes itself without end would spin in a daemon.
+            // A node that wakes itself endlessly would keep a daemon's core busy.
             let last = &self.trace[self.trace.len().saturating_sub(8)..];
-            assert!(wakes < WAKES_MAX, "no end of wakes: {last:#?}");
+            assert!(
+                wakes < WAKES_MAX,
+                "the node wakes itself endlessly: {last:#?}"
+            );
             self.now = self.now.max(self.wake);
             self.wake = Time(u64::MAX);
             self.input(Input::Wake);
@@ -225,7 +232,7 @@
         self.now = end;
     }
 
-    /// Hands in one input and answers what the node asks of the world.
+    /// Hands in one input and answers the calls, polls and orders that follow.
     pub(crate) fn input(&mut self, input: Input) {
         let mut inputs = vec![input];
         while !inputs.is_empty() {
@@ -260,7 +267,7 @@
         ticket
     }
 
-    /// Lets an attempt fail that may have run.
+    /// Fails an attempt that may have run.
     pub(crate) fn fail(&mut self, attempt: &Attempt, reason: Refusal) {
         self.input(Input::Progress {
             ticket: attempt.ticket,
@@ -274,22 +281,22 @@
         });
     }
 
-    /// A call from another process; returns the reply.
+    /// Hands in a call from another process; returns the reply.
     pub(crate) fn called(&mut self, call: u64, body: Call) -> Option<Reply> {
         let from: InstanceName = name("blato-1");
         self.input(Input::Called { call, from, body });
         self.replies.remove(&call)
     }
 
-    /// Takes the call for a text that is held back.
+    /// Removes the held call for a text; returns its number.
     pub(crate) fn take_text(&mut self) -> u64 {
         let at = |(_, call): &(u64, Call)| matches!(call, Call::Text { .. });
         let at = self.held_calls.iter().position(at).unwrap();
         self.held_calls.remove(at).0
     }
 
-    /// Answers the call for a text that is held back by patches that are meant
-    /// to lead to `meant`.
+    /// Answers the held call for a text with patches whose result should be
+    /// `meant`.
     pub(crate) fn patched(&mut self, patches: &[Patch], meant: &str) {
         let call = self.take_text();
         let reply = Ok(Reply::Patches {
@@ -300,13 +307,13 @@
         self.input(Input::Replied { call, reply });
     }
 
-    /// Lets a call end without reply.
+    /// Ends a call without a reply and with an unknown outcome.
     pub(crate) fn lose(&mut self, call: u64) {
         let reply = Err(Verdict::MayHaveRun);
         self.input(Input::Replied { call, reply });
     }
 
-    /// Returns the engines that have orders they have not answered.
+    /// Returns the engines that have unanswered orders.
     pub(crate) fn ordered(&self) -> Vec<String> {
         self.orders
             .iter()
@@ -314,7 +321,7 @@
             .collect()
     }
 
-    /// Lets the engines carry out what they were ordered.
+    /// Carries out and answers the unanswered orders.
     pub(crate) fn finish_orders(&mut self) {
         for (order, target, body) in std::mem::take(&mut self.orders) {
             let end = self.order(&target, body);
@@ -324,7 +331,9 @@
 
     fn carry_out(&mut self, output: Output) -> Option<Input> {
         match output {
-            Output::Call { call, address, .. } if self.mute_mates && address.port() == MATE => {
+            Output::Call { call, address, .. }
+                if self.peers_silent && address.port() == PEER_PORT =>
+            {
                 let reply = Err(Verdict::MayHaveRun);
                 return Some(Input::Replied { call, reply });
             }
@@ -338,7 +347,7 @@
                 target,
                 body,
                 ..
-            } if self.engines => {
+            } if self.engines_answer => {
                 let end = self.order(&target, body);
                 return Some(Input::OrderEnded { order, end });
             }
@@ -368,7 +377,7 @@
     }
 
     fn call(&mut self, call: u64, body: Call) -> Option<Input> {
-        if !self.leader {
+        if !self.leader_answers {
             let reply = Err(Verdict::NotRun);
             return Some(Input::Replied { call, reply });
         }
@@ -409,12 +418,12 @@
             address: "127.0.0.1:9100".to_owned(),
             owns: owns.clone(),
         };
-        let mates = self.mates.iter().map(|mate| Peer {
-            instance: name(mate),
+        let zone_peers = self.zone_peers.iter().map(|peer| Peer {
+            instance: name(peer),
             zone: name("dubrava"),
-            address: format!("127.0.0.1:{MATE}"),
+            address: format!("127.0.0.1:{PEER_PORT}"),
             owns: self
-                .theirs
+                .peer_owned
                 .iter()
                 .map(|(target, fence)| (name(target), *fence))
                 .collect(),
@@ -426,22 +435,22 @@
             loads: 5_000,
             roster: 1,
             whole: true,
-            peers: [me].into_iter().chain(mates).collect(),
+            peers: [me].into_iter().chain(zone_peers).collect(),
             gone: Vec::new(),
             tell: false,
         }
     }
 
     fn report(&self, target: &TargetName) -> Report {
-        let held = self.held.get(target.as_str()).into_iter().flatten();
-        Report::idle(Incarnation(self.life), held.cloned())
+        let resident = self.resident.get(target.as_str()).into_iter().flatten();
+        Report::idle(Incarnation(self.incarnation), resident.cloned())
     }
 
     fn order(&mut self, target: &TargetName, body: Order) -> OrderEnd {
-        let held = self.held.entry(target.to_string()).or_default();
+        let loras = self.resident.entry(target.to_string()).or_default();
         match body {
-            Order::Load(resident, _) => held.push(resident.to_string()),
-            Order::Unload(resident) => held.retain(|lora| *lora != resident.to_string()),
+            Order::Load(resident, _) => loras.push(resident.to_string()),
+            Order::Unload(resident) => loras.retain(|lora| *lora != resident.to_string()),
         }
         OrderEnd::Done
     }
