--- a/crates/node/tests/node/guards.rs
+++ b/crates/node/tests/node/guards.rs
@@ -25,7 +25,7 @@
 /// Guards against an accepted change being reverted for a moment: the reply to
 /// an older fetch arrives after a newer text came into force.
 #[test]
-fn the_text_version_never_decreases() {
+fn a_version_never_goes_back() {
     base::covers!(older_text_ignored);
     let mut world = World::serving();
     world.held_text = true;
@@ -170,7 +170,7 @@
 /// are applied to a text that they were not made for. The hash of the result
 /// differs, and the full text is fetched instead.
 #[test]
-fn a_patch_for_another_text_is_rejected() {
+fn a_patch_that_does_not_fit_is_not_taken() {
     base::covers!(patch_does_not_fit);
     let mut world = World::serving();
     let second = text_with_weight(2);
@@ -195,7 +195,7 @@
 /// loads an adapter. If the node took it from the engine's report, it would send
 /// a request that the next owner does not know of.
 #[test]
-fn an_owner_without_lease_ignores_new_residents() {
+fn an_owner_without_lease_learns_no_residents() {
     base::covers!(restricted_ignores_new_residents);
     let mut world = World::serving();
     world.zone_peers = vec!["dubrava-2"];
@@ -217,7 +217,7 @@
 /// restarts. The instance serves the text saved on disk, and a newer one as soon
 /// as an instance that it can reach has it.
 #[test]
-fn a_saved_text_is_served_until_a_newer_one_is_known() {
+fn a_saved_text_is_served_until_a_newer_one_is_heard_of() {
     base::covers!(saved_text_taken);
     let mut world = World::bare();
     world.leader_answers = false;
@@ -263,7 +263,7 @@
 /// An instance that was replaced by one of another name is no longer sent
 /// published residents.
 #[test]
-fn an_instance_that_is_gone_is_not_called() {
+fn nobody_calls_an_instance_that_is_gone() {
     let mut world = World::serving();
     world.zone_peers = vec!["dubrava-2"];
     world.pass(Duration::from_secs(3));
--- a/crates/node/tests/node/requests.rs
+++ b/crates/node/tests/node/requests.rs
@@ -27,7 +27,7 @@
 /// Guards against a growing set of deadlines: those of batch requests lie hours
 /// ahead, and have to be removed when a request ends.
 #[test]
-fn the_deadline_of_an_ended_request_is_removed() {
+fn a_request_that_is_over_leaves_nothing_behind() {
     base::covers!(deadline_forgotten);
     let mut world = World::serving();
     let ticket = world.arrive(1, "listing", None);
@@ -273,7 +273,7 @@
 /// hangs: the request was forwarded to the engine's owner, which then freezes
 /// and answers no pings. The request goes to the next owner instead.
 #[test]
-fn a_request_does_not_wait_for_an_unresponsive_owner() {
+fn a_request_does_not_wait_for_a_silent_owner() {
     base::covers!(unresponsive_owner_abandoned);
     let mut world = World::bare();
     world.zone_peers = vec!["dubrava-2"];
