--- a/crates/node/src/entry/active.rs
+++ b/crates/node/src/entry/active.rs
@@ -248,7 +248,7 @@
 pub(super) fn default_timeout(limits: &Limits, class: Class) -> Duration {
     match class {
         Class::Critical => limits.critical_deadline,
-        Class::Active => limits.live_deadline,
+        Class::Live => limits.live_deadline,
         Class::Batch => limits.batch_deadline,
     }
 }
