--- a/crates/node/src/entry/hop.rs
+++ b/crates/node/src/entry/hop.rs
@@ -1,7 +1,8 @@
-//! Requests passed on by other entry instances, for engines owned here.
+//! Requests that other entry instances forward to this one, for engines owned
+//! here.
 //!
-//! The sender decides about attempts and what its caller sees; here a request
-//! waits for its turn, is sent once, and its answer flows back as it comes.
+//! The forwarding instance decides on retries and on what its caller receives.
+//! Here a request is queued, sent once, and its answer passed back as it arrives.
 
 use std::collections::BTreeMap;
 
@@ -9,40 +10,43 @@
 use route::RequestSpec;
 use wire::engine::Resident;
 
-use super::live;
+use super::active;
 use crate::{
     io::{Attempt, Ending, Flow, Hop, Output, Progress, Route},
     msg::{ENGINES, Msg},
     shared::{Out, Shared},
 };
 
-/// The only attempt of a request that was passed on.
+/// Number of the only attempt of a forwarded request.
 const ATTEMPT: u32 = 1;
 
-/// One request passed on to this instance.
+/// A request forwarded to this instance.
 #[derive(Debug)]
-struct Passed {
+struct Forwarded {
     hop: Hop,
     target: TargetNo,
     ask: RequestSpec,
+    /// Whether it was sent to the engine.
     sent: bool,
+    /// Whether a part of the response body has arrived.
     began: bool,
-    headed: bool,
+    /// Whether the response head was passed back.
+    head_passed: bool,
 }
 
-/// All of them.
+/// The forwarded requests that have not ended.
 #[derive(Debug, Default)]
 pub(super) struct Hops {
-    passed: BTreeMap<Ticket, Passed>,
+    requests: BTreeMap<Ticket, Forwarded>,
 }
 
 impl Hops {
     pub(super) fn has(&self, ticket: Ticket) -> bool {
-        self.passed.contains_key(&ticket)
+        self.requests.contains_key(&ticket)
     }
 
     pub(super) fn is_empty(&self) -> bool {
-        self.passed.is_empty()
+        self.requests.is_empty()
     }
 
     pub(super) fn arrive(&mut self, shared: &mut Shared, now: Time, hop: Hop, out: &mut Out) {
@@ -50,7 +54,7 @@
         let target = shared.names.target(&hop.target);
         let Some(info) = shared.targets.get(&target) else {
             let failure = Failure::not_run(Refusal::Unavailable);
-            return live::refuse(ticket, failure, out);
+            return active::refuse(ticket, failure, out);
         };
         let pool = info.listed.pool.clone();
         let resident = Resident {
@@ -64,18 +68,18 @@
             class: hop.class,
             prefix: hop.prefix,
             tokens: hop.tokens,
-            deadline: now + hop.patience,
+            deadline: now + hop.timeout,
         };
-        let passed = Passed {
+        let forwarded = Forwarded {
             hop,
             target,
             ask,
             sent: false,
             began: false,
-            headed: false,
+            head_passed: false,
         };
-        self.passed.insert(ticket, passed);
-        out.tell(
+        self.requests.insert(ticket, forwarded);
+        out.send(
             ENGINES,
             Msg::Queue {
                 ticket,
@@ -85,8 +89,8 @@
         );
     }
 
-    /// Sends a request whose turn has come.
-    pub(super) fn turn(
+    /// Sends a request that the scheduler dispatched.
+    pub(super) fn dispatch(
         &mut self,
         shared: &Shared,
         now: Time,
@@ -94,16 +98,16 @@
         priority: i32,
         out: &mut Out,
     ) {
-        let Some(passed) = self.passed.get_mut(&ticket) else {
+        let Some(forwarded) = self.requests.get_mut(&ticket) else {
             return;
         };
-        let Some(info) = shared.targets.get(&passed.target) else {
+        let Some(info) = shared.targets.get(&forwarded.target) else {
             return;
         };
-        passed.sent = true;
-        if let Some(key) = passed.ask.key {
-            let target = passed.target;
-            out.tell(
+        forwarded.sent = true;
+        if let Some(key) = forwarded.ask.key {
+            let target = forwarded.target;
+            out.send(
                 ENGINES,
                 Msg::Using {
                     ticket,
@@ -112,7 +116,7 @@
                 },
             );
         }
-        let hop = &passed.hop;
+        let hop = &forwarded.hop;
         out.emit(Output::Send(Attempt {
             ticket,
             attempt: ATTEMPT,
@@ -129,11 +133,12 @@
             class: hop.class,
             mark: hop.mark,
             resume: hop.resume,
-            limit: passed.ask.deadline.since(now),
+            timeout: forwarded.ask.deadline.since(now),
         }));
     }
 
-    /// Passes the engine's answer back as it comes; the sender judges it.
+    /// Passes the engine's answer back as it arrives; the forwarding instance
+    /// checks it.
     pub(super) fn progress(
         &mut self,
         ticket: Ticket,
@@ -141,18 +146,18 @@
         progress: Progress,
         out: &mut Out,
     ) {
-        let Some(passed) = self.passed.get_mut(&ticket) else {
+        let Some(forwarded) = self.requests.get_mut(&ticket) else {
             return;
         };
         let flow = Flow::Pass;
         match progress {
             Progress::Head { .. } => {
-                passed.headed = true;
+                forwarded.head_passed = true;
                 out.emit(Output::Flow { ticket, step, flow });
             }
             Progress::Piece(_) => {
-                if !std::mem::replace(&mut passed.began, true) {
-                    out.tell(ENGINES, Msg::Began(ticket));
+                if !std::mem::replace(&mut forwarded.began, true) {
+                    out.send(ENGINES, Msg::Began(ticket));
                 }
                 out.emit(Output::Flow { ticket, step, flow });
             }
@@ -175,31 +180,32 @@
                     verdict,
                     retry,
                 };
-                let ok = super::blames(reason, verdict);
-                self.fail(ticket, failure, !ok, out);
+                let failed = super::is_target_failure(reason, verdict);
+                self.fail(ticket, failure, !failed, out);
             }
         }
     }
 
-    /// Answers a request that was turned away; false when it isn't one of
-    /// these.
+    /// Ends a request that the engine's queue refused; returns false if it is
+    /// not a forwarded one.
     pub(super) fn refused(&mut self, ticket: Ticket, failure: &Failure, out: &mut Out) -> bool {
-        if self.passed.remove(&ticket).is_none() {
+        if self.requests.remove(&ticket).is_none() {
             return false;
         }
-        live::refuse(ticket, failure.clone(), out);
+        active::refuse(ticket, failure.clone(), out);
         true
     }
 
-    /// Breaks a request off in favour of more urgent work; the sender sends it
-    /// again and it goes on where it stopped.
-    pub(super) fn give_way(&mut self, ticket: Ticket, out: &mut Out) -> bool {
-        let Some(passed) = self.passed.get(&ticket) else {
+    /// Cancels a request in favour of more urgent work; the forwarding instance
+    /// sends it again and it continues where it stopped. Returns false if it is
+    /// not a forwarded one.
+    pub(super) fn preempt(&mut self, ticket: Ticket, out: &mut Out) -> bool {
+        let Some(forwarded) = self.requests.get(&ticket) else {
             return false;
         };
-        if passed.hop.mark == Mark::Once {
-            // A marked request can't be sent again: it runs out.
-            out.tell(ENGINES, Msg::Dequeue(ticket));
+        if forwarded.hop.mark == Mark::Once {
+            // A marked request can't be sent again, so it runs to its end.
+            out.send(ENGINES, Msg::Dequeue(ticket));
             return true;
         }
         let failure = Failure {
@@ -207,37 +213,41 @@
             verdict: Verdict::MayHaveRun,
             retry: None,
         };
-        self.abandon(ticket, out);
-        out.tell(ENGINES, Msg::Dequeue(ticket));
+        self.cancel(ticket, out);
+        out.send(ENGINES, Msg::Dequeue(ticket));
         self.fail(ticket, failure, true, out);
         true
     }
 
-    /// Frees the engine's place of a request whose sender left.
-    pub(super) fn left(&mut self, ticket: Ticket, out: &mut Out) -> bool {
-        let Some(passed) = self.passed.remove(&ticket) else {
+    /// Ends a request whose forwarding instance disconnected, and frees its
+    /// place at the engine. Returns false if it is not a forwarded one.
+    pub(super) fn caller_gone(&mut self, ticket: Ticket, out: &mut Out) -> bool {
+        let Some(forwarded) = self.requests.remove(&ticket) else {
             return false;
         };
-        if passed.sent {
-            self.abandon(ticket, out);
+        if forwarded.sent {
+            self.cancel(ticket, out);
         }
-        out.tell(ENGINES, Msg::Dequeue(ticket));
-        if passed.sent {
-            out.tell(ENGINES, Msg::Ended { ticket, ok: true });
+        out.send(ENGINES, Msg::Dequeue(ticket));
+        if forwarded.sent {
+            out.send(ENGINES, Msg::Ended { ticket, ok: true });
         }
         let end = Ending::Failed(Failure::not_run(Refusal::CallerGone));
         out.emit(Output::Finish { ticket, end });
         true
     }
 
-    fn abandon(&self, ticket: Ticket, out: &mut Out) {
+    fn cancel(&self, ticket: Ticket, out: &mut Out) {
         let attempt = ATTEMPT;
-        out.emit(Output::Abandon { ticket, attempt });
+        out.emit(Output::Cancel { ticket, attempt });
     }
 
     fn fail(&mut self, ticket: Ticket, failure: Failure, ok: bool, out: &mut Out) {
-        let headed = self.passed.get(&ticket).is_some_and(|p| p.headed);
-        let end = if headed {
+        let head_passed = self
+            .requests
+            .get(&ticket)
+            .is_some_and(|forwarded| forwarded.head_passed);
+        let end = if head_passed {
             Ending::Broken(failure)
         } else {
             Ending::Failed(failure)
@@ -246,8 +256,8 @@
     }
 
     fn end(&mut self, ticket: Ticket, end: Ending, ok: bool, out: &mut Out) {
-        self.passed.remove(&ticket);
-        out.tell(ENGINES, Msg::Ended { ticket, ok });
+        self.requests.remove(&ticket);
+        out.send(ENGINES, Msg::Ended { ticket, ok });
         out.emit(Output::Finish { ticket, end });
     }
 }
