--- a/crates/owner/src/grantor.rs
+++ b/crates/owner/src/grantor.rs
@@ -1,4 +1,4 @@
-//! The leader's part: who owns which engine, and whose lease is renewed.
+//! The leader's side of ownership: assigns engines and renews leases.
 
 mod plan;
 
@@ -10,33 +10,36 @@
 
 use crate::{Change, Config, Life, Table, store};
 
-/// After this time without an answer from the log a change is proposed again.
+/// A change for which the log gave no answer is proposed again after this time.
 const PROPOSE_AGAIN: Duration = Duration::from_secs(2);
-/// An instance that owns nothing and was silent for so long leaves the table.
+/// An instance that owns no engine is removed from the table after this time without
+/// heartbeat.
 const DISMISS_AFTER: Duration = Duration::from_secs(30);
 
-/// What the grantor puts into the answer to a beat.
+/// The grantor's contribution to the reply to a heartbeat.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Part {
-    /// Engines of the asker.
+    /// Leases on the engines that the requester owns.
     pub leases: Vec<Lease>,
-    /// Loads that it may start a second, in thousandths.
+    /// Loads from the weight store that the requester may start, in thousandths per
+    /// second.
     pub loads: u32,
-    /// Index of the last change of the table.
+    /// Index of the last log entry that changed the table.
     pub roster: u64,
-    /// Whether `peers` is everybody.
+    /// Whether `peers` lists all instances rather than those changed since the
+    /// requester's roster.
     pub whole: bool,
-    /// Instances new or changed since the asker's roster.
+    /// Instances added or changed since the requester's roster.
     pub peers: Vec<Peer>,
-    /// Instances gone since.
+    /// Instances removed since the requester's roster.
     pub gone: Vec<InstanceName>,
-    /// Whether the next beat has to name the engines in reach.
+    /// Whether the next heartbeat has to list the engines that the requester can reach.
     pub tell: bool,
 }
 
 impl Part {
-    /// Returns the whole answer to the beat `serial`, where `text` is the newest
-    /// accepted version.
+    /// Returns the complete reply to the heartbeat `serial`, where `text` is the newest
+    /// accepted version of the operators' configuration text.
     #[must_use]
     pub fn reply(self, serial: u64, text: TextVersion) -> BeatReply {
         BeatReply {
@@ -53,13 +56,13 @@
     }
 }
 
-/// An instance as its beats show it.
+/// The state of an entry instance according to its heartbeats.
 #[derive(Clone, Debug)]
 pub(crate) struct Seen {
     pub(crate) life: Life,
     pub(crate) zone: ZoneName,
     pub(crate) last: Time,
-    /// Since when its beats come without a gap.
+    /// Start of the current run of heartbeats without a gap.
     pub(crate) steady: Time,
     pub(crate) heard: u64,
     pub(crate) roster: u64,
@@ -70,38 +73,38 @@
     pub(crate) loads: u32,
 }
 
-/// An engine that a living owner is to give up.
+/// An engine that its owner, which is still heard from, has to give up.
 #[derive(Clone, Debug)]
 pub(crate) struct Moving {
     pub(crate) fence: Fence,
-    /// Serial of the first beat that was answered without the lease.
+    /// Serial of the first heartbeat whose reply left out the lease.
     pub(crate) without: Option<u64>,
-    /// Nobody gets it: the platform no longer has it.
+    /// Whether the engine gets no other owner, because the platform no longer lists it.
     pub(crate) forget: bool,
 }
 
-/// Decides on owners while its control instance leads; one per control
-/// instance.
+/// Decides on engine owners while its control instance leads. Each control instance has
+/// one.
 #[derive(Debug)]
 pub struct Grantor {
     config: Config,
-    /// Since when this instance leads; absent while it doesn't.
+    /// When this instance began to lead; none while it doesn't lead.
     since: Option<Time>,
     seen: BTreeMap<InstanceName, Seen>,
-    /// Last time that a lease on an engine was renewed, and its number.
+    /// Fencing number of each engine's last renewed lease, and when it was renewed.
     granted: BTreeMap<TargetName, (Fence, Time)>,
-    /// Last time that any beat of a life was answered.
+    /// When a heartbeat of each incarnation was last answered.
     answered: BTreeMap<Life, Time>,
     moving: BTreeMap<TargetName, Moving>,
     proposed: BTreeMap<Change, Time>,
     listed: Option<BTreeSet<InstanceName>>,
     rate: PerSecond,
-    /// Each instance's part of that rate, in thousandths.
+    /// Each instance's share of `rate`, in thousandths of a load per second.
     loads: BTreeMap<InstanceName, u32>,
 }
 
 impl Grantor {
-    /// Makes the grantor of a control instance that doesn't lead.
+    /// Creates the grantor of a control instance that doesn't lead.
     #[must_use]
     pub fn new(config: Config) -> Self {
         Grantor {
@@ -118,7 +121,8 @@
         }
     }
 
-    /// Begins to lead at `now`, knowing nothing of what older leaders granted.
+    /// Begins to lead at `now`, without knowledge of the leases that earlier leaders
+    /// granted.
     pub fn lead(&mut self, now: Time) {
         *self = Grantor {
             since: Some(now),
@@ -137,18 +141,19 @@
         };
     }
 
-    /// Sets the loads that the weight store allows.
+    /// Sets the load rate that the weight store allows, per second.
     pub fn set_rate(&mut self, rate: PerSecond) {
         self.rate = rate;
     }
 
-    /// Sets the entry instances that the platform's list names.
+    /// Sets the entry instances that the platform lists.
     pub fn set_list(&mut self, names: BTreeSet<InstanceName>) {
         self.listed = Some(names);
     }
 
-    /// Takes a beat and returns its answer's part; changes to propose go to
-    /// `out`. To be called only while the leader's own lease holds.
+    /// Handles a heartbeat and returns the grantor's contribution to the reply; changes
+    /// to propose are appended to `out`. May be called only while the leader's own lease
+    /// is valid.
     pub fn beat(&mut self, now: Time, beat: &Beat, table: &Table, out: &mut Vec<Change>) -> Part {
         let (life, news) = self.note(now, beat);
         if !table.knows(&life) {
@@ -159,8 +164,8 @@
             };
             self.propose(now, change, out);
         }
-        // All else can wait for the next wake-up: a plan looks at all engines
-        // and instances, and every instance beats.
+        // Everything else can wait for the next wake-up: planning looks at all engines
+        // and instances, which is too much for every heartbeat of every instance.
         if news {
             self.plan(now, table, out);
         }
@@ -179,14 +184,14 @@
         }
     }
 
-    /// Takes the passing of time, or an applied change; changes to propose go
-    /// to `out`.
+    /// Plans after time has passed or a change was applied; changes to propose are
+    /// appended to `out`.
     pub fn wake(&mut self, now: Time, table: &Table, out: &mut Vec<Change>) {
         self.plan(now, table, out);
     }
 
-    /// Returns what is known of each instance: its zone, the text in force
-    /// there, when it was last heard of, and whether it is leaving.
+    /// Returns for each instance its zone, the version of the operators' configuration
+    /// text in force there, when it was last heard from, and whether it is shutting down.
     pub fn instances(
         &self,
     ) -> impl Iterator<Item = (&InstanceName, &ZoneName, TextVersion, Time, bool)> {
@@ -194,8 +199,8 @@
         all.map(|(name, s)| (name, &s.zone, s.text, s.last, s.leaving))
     }
 
-    /// Returns how long nothing was heard of `name`, as far as this leader can
-    /// tell; nothing at all since it began to lead counts from then.
+    /// Returns how long `name` has not been heard from. For an instance that this leader
+    /// has never heard from, the time counts from when it began to lead.
     #[must_use]
     pub fn silence(&self, now: Time, name: &InstanceName) -> Duration {
         let since = self.since.unwrap_or(now);
@@ -203,8 +208,8 @@
         now.since(last)
     }
 
-    /// Takes in a beat; returns whose it is, and whether it says something that
-    /// owners may have to change for.
+    /// Records a heartbeat; returns the sender, and whether the heartbeat contains
+    /// anything that may require a change of owners.
     fn note(&mut self, now: Time, beat: &Beat) -> (Life, bool) {
         let life = Life {
             instance: beat.instance.clone(),
@@ -259,7 +264,7 @@
         leases
     }
 
-    /// Divides the store's rate anew.
+    /// Recomputes each instance's share of the store's rate.
     fn share_loads(&mut self, now: Time) {
         let live = self.seen.iter().filter(|(_, s)| self.live(now, s));
         let ask = |s: &Seen| store::Ask {
--- a/crates/owner/src/grantor/plan.rs
+++ b/crates/owner/src/grantor/plan.rs
@@ -1,4 +1,5 @@
-//! What the leader proposes: newcomers, owners, and the end of both.
+//! Plans the changes that the leader proposes: which instances are admitted and removed,
+//! and which engines they own.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,11 +8,11 @@
 use super::{Change, DISMISS_AFTER, Grantor, Life, Moving, Seen, Table};
 use crate::table::{Engine, Former, Member};
 
-/// Engines that each candidate owns or is to own, by name of the candidate.
+/// Number of engines that each candidate owns or is about to own, by candidate.
 type Counts = BTreeMap<InstanceName, usize>;
 
 impl Grantor {
-    /// Proposes all that is due. Without leadership it proposes nothing.
+    /// Proposes all changes that are due. Does nothing while this instance doesn't lead.
     pub(super) fn plan(&mut self, now: Time, table: &Table, out: &mut Vec<Change>) {
         let Some(since) = self.since else {
             return;
@@ -39,13 +40,13 @@
         }
     }
 
-    /// Tells whether every instance that may hold an engine of the zone knows
-    /// the newcomer.
+    /// Returns whether every instance that may own or use an engine of the zone knows the
+    /// newly joined instance.
     ///
-    /// Guard: an owner without leader goes on by the word of the zone-mates
-    /// that it knows. A newcomer that it doesn't know was never asked; if it
-    /// got the engine, two would be in charge. So it gets none until each
-    /// owner has acknowledged it, or has certainly stopped.
+    /// Guard: an owner that can't reach the leader goes on with the confirmation of the
+    /// zone peers that it knows. It never asks an instance that it doesn't know; if that
+    /// instance got the engine, the engine would have two owners. So an instance is
+    /// admitted only when each owner has acknowledged it or has certainly stopped.
     fn known_to_all(
         &self,
         now: Time,
@@ -78,7 +79,7 @@
         seen.is_some_and(|seen| seen.life == *life && seen.roster >= roster)
     }
 
-    /// Tells whether `life` has been silent for longer than it may go on
+    /// Returns whether `life` has not been heard from for longer than it may go on
     /// without leader.
     fn stopped(&self, now: Time, since: Time, life: &Life) -> bool {
         let last = self.answered.get(life).copied().unwrap_or(since).max(since);
@@ -98,8 +99,8 @@
         }
     }
 
-    /// Tells whether an earlier owner certainly has no request left: it says
-    /// so itself and knows that it was replaced, or its process is gone.
+    /// Returns whether a former owner certainly has no request left: it knows that it was
+    /// replaced and reports none, or its process no longer exists.
     fn accounted(
         &self,
         now: Time,
@@ -126,8 +127,9 @@
             let seen = self.seen.get(name).filter(|seen| seen.life == life);
             let last = seen.map_or(since, |seen| seen.last.max(since));
             let idle = now.since(last) > DISMISS_AFTER && table.owned(&life).next().is_none();
-            // An instance that comes back after its dismissal is a newcomer;
-            // the last ones of a zone that owners know are kept for that.
+            // A dismissed instance that comes back has to be admitted again, which takes
+            // until all owners know it. So an instance is kept while its zone has no
+            // other candidate.
             if idle && !self.candidates(now, table, &member.zone).is_empty() {
                 due.push(Change::Dismiss { life });
             }
@@ -192,8 +194,8 @@
         (same && self.live(now, seen)).then_some(seen)
     }
 
-    /// Returns the engines of `zone` that need an owner, with the fencing
-    /// number in force.
+    /// Returns the engines of `zone` that need an owner, each with the fencing number in
+    /// force.
     fn open_engines(
         &self,
         now: Time,
@@ -217,7 +219,7 @@
         open
     }
 
-    /// Tells whether the owner's lease has certainly ended.
+    /// Returns whether the owner's lease has certainly ended.
     fn may_move(&self, now: Time, since: Time, target: &TargetName, engine: &Engine) -> bool {
         let seen = self.seen.get(&engine.owner.instance);
         let seen = seen.filter(|seen| seen.life == engine.owner);
@@ -234,10 +236,10 @@
         if seen.is_some_and(|seen| self.live(now, seen)) {
             return false;
         }
-        // Guard: an owner that is cut off or frozen believes in its lease
-        // until it ends, and an older leader may have renewed it just before
-        // this one began. The engine waits for the later of both, stretched
-        // by the drift of clocks.
+        // Guard: an owner that is partitioned or frozen relies on its lease until it
+        // ends, and an earlier leader may have renewed it just before this leader began.
+        // The lease is counted from the later of both times and extended by the clock
+        // drift.
         let granted = self.granted.get(target);
         let granted = granted.filter(|(fence, _)| *fence == engine.fence);
         let last = granted.map_or(since, |(_, at)| (*at).max(since));
@@ -248,12 +250,12 @@
         over && self.zone_back(now, &engine.zone)
     }
 
-    /// Tells whether a zone is heard of for long enough that its owners would
-    /// have been heard too.
+    /// Returns whether a zone has been heard from for long enough that its owners would
+    /// have been heard from too.
     ///
-    /// Guard: after a cut heals, the first beat may come from any instance of
-    /// the zone. An owner whose beat comes a moment later still is in charge,
-    /// and would lose its engines without need.
+    /// Guard: when a partition ends, the first heartbeat may come from any instance of
+    /// the zone. An owner whose heartbeat arrives a moment later still owns its engines
+    /// and would lose them needlessly.
     fn zone_back(&self, now: Time, zone: &ZoneName) -> bool {
         let here = self.seen.values().filter(|seen| seen.zone == *zone);
         let wait = self.config.beat * 2;
@@ -266,8 +268,9 @@
         back
     }
 
-    /// Picks the candidate with the fewest engines that can reach `target`;
-    /// among equals by rendezvous hash, so that most stay when one leaves.
+    /// Returns the candidate with the fewest engines among those that can reach `target`.
+    /// Ties are decided by a rendezvous hash, so that most engines stay where they are
+    /// when an instance leaves.
     fn choose(
         &self,
         able: &BTreeMap<InstanceName, Life>,
@@ -287,7 +290,7 @@
         engines.is_some_and(|all| all.contains(target))
     }
 
-    /// Ends moves whose engine has a new owner or whose owner fell silent.
+    /// Ends moves whose engine has a new owner or whose owner is no longer heard from.
     fn settle_moves(&mut self, now: Time, table: &Table, zone: &ZoneName) {
         let seen = &self.seen;
         let lease = self.config.lease;
@@ -301,8 +304,8 @@
         });
     }
 
-    /// Gives up engines that their owner no longer sees in the platform's
-    /// list, once the owner has acknowledged a reply without the lease.
+    /// Removes engines that the platform no longer lists for their owner, once the owner
+    /// has acknowledged a reply without the lease.
     fn forget(&mut self, now: Time, table: &Table, zone: &ZoneName, due: &mut Vec<Change>) {
         let here = table.engines().iter().filter(|(_, e)| e.zone == *zone);
         for (target, engine) in here {
@@ -329,8 +332,8 @@
         }
     }
 
-    /// Starts to move one engine from the instance with the most to the one
-    /// with the fewest, where they differ by two or more.
+    /// Begins to move one engine from the instance with the most engines to the one with
+    /// the fewest, if they differ by two or more.
     fn even_out(&mut self, table: &Table, zone: &ZoneName, counts: &Counts) {
         let under_way = self.moving.keys().filter_map(|t| table.engines().get(t));
         if under_way.filter(|e| e.zone == *zone).count() > 0 {
@@ -359,8 +362,8 @@
     }
 }
 
-/// Tells whether a younger life of the same instance listens at the very
-/// address of `life`: then that process is gone.
+/// Returns whether a later incarnation of the same instance listens at the address of
+/// `life`, in which case that process no longer exists.
 fn replaced(table: &Table, life: &Life, peer: &str) -> bool {
     let member = table.members().get(&life.instance);
     member.is_some_and(|m| m.incarnation > life.incarnation && m.peer == peer)
--- a/crates/owner/src/holder.rs
+++ b/crates/owner/src/holder.rs
@@ -1,4 +1,4 @@
-//! What one entry instance may do to the engines of its zone, at this moment.
+//! Decides what one entry instance may send to the engines of its zone at a given moment.
 
 mod own;
 
@@ -14,30 +14,30 @@
 use self::own::Held;
 use crate::Config;
 
-/// Time per zone-mate that a confirmation lasts at least: rounds are rarer in
-/// a large zone, so that they don't fill its links.
+/// A confirmation is valid for at least this time per zone peer. Confirmations are
+/// requested less often in a large zone, so that they don't saturate its links.
 const CONFIRM_EACH: Duration = Duration::from_millis(200);
-/// Beats whose sending time is remembered for a late reply.
+/// Number of heartbeats whose sending time is remembered for a late reply.
 const BEATS_MAX: usize = 64;
-/// Handovers kept for one engine before its lease arrives.
+/// Number of handovers kept for one engine before its lease arrives.
 const EARLY_MAX: usize = 16;
 
-/// How far an instance is in charge of an engine.
+/// What an instance may do to an engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Own {
-    /// In charge: any order.
+    /// The lease or the confirmation of all zone peers is valid: any order may be sent.
     Full {
         /// The fencing number for orders.
         fence: Fence,
     },
-    /// Perhaps replaced: requests on what is resident go on. An engine that
-    /// checks fencing numbers may be ordered; another only loaded into a free
-    /// slot.
+    /// The lease has ended, and another owner may have been assigned. Requests for
+    /// resident adapters go on. An engine that checks fencing numbers may still get any
+    /// order, another engine only loads into a free slot.
     Restricted {
         /// The fencing number for orders.
         fence: Fence,
     },
-    /// Not in charge: no new request and no order.
+    /// Not the owner: no new request and no order may be sent.
     #[default]
     None,
 }
@@ -47,35 +47,37 @@
 pub enum Order<'a> {
     /// Load an adapter into a free slot.
     Load,
-    /// Unload an adapter that none of this instance's own requests uses.
+    /// Unload an adapter that no request of this instance uses.
     Unload(&'a Resident),
 }
 
-/// What happened.
+/// An input of [`Holder::handle`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Input {
-    /// A beat is about to be sent: hand this in before the first byte leaves.
+    /// A heartbeat is about to be sent. Must be handed in before its first byte is sent,
+    /// since leases count from here.
     Sent {
-        /// Its serial.
+        /// The heartbeat's serial number.
         serial: u64,
     },
-    /// The leader answered a beat.
+    /// The leader's reply to a heartbeat.
     Reply(BeatReply),
-    /// A zone-mate answered [`Output::Ask`].
+    /// A zone peer answered [`Output::Ask`].
     Confirmed {
-        /// Who.
+        /// The zone peer.
         from: InstanceName,
-        /// Which engine it was asked for.
+        /// The engine in question.
         target: TargetName,
-        /// The round of the question.
+        /// The round given in [`Output::Ask`].
         round: u64,
-        /// Its answer.
+        /// Whether it confirmed the ownership.
         granted: bool,
     },
-    /// Another owner hands an engine over, or says what it still uses there.
+    /// A former owner of an engine reports which adapters it still uses there.
     Handover(Handover),
-    /// What this instance's own requests still use at an engine that it lost.
-    /// To be handed in after [`Own::None`] and after each change, until empty.
+    /// The adapters that requests of this instance still use on an engine that it no
+    /// longer owns. To be handed in after [`Own::None`] is reported and after each
+    /// change, until the set is empty.
     Using {
         /// The engine.
         target: TargetName,
@@ -86,70 +88,71 @@
     Loaded {
         /// The engine.
         target: TargetName,
-        /// The fencing number of the order.
+        /// The fencing number sent with the order.
         fence: Fence,
-        /// What was loaded.
+        /// The loaded adapter.
         resident: Resident,
-        /// Whether the engine didn't hold it before. An engine says so when it
-        /// does: then another owner may have loaded it, and may use it.
+        /// Whether the adapter was not resident before. An engine reports if it was; in
+        /// that case another owner may have loaded it and may be using it.
         fresh: bool,
     },
-    /// An unload is about to be sent, after [`Holder::may_order`].
+    /// An unload, permitted by [`Holder::may_order`], is about to be sent.
     Unloading {
         /// The engine.
         target: TargetName,
-        /// What is unloaded.
+        /// The adapter to unload.
         resident: Resident,
     },
-    /// An engine restarted: it holds nothing that was loaded before.
+    /// An engine restarted and lost all loaded adapters.
     Restarted {
         /// The engine.
         target: TargetName,
     },
-    /// The instance is about to stop: gives up all engines, takes none.
+    /// The instance is shutting down: it gives up all engines and accepts no others.
     Renounce,
     /// Time has passed.
     Wake,
 }
 
-/// What to do.
+/// An action that the caller of [`Holder::handle`] has to carry out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Output {
-    /// Ask a zone-mate to confirm ownership; answer by [`Input::Confirmed`].
+    /// Ask a zone peer to confirm ownership of an engine; its answer is handed in as
+    /// [`Input::Confirmed`].
     Ask {
-        /// Whom.
+        /// The zone peer.
         to: InstanceName,
-        /// The round to hand back.
+        /// Number of the round, to be handed back with the answer.
         round: u64,
-        /// The question.
+        /// The request.
         confirm: Confirm,
     },
-    /// Ownership of an engine changed.
+    /// What this instance may do to an engine has changed.
     Changed {
         /// The engine.
         target: TargetName,
-        /// How far this instance is in charge now.
+        /// What it may do now.
         own: Own,
     },
-    /// Tell the new owner of an engine what is still in use there.
+    /// Tell the new owner of an engine which adapters are still in use there.
     Handover {
         /// The new owner.
         to: InstanceName,
         /// The message.
         handover: Handover,
     },
-    /// Call with [`Input::Wake`] at this moment; replaces the last one.
+    /// Call with [`Input::Wake`] at this time; replaces any earlier request.
     Wake(Time),
 }
 
-/// A promise not to take an engine.
+/// A promise to a zone peer not to take over an engine that it owns.
 #[derive(Clone, Debug)]
 struct Promise {
     fence: Fence,
     until: Time,
 }
 
-/// An engine that went to somebody else.
+/// An engine that this instance no longer owns.
 #[derive(Clone, Debug)]
 struct Lost {
     fence: Fence,
@@ -157,7 +160,7 @@
     told: Option<(InstanceName, BTreeSet<Resident>)>,
 }
 
-/// An entry instance's leases on engines.
+/// The leases of one entry instance on engines.
 #[derive(Debug)]
 pub struct Holder {
     config: Config,
@@ -179,7 +182,7 @@
 }
 
 impl Holder {
-    /// Makes the holder of an instance that starts at `now`.
+    /// Creates the holder of an instance that starts at `now`.
     #[must_use]
     pub fn new(config: Config, name: InstanceName, zone: ZoneName, now: Time) -> Self {
         Holder {
@@ -202,7 +205,7 @@
         }
     }
 
-    /// Takes one input and appends what has to be done about it.
+    /// Handles one input and appends the resulting actions to `out`.
     pub fn handle(&mut self, now: Time, input: Input, out: &mut Vec<Output>) {
         match input {
             Input::Sent { serial } => self.note_sent(now, serial),
@@ -241,8 +244,9 @@
         self.settle(now, out);
     }
 
-    /// Answers a zone-mate that asks to keep an engine: a promise not to take
-    /// it for so long.
+    /// Answers a zone peer that asks to confirm its ownership of an engine. Returns
+    /// whether it is confirmed, which is a promise not to take over the engine for the
+    /// requested time.
     pub fn confirm(&mut self, now: Time, ask: &Confirm, out: &mut Vec<Output>) -> bool {
         let granted = self.grants(ask);
         if granted {
@@ -258,7 +262,7 @@
         granted
     }
 
-    /// Returns how far this instance is in charge of `target` at `now`.
+    /// Returns what this instance may do to `target` at `now`.
     #[must_use]
     pub fn own(&self, now: Time, target: &TargetName) -> Own {
         let Some(held) = self.held.get(target) else {
@@ -268,10 +272,9 @@
             return Own::None;
         }
         let fence = held.fence;
-        // Guard: a process that was frozen goes on in the middle of whatever
-        // it did, with timers that haven't fired yet. Nothing it remembers as
-        // "in charge" may count; the lease's end is compared with the clock
-        // at the very moment of use.
+        // Guard: a process that was frozen resumes at an arbitrary point, before any of
+        // its timers fires. So no stored state says whether the lease is valid; its end
+        // is compared with the clock at each use.
         if held.in_charge(now, self.mates(), self.config.alone) {
             Own::Full { fence }
         } else {
@@ -280,14 +283,13 @@
         }
     }
 
-    /// Returns the fencing number under which a request may be sent to
-    /// `target` at `now`, on an adapter that is resident there.
+    /// Returns the fencing number for a request to `target` at `now`, for an adapter that
+    /// is resident there; none if the request may not be sent.
     ///
-    /// `fencing` says whether the engine refuses old fencing numbers. Such an
-    /// engine has to have taken one order of this owner before: until then an
-    /// earlier owner's orders still pass, and could unload what the request
-    /// uses. A load of something already resident serves; see
-    /// [`Holder::untouched`].
+    /// `fencing` says whether the engine refuses outdated fencing numbers. Such an engine
+    /// must first have accepted one order of this owner: until then it accepts orders of
+    /// a former owner, which could unload the adapter that the request uses. A load of an
+    /// adapter that is resident already suffices; see [`Holder::untouched`].
     #[must_use]
     pub fn may_send(&self, now: Time, target: &TargetName, fencing: bool) -> Option<Fence> {
         let held = self.held.get(target)?;
@@ -301,8 +303,8 @@
         }
     }
 
-    /// Returns the fencing number for `order` to `target` if it may be sent at
-    /// `now`; to be called immediately before sending.
+    /// Returns the fencing number for `order` to `target`, or none if it may not be sent
+    /// at `now`. To be called immediately before sending.
     #[must_use]
     pub fn may_order(
         &self,
@@ -320,19 +322,19 @@
         let Order::Unload(resident) = order else {
             return Some(fence);
         };
-        // Guard: an order sent in the last moment of a lease arrives when the
-        // next owner is in charge. An unload has to have time to arrive.
+        // Guard: an order sent at the very end of a lease arrives when the next owner has
+        // taken over. So an unload is sent only if it can arrive before the lease ends.
         let full =
             full && held.in_charge(now + self.config.flight, self.mates(), self.config.alone);
-        // Guard: an instance that was replaced without knowing it would
-        // unload what the new owner's requests use. An engine that checks
-        // fencing numbers refuses that order; any other gets none.
+        // Guard: an instance that was replaced without knowing it would unload adapters
+        // that the new owner's requests use. An engine that checks fencing numbers
+        // refuses that order; any other engine is not sent it.
         if !full && (!fencing || held.untouched()) {
             base::hit!(restricted_unload);
             return None;
         }
-        // Guard: an earlier owner may still have requests running, or send
-        // more without knowing that it was replaced. What it may use stays.
+        // Guard: a former owner may still have requests running, or send more because it
+        // doesn't know that it was replaced. Adapters that it may use are not unloaded.
         if held.pinned(resident) {
             base::hit!(inherited_adapter);
             return None;
@@ -340,21 +342,21 @@
         Some(fence)
     }
 
-    /// Returns whether an earlier owner may use `resident` at `target`.
+    /// Returns whether a former owner may use `resident` on `target`.
     #[must_use]
     pub fn pinned(&self, target: &TargetName, resident: &Resident) -> bool {
         let held = self.held.get(target);
         held.is_some_and(|held| held.pinned(resident))
     }
 
-    /// Returns engines owned where an earlier owner may still give orders: if
-    /// they check fencing numbers, they need one order before any request.
+    /// Returns the owned engines to which a former owner may still send orders. Those
+    /// that check fencing numbers need one order of this owner before any request.
     pub fn untouched(&self) -> impl Iterator<Item = &TargetName> {
         let open = self.held.iter().filter(|(_, held)| held.untouched());
         open.map(|(target, _)| target)
     }
 
-    /// Returns the owner of `target` and its fencing number, as far as known.
+    /// Returns the owner of `target` and its fencing number, as far as known here.
     #[must_use]
     pub fn owner_of(&self, target: &TargetName) -> Option<(&InstanceName, Fence)> {
         let all = self.peers.values();
@@ -362,39 +364,41 @@
         owners.max_by_key(|(_, fence)| *fence)
     }
 
-    /// Returns the entry instances as the leader last named them.
+    /// Returns all entry instances as last listed by the leader.
     #[must_use]
     pub fn peers(&self) -> &BTreeMap<InstanceName, Peer> {
         &self.peers
     }
 
-    /// Returns the other instances of this zone.
+    /// Returns the zone peers: the other instances of this availability zone.
     pub fn mates(&self) -> impl Iterator<Item = &InstanceName> {
         let mates = self.peers.values();
         let mates = mates.filter(|peer| peer.zone == self.zone && peer.instance != self.name);
         mates.map(|peer| &peer.instance)
     }
 
-    /// Returns how many zones have instances.
+    /// Returns the number of zones that have instances, at least 1.
     #[must_use]
     pub fn zones(&self) -> usize {
         let zones: BTreeSet<_> = self.peers.values().map(|peer| &peer.zone).collect();
         zones.len().max(1)
     }
 
-    /// Returns the roster for the next beat.
+    /// Returns the roster for the next heartbeat: the log index up to which this instance
+    /// knows the table of instances and owners.
     #[must_use]
     pub fn roster(&self) -> u64 {
         self.roster
     }
 
-    /// Returns the serial of the newest reply, for the next beat.
+    /// Returns the serial of the newest reply taken in, for the next heartbeat.
     #[must_use]
     pub fn heard(&self) -> u64 {
         self.heard
     }
 
-    /// Returns the engines lost and still in use, for the next beat.
+    /// Returns the engines that are no longer owned but still in use, each with the
+    /// fencing number that this instance had, for the next heartbeat.
     #[must_use]
     pub fn busy(&self) -> Vec<(TargetName, Fence)> {
         let busy = self.lost.iter().filter(|(_, lost)| lost.busy());
@@ -402,7 +406,8 @@
             .collect()
     }
 
-    /// Returns whether the next beat has to say that this instance leaves.
+    /// Returns whether the next heartbeat has to announce that this instance is shutting
+    /// down.
     #[must_use]
     pub fn leaving(&self) -> bool {
         self.renounced
@@ -415,7 +420,7 @@
     }
 }
 
-/// Returns how long a confirmation lasts in a zone with so many mates.
+/// Returns how long a confirmation is valid in a zone with `mates` zone peers.
 fn confirm_time(config: &Config, mates: usize) -> Duration {
     let mates = u32::try_from(mates).unwrap_or(u32::MAX);
     config.lease.max(CONFIRM_EACH.saturating_mul(mates))
--- a/crates/owner/src/holder/own.rs
+++ b/crates/owner/src/holder/own.rs
@@ -1,4 +1,4 @@
-//! One engine held, and what each input does to what is held.
+//! The lease on one engine, and how each input changes it.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -8,20 +8,20 @@
     Output, Own, Resident, TargetName, Time, confirm_time, fence_in,
 };
 
-/// An engine that this instance was given.
+/// A lease on one engine.
 #[derive(Clone, Debug)]
 pub(super) struct Held {
     pub(super) fence: Fence,
-    /// When the beat was sent that the lease counts from.
+    /// When the heartbeat was sent from which the lease counts.
     base: Time,
     until: Time,
     former: BTreeSet<Fence>,
     handed: BTreeMap<Fence, BTreeSet<Resident>>,
     pub(super) loaded: BTreeSet<Resident>,
     touched: bool,
-    /// Whether the engine restarted while an earlier owner was open.
+    /// Whether the engine restarted while a former owner might still use it.
     emptied: bool,
-    /// What was last said by [`Output::Changed`].
+    /// The last state reported by [`Output::Changed`].
     told: Own,
     asked: BTreeMap<u64, (Time, Duration)>,
     confirmed: BTreeMap<InstanceName, Time>,
@@ -29,7 +29,8 @@
 }
 
 impl Held {
-    /// Tells whether the lease, or the word of every zone-mate, still holds.
+    /// Returns whether the lease is valid, or all zone peers have confirmed the
+    /// ownership.
     pub(super) fn in_charge<'a>(
         &self,
         now: Time,
@@ -39,9 +40,9 @@
         if now < self.until {
             return true;
         }
-        // Guard: the leader lets a newcomer that this instance has never
-        // heard of take the engine after `alone`; this instance has to have
-        // stopped before.
+        // Guard: after the time `alone` the leader admits an instance that this one has
+        // never heard of, which then may get the engine. This instance must have stopped
+        // by then.
         if now >= self.base + alone {
             base::hit!(alone_too_long);
             return false;
@@ -49,21 +50,21 @@
         mates.all(|mate| self.confirmed.get(mate).is_some_and(|until| now < *until))
     }
 
-    /// Notes that the engine restarted, empty.
+    /// Records that the engine restarted and lost all loaded adapters.
     pub(super) fn restarted(&mut self) {
         self.loaded.clear();
         self.touched = false;
         self.emptied |= !self.former.is_empty();
     }
 
-    /// Tells whether an earlier owner may still give orders.
+    /// Returns whether a former owner may still send orders to the engine.
     pub(super) fn untouched(&self) -> bool {
         let silent = |fence: &Fence| !self.handed.contains_key(fence);
         !self.touched && self.former.iter().any(silent)
     }
 
-    /// Tells whether an earlier owner may use `resident`: what it said that it
-    /// uses, or, as long as it said nothing, all that it may have loaded.
+    /// Returns whether a former owner may use `resident`: one of the adapters it reported
+    /// or, until it reports, any adapter that this instance did not load itself.
     pub(super) fn pinned(&self, resident: &Resident) -> bool {
         self.former
             .iter()
@@ -73,7 +74,8 @@
             })
     }
 
-    /// Returns the next moment after `now` at which something changes.
+    /// Returns the next time after `now` at which the ownership may change or a
+    /// confirmation has to be requested.
     fn next_change(&self, now: Time, alone: Duration) -> Option<Time> {
         let fixed = [self.until, self.base + alone, self.ask_at];
         let all = fixed.into_iter().chain(self.confirmed.values().copied());
@@ -83,8 +85,8 @@
 
 impl Holder {
     pub(super) fn note_sent(&mut self, now: Time, serial: u64) {
-        // A handover may have been lost on its way: with each beat it is said
-        // again, as long as something is in use.
+        // A handover message may have been lost, so it is sent again with each heartbeat
+        // as long as an adapter is in use.
         let busy = self.lost.values_mut().filter(|lost| lost.busy());
         busy.for_each(|lost| lost.told = None);
         self.sent.insert(serial, now);
@@ -94,9 +96,9 @@
     }
 
     pub(super) fn on_reply(&mut self, now: Time, reply: BeatReply) {
-        // Guard: a reply that overtook another one, or of a leader that was
-        // replaced since, must not bring an engine back. Only newer serials
-        // count, and a lease counts from when its beat was sent.
+        // Guard: a reply that arrives out of order, or from a leader that has been
+        // replaced since, must not restore a lease. Only replies with a higher serial are
+        // accepted, and a lease counts from when its heartbeat was sent.
         let Some(sent) = self.sent.get(&reply.serial).copied() else {
             base::hit!(unknown_reply);
             return;
@@ -179,18 +181,18 @@
         held.handed.retain(|fence, _| held.former.contains(fence));
     }
 
-    /// Tells whether an engine that the leader offers may be taken.
+    /// Returns whether this instance may accept an engine that the leader assigns to it.
     fn free_to_take(&self, now: Time, target: &TargetName) -> bool {
-        // Guard: the life before this one may have promised an engine to a
-        // zone-mate and forgotten it by the restart. The promise has run out
-        // before this life takes its first engine.
+        // Guard: the previous incarnation of this instance may have promised a zone peer
+        // not to take an engine, and the restart erased the promise. So no engine is
+        // accepted before all such promises have expired.
         let longest = self.longest_promise();
         if now < self.born + self.config.margin.stretch(longest) {
             base::hit!(young_holder);
             return false;
         }
-        // Guard: this instance gave its word that the owner may go on; the
-        // leader can't know that. It takes the engine once the word is over.
+        // Guard: this instance promised that the current owner may go on, which the
+        // leader can't know. It accepts the engine once the promise has expired.
         let promise = self.promises.get(target);
         if promise.is_some_and(|p| now < p.until) {
             base::hit!(kept_promise);
@@ -199,15 +201,15 @@
         true
     }
 
-    /// Twice the time asked for at this zone's size: the asker may have known
-    /// more mates.
+    /// Returns the longest promise that this instance gives: twice the time requested in
+    /// a zone of this size, since the requester may know of more zone peers.
     fn longest_promise(&self) -> Duration {
         confirm_time(&self.config, 2 * self.mates().count())
     }
 
     pub(super) fn grants(&self, ask: &Confirm) -> bool {
-        // Guard: a promise longer than a restart waits would outlive this
-        // process's memory of it.
+        // Guard: a restarted process waits only this long before it accepts an engine; a
+        // longer promise would be broken by a restart.
         if ask.lasts > self.longest_promise() {
             base::hit!(long_promise);
             return false;
@@ -217,8 +219,8 @@
         let known = self.owner_of(&ask.target).map(|(_, fence)| fence);
         let promised = self.promises.get(&ask.target).map(|p| p.fence);
         let newest = held.max(offered).max(known).max(promised);
-        // Guard: whoever has seen a newer owner denies the older one, or two
-        // would be in charge after the cut heals.
+        // Guard: an instance that knows of a newer owner must not confirm the older one,
+        // or the engine would have two owners when the partition ends.
         if newest.is_some_and(|fence| fence > ask.fence) {
             base::hit!(newer_owner);
             return false;
@@ -226,7 +228,7 @@
         true
     }
 
-    /// Gives up an engine that the asker got after this instance had it.
+    /// Gives up an engine to which the requester has a newer fencing number.
     pub(super) fn drop_older(&mut self, ask: &Confirm) {
         let held = self.held.get(&ask.target).map(|h| h.fence);
         if held.is_some_and(|fence| fence < ask.fence) {
@@ -286,16 +288,16 @@
             return;
         }
         held.touched = true;
-        // Guard: an earlier owner that doesn't know that it was replaced may
-        // have loaded the adapter a moment ago, and use it. Only what this
-        // owner itself brought in is certainly its own to unload.
+        // Guard: a former owner that doesn't know of its replacement may just have loaded
+        // this adapter and may be using it. Only adapters that this owner's load made
+        // resident are safe to unload.
         if !fresh {
             base::hit!(loaded_by_other);
             return;
         }
-        // Guard: an earlier owner that is cut off doesn't see the engine
-        // restart. What it remembers as resident comes back by this load, and
-        // it uses it; so nothing loaded since is this owner's own.
+        // Guard: a former owner that is partitioned doesn't notice the restart. A load
+        // brings back an adapter that it believes resident and may be using, so no
+        // adapter loaded since the restart is safe to unload.
         if held.emptied {
             base::hit!(restarted_under_former);
             return;
@@ -316,8 +318,8 @@
         self.news.insert(target.clone());
     }
 
-    /// Says what has changed since the last input, asks zone-mates where the
-    /// leader is silent, and sets the next wake-up.
+    /// Reports what has changed since the last input, asks zone peers for confirmation
+    /// while the leader doesn't answer, and schedules the next wake-up.
     pub(super) fn settle(&mut self, now: Time, out: &mut Vec<Output>) {
         self.promises.retain(|_, promise| now < promise.until);
         if self.renounced {
@@ -387,8 +389,8 @@
         }
     }
 
-    /// Tells new owners what this instance still uses, whenever that or the
-    /// owner changes.
+    /// Tells new owners which adapters this instance still uses, whenever these or the
+    /// owner change.
     fn tell_lost(&mut self, out: &mut Vec<Output>) {
         let peers = &self.peers;
         for (target, lost) in &mut self.lost {
--- a/crates/owner/src/lib.rs
+++ b/crates/owner/src/lib.rs
@@ -1,10 +1,11 @@
-//! Who may order an engine.
+//! Decides which entry instance may send requests and orders to an engine.
 //!
-//! One instance owns an engine at a time. The replicated log holds the
-//! [`Table`] of owners; the leader's [`Grantor`] decides who gets what and
-//! renews leases by heartbeat; each entry instance asks its [`Holder`]
-//! immediately before every request and order. docs/design/ownership.md
-//! gives the ways that were weighed and what remains possible.
+//! An engine has one owner at a time, an entry instance of its availability zone. The
+//! replicated log holds the [`Table`] of owners. The [`Grantor`] of the leading control
+//! instance assigns engines and renews leases in its replies to heartbeats. Each entry
+//! instance consults its [`Holder`] immediately before every request and order.
+//! docs/design/ownership.md compares the alternatives and lists the cases that remain
+//! possible.
 
 mod grantor;
 mod holder;
@@ -22,27 +23,28 @@
     table::{Change, Engine, Former, Life, Member, Table},
 };
 
-/// Time constants that holders and the grantor must share.
+/// Time limits that the grantor and all lessees must agree on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Config {
-    /// Time between two beats of an entry instance.
+    /// Interval between two heartbeats of an entry instance.
     pub beat: Duration,
-    /// How long a lease holds, counted from when the beat was sent.
+    /// How long a lease is valid, counted from when the heartbeat was sent.
     pub lease: Duration,
-    /// How long an owner without leader may go on by the word of its zone
-    /// alone; a newcomer that it can't know of waits as long.
+    /// How long an owner that can't reach the leader may go on with the confirmation of
+    /// its zone peers alone. An instance that such an owner can't know of waits as long
+    /// before it gets an engine.
     pub alone: Duration,
-    /// How long an order may be on its way: an unload is only sent if the
-    /// lease holds for so long after.
+    /// Upper limit for the delivery of an order: an unload is sent only if the lease
+    /// stays valid for at least this long.
     pub flight: Duration,
-    /// How far apart clocks may run.
+    /// How far the rates of two clocks may differ.
     pub margin: DriftMargin,
 }
 
 impl Default for Config {
-    /// A lost beat costs nothing, three cost the lease. Ten minutes alone
-    /// cover most cuts, and bound how long a replacement under a new name
-    /// waits in a zone whose only instance crashed.
+    /// The lease survives one lost heartbeat and ends after three. Ten minutes without
+    /// leader outlast most network partitions; they also bound how long a replacement
+    /// under a new name waits in a zone whose only instance crashed.
     fn default() -> Self {
         Config {
             beat: Duration::from_secs(1),
--- a/crates/owner/src/store.rs
+++ b/crates/owner/src/store.rs
@@ -1,32 +1,33 @@
-//! The weight store's budget, divided among the instances.
+//! Divides the load budget of the weight store among the entry instances.
 //!
-//! Rates are in thousandths of a load a second.
+//! Rates are in thousandths of a load per second.
 
 use std::collections::BTreeMap;
 
 use base::{InstanceName, PerSecond, ZoneName};
 
-/// What one instance asks of the store.
+/// What one instance needs from the weight store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Ask {
     pub(crate) zone: ZoneName,
     pub(crate) loads: u32,
 }
 
-/// Returns what an instance may start when its zone is cut off: its zone's
-/// equal part, divided among the zone's instances.
+/// Returns the load rate of an instance whose zone is partitioned from the leader, in
+/// thousandths of a load per second: `rate` divided equally among `zones` zones, and
+/// within the zone among its `mates` instances.
 #[must_use]
 pub fn fixed_share(rate: PerSecond, zones: usize, mates: usize) -> u32 {
     let parts = zones.max(1) * mates.max(1);
     thousandths(rate) / u32::try_from(parts).unwrap_or(u32::MAX)
 }
 
-/// Divides the store's rate among the instances heard of.
+/// Divides the store's rate among the instances that are heard from.
 ///
-/// Zones in `silent` may be cut off and use their fixed parts, so these are
-/// set aside first. Half of the rest is divided equally, so that an instance
-/// which begins to load needn't wait for its next beat; the other half goes by
-/// the loads waiting.
+/// Zones in `silent` may be partitioned and then use their fixed shares, so these are set
+/// aside first. Half of the rest is divided equally, so that an instance with a new load
+/// to make needn't wait for its next heartbeat; the other half is divided in proportion
+/// to the waiting loads.
 #[must_use]
 pub(crate) fn divide(
     rate: PerSecond,
@@ -48,8 +49,9 @@
     parts.collect()
 }
 
-/// Divides `rate` among instances that wait for so many loads each, with
-/// `silent` of `zones` zones not heard of.
+/// Divides `rate` among instances, each given with its zone and its number of waiting
+/// loads, while `silent` of `zones` zones are not heard from. Returns each instance's
+/// rate in thousandths of a load per second.
 #[must_use]
 pub fn shares(
     rate: PerSecond,
--- a/crates/owner/src/table.rs
+++ b/crates/owner/src/table.rs
@@ -1,95 +1,97 @@
-//! The table of instances and owners: part of the replicated state.
+//! The table of entry instances and engine owners, part of the replicated state.
 //!
-//! Every change names what it expects to find, so a proposal that comes
-//! through twice, or late under another leader, changes nothing.
+//! Every change states what it expects to find. A proposal that is applied twice, or late
+//! under another leader, therefore has no effect.
 
 use std::collections::BTreeMap;
 
 use base::{Fence, Incarnation, InstanceName, TargetName, ZoneName, record};
 use wire::call::Peer;
 
-/// Removed instances that are remembered, so that a beat with an old roster
-/// still gets a list of changes; beyond that it gets everything.
+/// Number of removed instances that are remembered. An instance whose roster is older
+/// than all of them gets the full table instead of a list of changes.
 const GONE_MAX: usize = 256;
 
 record! {
-    /// One life of an entry instance.
+    /// Identifies one incarnation of an entry instance.
     #[derive(PartialOrd, Ord)]
     pub struct Life {
-        /// Its name.
+        /// The instance's name.
         pub instance: InstanceName,
-        /// Which life.
+        /// Number of the incarnation; a later one is higher.
         pub incarnation: Incarnation,
     }
 
-    /// A change of the table, as it travels in the log.
+    /// A change of the table, as stored in the log.
     #[derive(PartialOrd, Ord)]
     pub enum Change {
-        /// An instance came, or came back; it may not own engines yet.
+        /// An instance started or restarted. It may not own engines yet.
         Join {
-            /// Who.
+            /// The instance.
             life: Life,
-            /// Where.
+            /// Its availability zone.
             zone: ZoneName,
             /// IP and port of its peer listener.
             peer: String,
         },
-        /// Every owner of the zone knows the instance: it may own engines.
+        /// Every owner in the zone knows the instance, which may own engines from now on.
         Admit {
-            /// Who.
+            /// The instance.
             life: Life,
         },
-        /// The instance owns nothing and is gone.
+        /// The instance owns no engine and is removed.
         Dismiss {
-            /// Who.
+            /// The instance.
             life: Life,
         },
-        /// An engine gets an owner; the entry's index is the fencing number.
+        /// An engine gets an owner. The index of this log entry is the owner's fencing
+        /// number.
         Assign {
-            /// Which engine.
+            /// The engine.
             target: TargetName,
             /// The new owner.
             life: Life,
-            /// The fencing number that must still be in force; 0 for none.
+            /// The fencing number that must be in force for the change to apply; 0 for an
+            /// engine without owner.
             expect: Fence,
         },
-        /// An earlier owner has certainly no request left on the engine.
+        /// A former owner certainly has no request left on the engine.
         Account {
-            /// Which engine.
+            /// The engine.
             target: TargetName,
-            /// The fencing number that the earlier owner had.
+            /// The fencing number of the former owner.
             fence: Fence,
         },
-        /// Nobody needs the engine any more.
+        /// The engine is no longer in the platform's list.
         Forget {
-            /// Which engine.
+            /// The engine.
             target: TargetName,
-            /// The fencing number that must still be in force.
+            /// The fencing number that must be in force for the change to apply.
             expect: Fence,
         },
     }
 
-    /// An instance in the table.
+    /// An entry instance in the table.
     pub struct Member {
-        /// Which life of it.
+        /// Its current incarnation.
         pub incarnation: Incarnation,
-        /// Where.
+        /// Its availability zone.
         pub zone: ZoneName,
         /// IP and port of its peer listener.
         pub peer: String,
-        /// Index of the entry by which it joined.
+        /// Index of the log entry by which it joined.
         pub joined: u64,
         /// Whether it may own engines.
         pub admitted: bool,
-        /// Index of the last entry that changed it or what it owns.
+        /// Index of the last log entry that changed it or the set of engines it owns.
         pub changed: u64,
     }
 
-    /// An earlier owner that may still have requests running.
+    /// A former owner that may still have requests running on an engine.
     pub struct Former {
-        /// Which life it was.
+        /// The owner.
         pub life: Life,
-        /// The fencing number that it had.
+        /// Its fencing number at the time.
         pub fence: Fence,
         /// IP and port of its peer listener.
         pub peer: String,
@@ -103,13 +105,14 @@
         pub peer: String,
         /// The owner's fencing number.
         pub fence: Fence,
-        /// The owner's zone, which is the engine's.
+        /// The owner's availability zone, which is also the engine's.
         pub zone: ZoneName,
-        /// Earlier owners not yet accounted for.
+        /// Former owners that may still have requests running on it.
         pub former: Vec<Former>,
     }
 
-    /// Instances and owners, equal on every replica at one index.
+    /// Entry instances and engine owners; identical on all replicas that have applied the
+    /// log up to the same index.
     #[derive(Default)]
     pub struct Table {
         members: BTreeMap<InstanceName, Member>,
@@ -121,7 +124,7 @@
 }
 
 impl Table {
-    /// Applies the entry at `index`; returns whether it changed anything.
+    /// Applies the change in the log entry at `index`; returns whether it had an effect.
     pub fn apply(&mut self, index: u64, change: &Change) -> bool {
         let done = match change {
             Change::Join { life, zone, peer } => self.join(index, life, zone, peer),
@@ -141,7 +144,7 @@
         done
     }
 
-    /// Returns the instances by name.
+    /// Returns the entry instances by name.
     #[must_use]
     pub fn members(&self) -> &BTreeMap<InstanceName, Member> {
         &self.members
@@ -153,13 +156,13 @@
         &self.engines
     }
 
-    /// Returns the index of the last change of instances or owners.
+    /// Returns the index of the last log entry that changed instances or owners.
     #[must_use]
     pub fn roster(&self) -> u64 {
         self.changed
     }
 
-    /// Returns whether `life` is in the table, in this very life.
+    /// Returns whether the table holds this very incarnation of the instance.
     #[must_use]
     pub fn knows(&self, life: &Life) -> bool {
         let member = self.members.get(&life.instance);
@@ -174,8 +177,9 @@
         self.engines.iter().filter(|(_, e)| e.owner == *life)
     }
 
-    /// Returns what changed after the roster `have`: whether it is everything,
-    /// the instances new or changed, and those gone.
+    /// Returns what changed after the log index `have`: whether the result is the full
+    /// table rather than a delta, the instances added or changed, and the names of those
+    /// removed.
     #[must_use]
     pub fn since(&self, have: u64) -> (bool, Vec<Peer>, Vec<InstanceName>) {
         let whole = have < self.floor || have > self.changed;
@@ -253,9 +257,9 @@
 
     fn assign(&mut self, index: u64, target: &TargetName, life: &Life, expect: Fence) -> bool {
         let current = self.engines.get(target);
-        // Guard: two proposals for one engine, or one proposed before a leader
-        // change, must not both take effect: each names the fencing number it
-        // found. Without it the second moves an engine whose lease still runs.
+        // Guard: of two proposals for one engine, or one made before a change of leader,
+        // only the first may take effect, so each states the fencing number that it
+        // found. Otherwise the second would move an engine whose lease is still valid.
         if current.map_or(Fence(0), |e| e.fence) != expect {
             base::hit!(stale_assign);
             return false;
@@ -316,8 +320,8 @@
     }
 }
 
-/// Returns the earlier owners of `engine` once `next` owns it; one entry a
-/// life, so that their number is bounded by the instances of a zone.
+/// Returns the former owners of `engine` once `next` owns it. Each incarnation is listed
+/// once, so that their number is bounded by the instances of a zone.
 fn former_of(engine: &Engine, next: &Life) -> Vec<Former> {
     let last = Former {
         life: engine.owner.clone(),
--- a/crates/owner/tests/grantor.rs
+++ b/crates/owner/tests/grantor.rs
@@ -1,4 +1,4 @@
-//! The leader's part: who gets which engine, and when.
+//! The leader's side of ownership: which instance gets which engine, and when.
 
 use std::collections::BTreeMap;
 
@@ -7,7 +7,7 @@
 use owner::{Change, Config, Grantor, Life, Part, Table, fixed_share, shares};
 use wire::call::Beat;
 
-/// A leader with its log: every proposal is applied at once.
+/// A leader and its log; every proposal is applied at once.
 struct Leader {
     grantor: Grantor,
     table: Table,
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Lets the named instances beat each second for a while.
+    /// Sends heartbeats of the named instances each second, during the range `ms`.
     fn beats(&mut self, ms: std::ops::Range<u64>, names: &[&str], engines: &[&str]) {
         for ms in ms.step_by(1_000) {
             names
@@ -76,8 +76,9 @@
     }
 }
 
-/// An owner falls silent. Its lease counts from its last beat by its own
-/// clock; the leader waits that out, stretched, before the engine moves.
+/// An owner is no longer heard from. Its lease counts from its last heartbeat on its own
+/// clock, so the leader waits for the lease time, extended by the clock drift, before it
+/// assigns the engine to another instance.
 #[test]
 fn an_engine_moves_after_the_lease_is_waited_out() {
     base::covers!(lease_waited_out);
@@ -92,8 +93,8 @@
     assert_that!(leader.owner("e"), some(eq("b")));
 }
 
-/// A cut zone comes back. Its first beat is not the owner's, who still is in
-/// charge by its zone-mates' word and is heard a moment later.
+/// The partition of a zone ends. The first heartbeat does not come from the owner, which
+/// went on with the confirmation of its zone peers and is heard from a moment later.
 #[test]
 fn an_owner_keeps_its_engine_when_its_zone_comes_back() {
     base::covers!(zone_just_back);
@@ -109,8 +110,9 @@
     assert_that!(engine.former, is_empty());
 }
 
-/// The zone's only owner is cut off. A newcomer that it never heard of starts;
-/// the owner goes on by itself, so the newcomer gets nothing for ten minutes.
+/// The only owner of a zone is partitioned. An instance that it has never heard of starts
+/// in the zone. The owner goes on without leader, so the new instance gets no engine for
+/// ten minutes.
 #[test]
 fn a_newcomer_waits_until_every_owner_knows_it() {
     base::covers!(unknown_newcomer);
@@ -122,7 +124,7 @@
     assert_that!(leader.owner("e"), some(eq("b")));
 }
 
-/// A leaving owner has given up its engines by itself: no wait.
+/// An owner that is shutting down has given up its engines, so they are assigned at once.
 #[test]
 fn a_leaving_owner_is_relieved_at_once() {
     let mut leader = Leader::new();
@@ -133,8 +135,8 @@
     assert_that!(leader.owner("e"), some(eq("b")));
 }
 
-/// Engines spread evenly, also onto an instance that came last, and few move
-/// when one leaves.
+/// Engines are spread evenly, also onto an instance that joins later, and few of them
+/// move when an instance leaves.
 #[test]
 fn engines_spread_evenly_and_few_move() {
     let engines: Vec<_> = (0..12).map(|i| format!("e{i}")).collect();
@@ -160,8 +162,8 @@
     assert_that!(count(&leader, "a") + count(&leader, "b"), eq(12));
 }
 
-/// Two proposals for one engine, made before either was applied: the second
-/// must not move an engine whose lease has just begun.
+/// Two changes for one engine are proposed before either is applied. The second must not
+/// move the engine, whose lease has just begun.
 #[test]
 fn a_stale_assignment_changes_nothing() {
     base::covers!(stale_assign);
@@ -206,8 +208,8 @@
 }
 
 base::cases! {
-    /// The budget goes by what waits, half of it evenly; parts of silent
-    /// zones are set aside.
+    /// Half of the budget is divided evenly and half in proportion to the waiting loads;
+    /// the shares of zones that are not heard from are set aside.
     budget: check_shares => {
         idle: (0, [0, 0], [2_000, 2_000]),
         one_waits: (0, [0, 8], [1_000, 3_000]),
--- a/crates/owner/tests/holder.rs
+++ b/crates/owner/tests/holder.rs
@@ -1,4 +1,4 @@
-//! One instance's leases: what may be sent and ordered at which moment.
+//! The leases of one instance: what it may send and order at a given time.
 
 use std::time::Duration;
 
@@ -7,7 +7,8 @@
 use owner::{Config, Holder, Input, Order, Output, Own};
 use wire::call::{BeatReply, Confirm, Handover, Lease, Peer};
 
-/// After the time in which a young holder takes nothing.
+/// Milliseconds after its start at which a lessee certainly accepts engines; before, it
+/// might break a promise that its previous incarnation gave.
 const START: u64 = 10_000;
 
 fn at(ms: u64) -> Time {
@@ -79,9 +80,9 @@
     holder.may_order(at(ms), &target, order, fencing).is_some()
 }
 
-/// An owner is frozen with SIGSTOP for longer than its lease. Thawed, it goes
-/// on with the unload that it was about to send, while another instance is in
-/// charge. Cause: no timer fires in a stopped process.
+/// An owner is stopped with SIGSTOP for longer than its lease. When it is resumed, it is
+/// about to send an unload, while another instance owns the engine. No timer fires in a
+/// stopped process, so the lease has to be checked at the time of sending.
 #[test]
 fn a_thawed_owner_finds_its_lease_lapsed() {
     base::covers!(engine_lease_lapsed);
@@ -97,9 +98,9 @@
     assert_that!(unload(&holder, START + 3_000, true), eq(true));
 }
 
-/// The leader is away. The owner asks its zone-mate and goes on as long as the
-/// word lasts, counted from the question, and never longer than the time after
-/// which the leader lets an unknown newcomer in.
+/// The leader doesn't answer. The owner asks its zone peer for confirmation and goes on
+/// while the confirmation is valid, counted from when it was requested. It stops at the
+/// time after which the leader admits an instance that the owner doesn't know.
 #[test]
 fn an_owner_goes_on_by_its_zones_word() {
     base::covers!(alone_too_long);
@@ -130,8 +131,9 @@
     assert_that!(own(&holder, end), eq(Own::Restricted { fence }));
 }
 
-/// The zone-mate promised the owner not to take the engine. The leader, which
-/// can't know that, offers it. Taken at once, two would be in charge.
+/// An instance has promised its zone peer not to take an engine. The leader, which can't
+/// know that, assigns it the engine. If it accepted at once, the engine would have two
+/// owners.
 #[test]
 fn a_promise_is_kept_against_the_leader() {
     base::covers!(kept_promise);
@@ -158,8 +160,8 @@
     );
 }
 
-/// A zone-mate asks for a promise that would outlive this process's memory of
-/// it, were it restarted at once.
+/// A zone peer asks for a promise that is valid for longer than a restarted instance
+/// waits, so a restart would break it.
 #[test]
 fn an_endless_promise_is_refused() {
     base::covers!(long_promise);
@@ -171,8 +173,8 @@
     );
 }
 
-/// Replies overtake each other: a lease that the leader has taken back must
-/// not return with an older reply, nor one whose beat is unknown here.
+/// Replies arrive out of order: a lease that the leader has withdrawn must not come back
+/// with an older reply, nor with a reply to an unknown heartbeat.
 #[test]
 fn an_older_reply_brings_nothing_back() {
     base::covers!(stale_reply);
@@ -198,9 +200,9 @@
     assert_that!(own(&holder, START + 10), eq(Own::None));
 }
 
-/// The owner before was cut off and may still have requests running. What it
-/// may use stays until it says what that is, or is known to be gone; only what
-/// the new owner itself brought in may go.
+/// The former owner was partitioned and may still have requests running. An adapter that
+/// it may use is not unloaded until it reports which ones it uses or is known to be gone;
+/// adapters that the new owner itself made resident may be unloaded.
 #[test]
 fn what_an_earlier_owner_may_use_stays() {
     base::covers!(inherited_adapter);
@@ -245,8 +247,9 @@
     assert_that!(unload(&holder, START + 50, false), eq(true));
 }
 
-/// The engine restarts while an earlier owner is cut off, and so still takes
-/// for resident what the new owner loads anew: that stays as well.
+/// The engine restarts while a former owner is partitioned. The former owner takes the
+/// adapters that the new owner loads again for resident, so they may not be unloaded
+/// either.
 #[test]
 fn a_restart_makes_nothing_ones_own() {
     base::covers!(restarted_under_former);
@@ -267,8 +270,8 @@
     assert_that!(unload(&holder, START + 1_100, false), eq(true));
 }
 
-/// A planned stop: nothing is ordered any more, the beat says so, and the new
-/// owner is told what is still in use until nothing is.
+/// A planned shutdown: no more orders are sent, heartbeats announce it, and the new owner
+/// is told which adapters are in use until none is.
 #[test]
 fn a_leaving_owner_names_what_it_uses() {
     let mut holder = holder();
