--- a/crates/control/src/claims.rs
+++ b/crates/control/src/claims.rs
@@ -1,10 +1,14 @@
-//! Claims of marked requests: each runs at most once.
+//! Claims of marked requests.
 //!
-//! A key is remembered in full for a while, with its answer where that is
-//! small; then as a fingerprint of 8 bytes. A key that carries its own date is
-//! forgotten in the end, and from then on refused by its date; one without
-//! date keeps its fingerprint, and when there is no room for more, new ones
-//! are refused. In no case does a key run a second time.
+//! A marked request carries an idempotency key and runs at most once. The entry instance
+//! that receives it claims the key in the replicated log before it sends the request to
+//! an engine, and reports the outcome afterwards.
+//!
+//! A key is first remembered in full, together with the answer if that is small, and
+//! later only as a fingerprint of 8 bytes. A key that contains a date is eventually
+//! forgotten; from then on, keys of that date or earlier are refused. A key without date
+//! keeps its fingerprint; when there is no room for more fingerprints, new keys without
+//! date are refused. No key ever runs a second time.
 
 mod prints;
 mod record;
@@ -20,31 +24,32 @@
 };
 
 record! {
-    /// How much of claims is remembered; equal on all replicas, since it is
-    /// part of the state.
+    /// Limits on what is remembered of claims. They are part of the replicated state, so
+    /// that all replicas apply the same ones.
     pub struct Limits {
         /// How long a settled key is remembered in full, in milliseconds.
         pub full_ms: u64,
-        /// How long a claim may be under way, in milliseconds; then it may
-        /// have run.
+        /// How long a claim may be under way, in milliseconds. After that, its outcome is
+        /// unknown: the request may have run.
         pub running_ms: u64,
-        /// Keys remembered in full; beyond, settled ones shrink early.
+        /// Number of keys remembered in full. Beyond it, settled keys are reduced to
+        /// fingerprints before their time.
         pub full: usize,
-        /// The largest answer that is kept, in bytes.
+        /// Size of the largest answer that is kept, in bytes.
         pub answer: usize,
-        /// All kept answers together, in bytes.
+        /// Total size of all kept answers, in bytes.
         pub answers: usize,
-        /// Fingerprints of keys without date, of one brand.
+        /// Number of fingerprints of keys without date, per brand.
         pub undated: usize,
-        /// Fingerprints of keys with date, of one brand.
+        /// Number of fingerprints of keys with date, per brand.
         pub dated: usize,
-        /// How far in the future a key's own date may lie, in milliseconds;
-        /// beyond, the key counts as undated.
+        /// How far a key's date may lie in the future, in milliseconds. A key with a
+        /// later date is treated as one without date.
         pub ahead_ms: u64,
-        /// How old a key's own date may be, in milliseconds; beyond, it is
-        /// refused, so that keys of all times can't fill the memory.
+        /// How old a key's date may be, in milliseconds. Older keys are refused, so that
+        /// keys of arbitrary dates can't fill the memory.
         pub window_ms: u64,
-        /// When to come back after a refusal for lack of room.
+        /// Retry delay after a refusal for lack of room, in milliseconds.
         pub retry_ms: u64,
     }
 
@@ -61,8 +66,9 @@
 }
 
 impl Default for Limits {
-    /// The time in full covers a caller's resends; the counts bound what an
-    /// instance keeps in memory and in snapshots (docs/design/claims.md).
+    /// Keys are remembered in full for long enough to answer a caller's retries. The
+    /// counts bound the size of the state in memory and in snapshots
+    /// (docs/design/claims.md).
     fn default() -> Self {
         Limits {
             full_ms: 600_000,
@@ -86,7 +92,7 @@
 }
 
 impl Claims {
-    /// Makes an empty set of claims.
+    /// Creates an empty set of claims.
     #[must_use]
     pub fn new(limits: Limits) -> Self {
         Claims {
@@ -100,8 +106,8 @@
         }
     }
 
-    /// Returns the answer to a claim that is settled already; nothing means
-    /// that the log has to decide.
+    /// Returns the reply to a claim of a key that is already settled; none if the claim
+    /// has to go through the log.
     #[must_use]
     pub fn known(&self, claim: &Claim) -> Option<ClaimReply> {
         let kept = self.keys.get(&Key::of(claim))?;
@@ -109,15 +115,15 @@
         (!matches!(reply, ClaimReply::Yours | ClaimReply::Running)).then_some(reply)
     }
 
-    /// Returns how many keys are remembered in full, and as fingerprints.
+    /// Returns the number of keys remembered in full and the number of fingerprints.
     #[must_use]
     pub fn counts(&self) -> (usize, usize) {
         let prints = self.prints.values().map(Prints::len).sum();
         (self.keys.len(), prints)
     }
 
-    /// Applies a claim at `at` on the state's clock and `wall` on the
-    /// leader's wall clock.
+    /// Applies a claim at time `at` of the state clock and time `wall` of the leader's
+    /// wall clock.
     pub(crate) fn claim(&mut self, at: u64, wall: u64, claim: &Claim) -> ClaimReply {
         let key = Key::of(claim);
         if let Some(kept) = self.keys.get(&key) {
@@ -126,9 +132,9 @@
         let dated = self.date(wall, claim);
         let print = print_of(&key);
         if let Some(prints) = self.prints.get(&claim.brand) {
-            // Guard: the key shrank to a fingerprint, so a resend long after
-            // finds no record. It must not look like a new key, also not when
-            // its date was believed only one of both times.
+            // Guard: a key that was reduced to a fingerprint has no record, but a late
+            // retry with it must not be taken for a new key. The fingerprint is also
+            // found if the date was accepted for only one of the two claims.
             if let Some(ran) = prints.find(claim.dated, print) {
                 base::hit!(fingerprint_found);
                 return if ran {
@@ -137,9 +143,9 @@
                     ClaimReply::MayHaveRun
                 };
             }
-            // Guard: keys of this date were forgotten for lack of room, and
-            // this may be one of them. Refusing it costs a resend under a new
-            // key at worst; letting it pass could run it twice.
+            // Guard: keys of this date were forgotten for lack of room, and this may be
+            // one of them. A refusal makes the caller use a new key at worst; accepting
+            // it could run the request twice.
             if claim.dated.is_some_and(|date| prints.forgot(date)) {
                 base::hit!(key_too_old);
                 return ClaimReply::TooOld;
@@ -163,15 +169,16 @@
         ClaimReply::Yours
     }
 
-    /// Applies an outcome at `at`; returns whether it was the claimer's.
+    /// Applies an outcome at time `at` of the state clock; returns whether it comes from
+    /// the instance and attempt that hold the claim.
     pub(crate) fn settle(&mut self, at: u64, settle: &Settle) -> bool {
         let key = Key::of_settle(settle);
         let Some(kept) = self.keys.get_mut(&key) else {
             return false;
         };
-        // Guard: a late outcome of an attempt that was given up must not free
-        // a key that somebody else has claimed since, or the request would run
-        // a second time beside it.
+        // Guard: the late outcome of an attempt that was given up must not free a key
+        // that another instance has claimed since, or the request would run a second
+        // time.
         if kept.instance != settle.instance || kept.attempt != settle.attempt {
             base::hit!(foreign_settle);
             return false;
@@ -187,15 +194,15 @@
         true
     }
 
-    /// Ends all claims that `instance` has under way: they may have run.
+    /// Settles all claims that `instance` has under way: their requests may have run.
     pub(crate) fn lapse(&mut self, at: u64, instance: &InstanceName) {
         let claimer = |key: &Key| self.keys.get(key).map(|kept| &kept.instance);
         let under_way = self.under_way.iter().map(|(_, key)| key);
         let keys = under_way.filter(|key| claimer(key) == Some(instance));
         let keys: Vec<_> = keys.cloned().collect();
         for key in keys {
-            // Guard: a claimer that died may have sent the request or not.
-            // Freeing its claim would run the request again.
+            // Guard: an instance that died may or may not have sent the request. If the
+            // key were freed, the request could run again.
             base::hit!(claimer_died);
             self.finish(at, &key, Phase::MayHaveRun, None);
         }
@@ -209,7 +216,9 @@
             .collect()
     }
 
-    /// Shrinks settled keys whose time in full is over at `at`.
+    /// Settles claims that are under way for too long at time `at` of the state clock,
+    /// and reduces settled keys to fingerprints once they no longer have to be remembered
+    /// in full.
     pub(crate) fn expire(&mut self, at: u64) {
         while let Some((since, key)) = self.under_way.first().cloned() {
             if at.saturating_sub(since) <= self.limits.running_ms {
@@ -232,7 +241,7 @@
         }
     }
 
-    /// Returns the key's own date where it can be believed.
+    /// Returns the key's date, unless it lies too far in the future.
     fn date(&self, wall: u64, claim: &Claim) -> Option<u64> {
         let limit = wall.saturating_add(self.limits.ahead_ms);
         claim.dated.filter(|date| *date <= limit)
@@ -313,7 +322,8 @@
     }
 }
 
-/// Returns the fingerprint of a key; its lowest bit is free.
+/// Returns the fingerprint of a key. Its lowest bit is zero, as [`Prints`] stores a flag
+/// there.
 fn print_of(key: &Key) -> u64 {
     stable_hash(&[&key.hash]) & !1
 }
--- a/crates/control/src/claims/prints.rs
+++ b/crates/control/src/claims/prints.rs
@@ -4,27 +4,30 @@
 
 use base::record;
 
-/// Keys with a date are forgotten by the minute.
+/// Keys with a date are kept in buckets of one minute and forgotten by bucket.
 const BUCKET_MS: u64 = 60_000;
-/// New fingerprints are sorted into the large set in batches of this size.
+/// Number of new fingerprints that are merged into the sorted set at once.
 const FRESH_MAX: usize = 4_096;
 
 record! {
-    /// The fingerprints of one brand. The lowest bit says whether the request
-    /// certainly ran.
+    /// The fingerprints of one brand. The lowest bit of a fingerprint tells whether the
+    /// request certainly ran.
     #[derive(Default)]
     pub(crate) struct Prints {
         undated: Set,
-        /// Undated keys that are remembered in full, and will need room here.
+        /// Number of keys without date that are remembered in full, and will each need a
+        /// fingerprint in `undated`.
         reserved: usize,
         dated: BTreeMap<u64, Set>,
-        /// Keys in `dated`; counting the sets would take long at each key.
+        /// Total size of the sets in `dated`, which would take too long to add up for
+        /// each key.
         dated_len: usize,
-        /// Keys with a date before this were forgotten, in milliseconds.
+        /// Keys with an earlier date were forgotten; in milliseconds since 1970.
         floor: u64,
     }
 
-    /// A set of fingerprints, 8 bytes each: sorted, and a few not yet.
+    /// A set of fingerprints of 8 bytes each: most of them sorted, the newest in a small
+    /// tree until they are merged.
     #[derive(Default)]
     struct Set {
         sorted: Vec<u64>,
@@ -37,20 +40,19 @@
         self.undated.len() + self.dated_len
     }
 
-    /// Returns how many undated keys there are, counting those that are still
-    /// remembered in full.
+    /// Returns the number of keys without date, including those still remembered in full.
     pub(crate) fn undated(&self) -> usize {
         self.undated.len() + self.reserved
     }
 
-    /// Returns whether a key ran for certain; nothing for an unknown key.
+    /// Returns whether the request of a key certainly ran; none for an unknown key.
     pub(crate) fn find(&self, dated: Option<u64>, print: u64) -> Option<bool> {
         let minute = dated.and_then(|date| self.dated.get(&(date / BUCKET_MS)));
         let by_date = minute.and_then(|set| set.find(print));
         by_date.or_else(|| self.undated.find(print))
     }
 
-    /// Tells whether keys of this date may have been forgotten.
+    /// Returns whether keys of this date may have been forgotten.
     pub(crate) fn forgot(&self, date: u64) -> bool {
         date < self.floor
     }
@@ -67,7 +69,7 @@
         let print = print | u64::from(ran);
         let date = match dated {
             None => return self.undated.add(print),
-            // The bucket was given up while the key was remembered in full.
+            // The bucket was forgotten while this key was remembered in full.
             Some(date) if self.forgot(date) => return,
             Some(date) => date,
         };
@@ -77,8 +79,8 @@
         self.dated_len += set.len() - before;
     }
 
-    /// Forgets the oldest minutes until at most `max` dated keys are left, and
-    /// remembers up to which date.
+    /// Forgets the oldest buckets until at most `max` keys with date are left, and
+    /// records up to which date keys were forgotten.
     pub(crate) fn trim(&mut self, max: usize) {
         while self.dated_len > max {
             let Some((minute, set)) = self.dated.pop_first() else {
--- a/crates/control/src/claims/record.rs
+++ b/crates/control/src/claims/record.rs
@@ -1,15 +1,15 @@
-//! A key remembered in full.
+//! What is remembered of a key in full.
 
 use base::{BrandName, InstanceName, record};
 use wire::call::{Answer, Claim, ClaimReply, Settle};
 
 record! {
-    /// A brand's key.
+    /// An idempotency key of a brand.
     #[derive(PartialOrd, Ord)]
     pub(crate) struct Key {
-        /// Whose.
+        /// The brand.
         pub(crate) brand: BrandName,
-        /// Hash of what the caller named it.
+        /// Hash of the idempotency key that the caller sent.
         #[serde(with = "sixteen")]
         pub(crate) hash: [u8; 16],
     }
@@ -20,22 +20,23 @@
         body: [u8; 16],
         pub(crate) instance: InstanceName,
         pub(crate) attempt: u64,
-        /// The key's own date, where it has one that can be believed.
+        /// The key's date in milliseconds since 1970, unless it has none or one too far
+        /// in the future.
         pub(crate) dated: Option<u64>,
         pub(crate) phase: Phase,
-        /// When it was settled last, on the state's clock.
+        /// When it was last settled, on the state clock.
         pub(crate) settled: Option<u64>,
-        /// When it was claimed, on the state's clock.
+        /// When it was claimed, on the state clock.
         pub(crate) since: u64,
     }
 
-    /// How far the request is.
+    /// The progress of a marked request.
     pub(crate) enum Phase {
-        /// Its claimer may send it, or has.
+        /// The claiming instance may send it, or has sent it.
         Running,
         /// It ran.
         Ran(Option<Answer>),
-        /// Nobody can tell.
+        /// Unknown outcome: it may have run.
         MayHaveRun,
     }
 }
@@ -69,7 +70,7 @@
         }
     }
 
-    /// Answers another claim of the same key.
+    /// Returns the reply to another claim of the same key.
     pub(crate) fn reply(&self, claim: &Claim) -> ClaimReply {
         if self.body != claim.body {
             base::hit!(key_with_other_body);
@@ -78,8 +79,8 @@
         match &self.phase {
             Phase::Ran(answer) => ClaimReply::Ran(answer.clone()),
             Phase::MayHaveRun => ClaimReply::MayHaveRun,
-            // The claimer's answer was lost and it asks again: it hasn't sent
-            // the request before it has an answer.
+            // The reply to the first claim was lost and the instance retries. It has not
+            // sent the request, as it does so only after a reply.
             Phase::Running if self.same_try(claim) => ClaimReply::Yours,
             Phase::Running => {
                 base::hit!(claimed_by_other);
@@ -93,7 +94,7 @@
     }
 }
 
-/// Sixteen bytes as one byte string; serde would write an array of numbers.
+/// Encodes 16 bytes as one byte string; serde's default is an array of numbers.
 mod sixteen {
     use serde::{Deserializer, Serializer, de};
 
--- a/crates/control/src/command.rs
+++ b/crates/control/src/command.rs
@@ -1,4 +1,4 @@
-//! Commands as they travel in the log.
+//! Commands of the state machine, as stored in the log.
 
 use base::{ChangeId, InstanceName, TextVersion, record};
 use owner::Life;
@@ -10,7 +10,7 @@
 
 use crate::Patch;
 
-/// Says that bytes are no command.
+/// Error for bytes that can't be decoded as a command.
 #[derive(Debug, Error)]
 #[error("malformed command: {0}")]
 pub struct BadCommand(#[from] rmp_serde::decode::Error);
@@ -18,52 +18,55 @@
 record! {
     /// One command of the state machine.
     pub struct Command {
-        /// The leader's reading of the state's own clock, in milliseconds. It
-        /// goes on from where the last leader's stamps ended.
+        /// Time on the state clock when the leader proposed it, in milliseconds. Each
+        /// leader continues the state clock from the time that it had reached under the
+        /// previous leader.
         pub at: u64,
-        /// The leader's wall clock, in milliseconds since 1970; only compared
-        /// with dates that callers wrote into their keys.
+        /// Time on the leader's wall clock, in milliseconds since 1970. Only compared
+        /// with the dates that callers put into their idempotency keys.
         pub wall: u64,
-        /// What to do.
+        /// What the command does.
         pub what: What,
     }
 
     /// What a command does.
     pub enum What {
-        /// An operator's change of the text.
+        /// An operator's change of the configuration text.
         Text {
-            /// Recognises a resend.
+            /// Id of the change, by which a resent change is recognised.
             change: ChangeId,
-            /// The version that it was made from.
+            /// The version to which the change applies.
             base: TextVersion,
-            /// Who made it.
+            /// The operator, as given in the request.
             by: String,
-            /// The difference to that version.
+            /// The difference to the base version.
             patch: Patch,
-            /// Hash of the whole new text.
+            /// Hash of the complete new text; see
+            /// [`Texts::digest`](crate::Texts::digest).
             digest: [u8; 16],
         },
-        /// Claims of marked requests and their outcomes, in order.
+        /// Claims of marked requests and outcomes of such claims, in order.
         Claims(Vec<Item>),
-        /// A change of instances or owners.
+        /// A change of entry instances or engine owners.
         Owner(owner::Change),
-        /// An operator's edition: the highest number wins.
+        /// An operator's edition; the highest number is in force.
         Publish(Edition),
         /// A new version of an adapter.
         Revise {
-            /// The adapter, under the name of its model.
+            /// The adapter, qualified by its model.
             adapter: String,
             /// Its version.
             version: u32,
         },
-        /// An instance gives the orders to a zone's engines from now on.
+        /// A control instance becomes the zone owner, which gives orders to all engines
+        /// of the zone.
         OwnZone {
-            /// The zone.
+            /// The availability zone.
             zone: String,
-            /// The instance.
+            /// The control instance.
             instance: InstanceName,
         },
-        /// A claimer has fallen silent: what it had under way may have run.
+        /// An entry instance is unresponsive: its claims under way may have run.
         Lapse(Life),
     }
 
@@ -91,7 +94,7 @@
     ///
     /// # Errors
     ///
-    /// Fails when the bytes are no command.
+    /// Fails if the bytes are not a valid command.
     pub fn decode(raw: &[u8]) -> Result<Self, BadCommand> {
         Ok(rmp_serde::from_slice(raw)?)
     }
--- a/crates/control/src/control.rs
+++ b/crates/control/src/control.rs
@@ -1,4 +1,4 @@
-//! One control instance as one plain value.
+//! One control instance as a plain value: inputs go in, outputs come out.
 
 mod answer;
 mod calls;
@@ -18,26 +18,29 @@
 use self::{answer::Waiting, io::Asker};
 use crate::{Command, Item, Limits, Outcome, State, What};
 
-/// Claims that may wait for the log at once; beyond, callers come back later.
+/// Number of claims that may wait for the log at once; further requesters are told to
+/// retry later.
 const QUEUE_MAX: usize = 4_096;
-/// Claims in one write of the log.
+/// Number of claims in one command of the log.
 const BATCH_MAX: usize = 256;
-/// A claimer silent for so long is taken for dead: its claims may have run.
+/// An entry instance not heard from for this long is taken for dead: its claims may have
+/// run.
 const CLAIMER_SILENT: Duration = Duration::from_secs(10);
-/// How often claimers are looked at; each look goes through all open claims.
+/// Interval between two checks for unresponsive claimers. Each check goes through all
+/// claims under way, so it runs less often than the other checks.
 const CLAIMERS_EVERY: Duration = Duration::from_secs(1);
-/// When to come back where no leader is known: about one election.
+/// Retry delay where no leader is known; an election takes about this long.
 const RETRY_MS: u64 = 1_000;
 
-/// Settings of a control instance beside those of its replica.
+/// Settings of a control instance, besides those of its replica.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// Times of leases.
+    /// Time limits of leases.
     pub owner: owner::Config,
-    /// How much of claims is remembered; the same at every control instance,
-    /// and read only while the log is empty.
+    /// Limits on what is remembered of claims. Must be the same at every control
+    /// instance; read only while the log is empty.
     pub limits: Limits,
-    /// How often the leader looks for what is due.
+    /// Interval at which the leader checks for changes to propose.
     pub tick: Duration,
 }
 
@@ -51,14 +54,14 @@
     }
 }
 
-/// What the control instance needs to know of a checked text.
+/// What a control instance needs to know of a valid configuration text.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Checked {
-    /// Loads a second that the weight store allows.
+    /// Load rate that the weight store allows, per second.
     pub rate: PerSecond,
 }
 
-/// Checks a text; errors are for operators.
+/// Checks a configuration text; returns errors for the operator.
 pub type Check = Box<dyn Fn(&str) -> Result<Checked, Vec<String>> + Send>;
 
 /// One control instance.
@@ -68,23 +71,24 @@
     replica: Replica,
     state: State,
     grantor: Grantor,
-    /// What each instance last said of brands' shares.
+    /// The shares of brands that each entry instance last reported.
     shares: BTreeMap<InstanceName, Vec<Share>>,
-    /// The term in which this instance leads and may act on it.
+    /// The term in which this instance leads and may act as the leader.
     leads: Option<Term>,
-    /// When it began to, and the state's clock then.
+    /// When this instance began to lead, and the time on the state clock then.
     began: (Time, u64),
-    /// The wall clock, and when it was read.
+    /// Local time of the last reading of the wall clock, and that reading in milliseconds
+    /// since 1970.
     wall: (Time, u64),
     next: u64,
     waiting: BTreeMap<u64, Waiting>,
-    /// Proposals whose index is known but whose command isn't applied yet.
+    /// Proposals with a known index whose command is not applied yet.
     acked: BTreeMap<Index, u64>,
-    /// Outcomes of commands whose proposals aren't answered yet.
+    /// Outcomes of commands whose proposal is not acknowledged yet.
     done: BTreeMap<Index, Outcome>,
     queue: VecDeque<(Option<Ticket>, Item)>,
     claiming: bool,
-    /// When the leader looks next for what is due.
+    /// When the leader next checks for changes to propose.
     tick: Time,
     looked: Time,
     replica_wake: Option<Time>,
@@ -101,7 +105,7 @@
 }
 
 impl Control {
-    /// Makes a control instance around the replica that its disk gives.
+    /// Creates a control instance around the replica restored from its disk.
     #[must_use]
     pub fn new(config: Config, replica: Replica, check: Check) -> Self {
         Control {
@@ -127,7 +131,7 @@
         }
     }
 
-    /// Takes one input and appends what has to be done about it, in order.
+    /// Handles one input and appends the resulting outputs to `out`, in order.
     pub fn handle(&mut self, now: Time, input: Input, out: &mut Vec<Output>) {
         self.follow_role(now, out);
         self.dispatch(now, input, out);
@@ -137,7 +141,7 @@
         self.set_wake(out);
     }
 
-    /// Returns the replicated state as far as it is known here.
+    /// Returns the replicated state as far as it has been applied here.
     #[must_use]
     pub fn state(&self) -> &State {
         &self.state
@@ -149,7 +153,7 @@
         &self.replica
     }
 
-    /// Tells whether this instance may act as the leader at `now`.
+    /// Returns whether this instance may act as the leader at `now`.
     #[must_use]
     pub fn leads(&self, now: Time) -> bool {
         self.replica.leads(now)
@@ -182,12 +186,12 @@
         }
     }
 
-    /// Notices the beginning and the end of this instance's leadership.
+    /// Handles the beginning and the end of this instance's leadership.
     ///
-    /// Guard: between two inputs this instance may have lost and won
-    /// leadership again. What it remembers of leases granted is worthless as
-    /// soon as another may have granted some; each leadership starts anew and
-    /// waits out what is older.
+    /// Guard: between two inputs this instance may have lost leadership and won it again.
+    /// Another leader may have granted leases meanwhile, so what this instance remembers
+    /// of granted leases is discarded: each leadership starts without it and waits until
+    /// older leases have ended.
     fn follow_role(&mut self, now: Time, out: &mut Vec<Output>) {
         let leads = self.replica.leads(now).then(|| self.replica.term());
         if leads == self.leads {
@@ -213,7 +217,7 @@
         }
     }
 
-    /// Proposes what the leader finds due.
+    /// Proposes the changes that are due, if this instance leads.
     fn look(&mut self, now: Time, out: &mut Vec<Output>) {
         if self.leads.is_none() {
             return;
@@ -271,13 +275,13 @@
         self.next
     }
 
-    /// Puts a claim or an outcome into the next write of the log.
+    /// Adds a claim or an outcome to the next command with claims.
     fn enqueue(&mut self, ticket: Ticket, item: Item) {
         self.queue.push_back((Some(ticket), item));
     }
 
-    /// Proposes the claims that wait, unless a write of claims is under way:
-    /// all that arrive in the meantime share the next one.
+    /// Proposes the waiting claims, unless a command with claims is under way: all claims
+    /// that arrive until it is applied share the next one.
     fn flush_claims(&mut self, now: Time, out: &mut Vec<Output>) {
         if self.claiming || self.queue.is_empty() || self.leads.is_none() {
             return;
--- a/crates/control/src/control/answer.rs
+++ b/crates/control/src/control/answer.rs
@@ -1,4 +1,4 @@
-//! Who waits for a proposal, and what each of them is told.
+//! Proposals under way: who waits for them, and how they are answered.
 
 use base::Ticket;
 use replog::{Index, Rejected, WhyNot};
@@ -10,23 +10,23 @@
 use super::{Control, Outcome, Output, RETRY_MS, io::Asker};
 use crate::Unnamed;
 
-/// Who waits for a proposal.
+/// Who waits for the outcome of a proposal.
 #[derive(Clone, Debug)]
 pub(super) enum Waiting {
     /// Nobody.
     Nobody,
-    /// Whoever changes the text.
+    /// The requester of a change of the configuration text.
     Text(Asker),
-    /// Callers with claims, one for each.
+    /// The requesters of claims, one per item of the command.
     Claims(Vec<Option<Ticket>>),
-    /// Whoever names an edition or a version.
+    /// The operator that publishes an edition or an adapter's version.
     Named(Ticket),
-    /// Whoever changes the replicas.
+    /// The caller that adds or removes a replica.
     Members(Ticket),
 }
 
 impl Control {
-    /// Takes the log's answer to a proposal.
+    /// Handles the log's answer to a proposal.
     pub(super) fn on_proposed(
         &mut self,
         ticket: u64,
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Takes the outcome of an applied command.
+    /// Handles the outcome of an applied command.
     pub(super) fn on_outcome(&mut self, index: Index, outcome: Outcome, out: &mut Vec<Output>) {
         if let Some(ticket) = self.acked.remove(&index) {
             self.finish(ticket, outcome, out);
@@ -64,8 +64,8 @@
         }
     }
 
-    /// Gives up on proposals whose commands are inside a snapshot: their
-    /// outcome can't be told from here.
+    /// Answers the proposals whose commands are contained in a restored snapshot. The
+    /// snapshot doesn't tell the outcome of single commands, so it is unknown.
     pub(super) fn give_up_before(&mut self, index: Index, out: &mut Vec<Output>) {
         let later = self.acked.split_off(&index.next());
         let skipped = std::mem::replace(&mut self.acked, later);
@@ -109,9 +109,9 @@
             }
             Some(Waiting::Claims(tickets)) => {
                 self.claiming = false;
-                // The claim may be in the log or not. The asker hasn't sent
-                // its request; it asks the leader again under the same attempt
-                // and gets the claim if it was the one that made it.
+                // The claims may or may not be in the log. No requester has sent its
+                // request yet; it retries at the leader with the same attempt number, and
+                // gets the claim if the log contains it.
                 let leader = self.other_leader();
                 for ticket in tickets.into_iter().flatten() {
                     let leader = leader.clone();
@@ -138,10 +138,11 @@
     }
 }
 
-/// Returns what an operator is told of a proposal without index.
+/// Returns the reply to an operator whose proposal got no index.
 ///
-/// Guard: "refused" is said only where the change certainly is in nobody's
-/// log; an operator would make it again under another id, and have it twice.
+/// Guard: a change is reported as refused only if it certainly is in no replica's log.
+/// Otherwise the operator would send it again under another id, and it would be applied
+/// twice.
 fn applied_of(rejected: &Rejected) -> Applied {
     let why = match rejected {
         Rejected::Unknown { .. } => {
--- a/crates/control/src/control/calls.rs
+++ b/crates/control/src/control/calls.rs
@@ -1,4 +1,4 @@
-//! Calls of other processes, and changes by operators.
+//! Calls from other processes, and changes made by operators.
 
 use std::time::Duration;
 
@@ -22,9 +22,9 @@
                 self.on_apply(now, Asker::Control(ticket), apply, out);
                 return;
             }
-            // Guard: a leader that was cut off or frozen would renew leases
-            // and grant claims that a newer one has given to others. Whoever
-            // can't act as the leader at this very moment answers nothing.
+            // Guard: a former leader that was partitioned or frozen would renew leases
+            // and grant claims that a newer leader has given to others. So these calls
+            // are answered only by an instance that may act as the leader at this moment.
             Call::Beat(_) | Call::Claim(_) | Call::Settle(_) if !self.replica.leads(now) => {
                 base::hit!(not_leading);
                 let leader = self.other_leader();
@@ -37,8 +37,8 @@
             },
             Call::Settle(settle) => return self.on_item(ticket, Item::Settle(settle), out),
             Call::Explain(_) => Reply::Explained(None),
-            // The daemon answers them from what it knows of targets, zones and
-            // editions.
+            // The daemon answers these calls itself, from its own knowledge of targets,
+            // zones and editions.
             Call::Sync(_) | Call::Renew { .. } | Call::Edition { .. } => Reply::Elsewhere {
                 leader: self.other_leader(),
             },
@@ -47,7 +47,8 @@
         out.push(Output::Reply { ticket, reply });
     }
 
-    /// Takes an edition or a version from the operator; only the leader may.
+    /// Handles an edition or an adapter's version published by an operator; only the
+    /// leader accepts it.
     pub(super) fn on_named(
         &mut self,
         now: Time,
@@ -103,7 +104,7 @@
         self.propose(now, what, Waiting::Text(asker), out);
     }
 
-    /// Takes the leader's answer to a change that was passed on.
+    /// Handles the leader's answer to a change that was forwarded to it.
     pub(super) fn on_passed(
         &mut self,
         ticket: Ticket,
@@ -113,7 +114,7 @@
         let retry_ms = RETRY_MS;
         let applied = match reply {
             Some(Reply::Applied(applied)) => applied,
-            // The callee didn't lead, so it has proposed nothing.
+            // The called instance doesn't lead, so it has proposed nothing.
             Some(Reply::Elsewhere { .. }) => Applied::Refused {
                 why: Why::NoQuorum { retry_ms },
             },
@@ -122,7 +123,7 @@
         out.push(Output::Applied { ticket, applied });
     }
 
-    /// Returns the leader if it is another instance.
+    /// Returns the leader, if it is another instance.
     pub(super) fn other_leader(&self) -> Option<InstanceName> {
         let leader = self.replica.leader()?;
         (leader != self.replica.id()).then(|| leader.instance.clone())
--- a/crates/control/src/control/drive.rs
+++ b/crates/control/src/control/drive.rs
@@ -1,4 +1,4 @@
-//! The replica of the log: inputs to it, and what its outputs mean here.
+//! Drives the replica of the log: hands in its inputs and carries out its outputs.
 
 use std::collections::VecDeque;
 
@@ -11,7 +11,7 @@
 use crate::{Command, Outcome, State, Taken, What};
 
 impl Control {
-    /// Hands one input to the replica, and carries out what follows from it.
+    /// Hands one input to the replica and carries out the resulting outputs.
     pub(super) fn drive(&mut self, now: Time, input: replog::Input, out: &mut Vec<Output>) {
         let mut inputs = VecDeque::from([input]);
         while let Some(input) = inputs.pop_front() {
@@ -23,7 +23,7 @@
         }
     }
 
-    /// Carries out one output; returns what the replica has to be told.
+    /// Carries out one output; returns the next input for the replica, if any.
     fn carry_out(
         &mut self,
         output: replog::Output,
--- a/crates/control/src/control/io.rs
+++ b/crates/control/src/control/io.rs
@@ -1,4 +1,4 @@
-//! What goes into a control instance and what comes out of it.
+//! Inputs and outputs of a control instance.
 
 use std::collections::BTreeSet;
 
@@ -11,105 +11,106 @@
     operator::{Applied, Apply},
 };
 
-/// What happened.
+/// An input of [`Control::handle`](crate::Control::handle).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Input {
-    /// Another process calls; answered by [`Output::Reply`], except for
-    /// messages of the log, which are answered at once by [`Reply::Done`].
+    /// A call from another process. It is answered by [`Output::Reply`]; messages of the
+    /// log are answered at once with [`Reply::Done`].
     Call {
-        /// Names the call in the answer.
+        /// Identifies the call in its reply.
         ticket: Ticket,
         /// The call.
         call: Call,
     },
-    /// An operator changes the text; answered by [`Output::Applied`].
+    /// An operator changes the configuration text; answered by [`Output::Applied`].
     Apply {
-        /// Names the change in the answer.
+        /// Identifies the change in its answer.
         ticket: Ticket,
         /// The change.
         apply: Apply,
     },
-    /// An operator names an edition or an adapter's version; answered by
+    /// An operator publishes an edition or an adapter's version; answered by
     /// [`Output::Named`].
     Name {
-        /// Names the call in the answer.
+        /// Identifies the request in its answer.
         ticket: Ticket,
         /// [`What::Publish`] or [`What::Revise`].
         what: What,
     },
-    /// Other instances are meant to run control from now on.
+    /// The set of instances meant to run a replica has changed.
     Peers {
         /// Their names.
         peers: Vec<InstanceName>,
     },
-    /// What became of an [`Output::Pass`].
+    /// The result of an [`Output::Pass`].
     Passed {
         /// The ticket of the change.
         ticket: Ticket,
-        /// The leader's reply; none when it got lost.
+        /// The leader's reply; none if it was lost.
         reply: Option<Reply>,
     },
-    /// All writes up to this one will survive a power cut.
+    /// All writes up to this one are durable.
     Synced {
-        /// The last of them.
+        /// Number of the last such write.
         upto: WriteNo,
     },
     /// A write or its sync failed.
     WriteFailed {
-        /// The write in question.
+        /// Number of the write.
         no: WriteNo,
     },
-    /// The disk has no space left, or has again.
+    /// The disk has run out of space, or has space again.
     Space {
         /// Whether it is full.
         full: bool,
     },
-    /// The platform's list names these entry instances.
+    /// The entry instances that the platform lists.
     List {
         /// Their names.
         instances: BTreeSet<InstanceName>,
     },
-    /// The wall clock, to be handed in at the start and now and then; only
-    /// compared with dates that callers wrote into their keys.
+    /// A reading of the wall clock, to be handed in at the start and at intervals. Only
+    /// compared with the dates that callers put into their idempotency keys.
     Wall {
         /// Milliseconds since 1970.
         ms: u64,
     },
     /// Adds a replica of the log; answered by [`Output::Members`].
     AddReplica {
-        /// Names the change in the answer.
+        /// Identifies the change in its answer.
         ticket: Ticket,
         /// The replica.
         id: ReplicaId,
     },
     /// Removes a replica of the log; answered by [`Output::Members`].
     RemoveReplica {
-        /// Names the change in the answer.
+        /// Identifies the change in its answer.
         ticket: Ticket,
         /// The replica.
         id: ReplicaId,
     },
-    /// This process is about to stop: leadership goes to another.
+    /// This process is about to stop: leadership is transferred to another instance.
     HandOver,
     /// Time has passed; also the first input.
     Wake,
 }
 
-/// Why an edition or a version has not been taken.
+/// Why an edition or an adapter's version was not published.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Unnamed {
-    /// Another instance may take it.
+    /// This instance doesn't lead; another one may accept it.
     Elsewhere {
         /// The leader, as far as known.
         leader: Option<InstanceName>,
     },
-    /// Not now: too much waits, or the disk is full. It is in nobody's log.
+    /// Too much is waiting, or the disk is full. It certainly is in no replica's log.
     Busy,
-    /// Nobody can tell yet whether it is in the log.
+    /// Unknown outcome: it may or may not be in the log.
     Unknown,
 }
 
-/// What to do, in this order.
+/// An output of [`Control::handle`](crate::Control::handle). Outputs have to be carried
+/// out in order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Output {
     /// Answer a call.
@@ -119,22 +120,22 @@
         /// The answer.
         reply: Reply,
     },
-    /// Answer an operator.
+    /// Answer an operator's change of the configuration text.
     Applied {
         /// The change's ticket.
         ticket: Ticket,
         /// Its outcome.
         applied: Applied,
     },
-    /// Answer an operator's edition or version.
+    /// Answer an operator that publishes an edition or an adapter's version.
     Named {
-        /// The call's ticket.
+        /// The request's ticket.
         ticket: Ticket,
-        /// What came of it, or why it is not in the log.
+        /// Its outcome, or why it was not published.
         result: Result<Taken, Unnamed>,
     },
-    /// Pass a change on to the leader by [`Call::Apply`], and hand in the
-    /// reply by [`Input::Passed`].
+    /// Forward a change to the leader by [`Call::Apply`], and hand in the reply as
+    /// [`Input::Passed`].
     Pass {
         /// The change's ticket.
         ticket: Ticket,
@@ -143,55 +144,55 @@
         /// The change.
         apply: Apply,
     },
-    /// Send a message of the log; its answer means nothing.
+    /// Send a message of the log; its reply is ignored.
     Send {
-        /// To which control instance.
+        /// The control instance to send it to.
         to: InstanceName,
         /// The message.
         call: Call,
     },
     /// Append records to the log file and sync it.
     Write {
-        /// The number to report.
+        /// Number by which the write is reported.
         no: WriteNo,
-        /// What to append.
+        /// The records.
         records: Vec<Record>,
     },
-    /// Replace snapshot and log file as one atomic step.
+    /// Replace the snapshot and the log file in one atomic step.
     Rewrite {
-        /// The number to report.
+        /// Number by which the write is reported.
         no: WriteNo,
         /// The new snapshot.
         snapshot: Snapshot,
-        /// The whole content of the new log file.
+        /// The complete content of the new log file.
         records: Vec<Record>,
     },
     /// Answer a change of replicas.
     Members {
         /// Its ticket.
         ticket: Ticket,
-        /// Where it stands in the log, or why not.
+        /// Its index in the log, or why it was rejected.
         result: Result<Index, Rejected>,
     },
-    /// Call with [`Input::Wake`] at this moment; replaces the last one.
+    /// Call with [`Input::Wake`] at this time; replaces any earlier request.
     Wake(Time),
-    /// Something worth a log line.
+    /// Log an event.
     Event(Event),
 }
 
-/// Something worth a log line.
+/// An event to be logged.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// This instance leads, and may act on it.
+    /// This instance leads and may act as the leader.
     Leads {
-        /// Since which term.
+        /// Its term.
         term: Term,
     },
-    /// This instance leads no more.
+    /// This instance no longer leads.
     Follows,
-    /// A text is in force here.
+    /// A version of the configuration text is in force here.
     Text {
-        /// Its version.
+        /// The version.
         version: TextVersion,
     },
     /// An engine has a new owner.
@@ -203,42 +204,42 @@
         /// The owner's fencing number.
         fence: Fence,
     },
-    /// The newest edition or version of an adapter has changed.
+    /// An edition, an adapter's version or a zone owner has changed.
     Named,
-    /// An instance joined the table.
+    /// An entry instance joined the table.
     Joined {
         /// Its name.
         instance: InstanceName,
     },
-    /// An instance may own engines.
+    /// An entry instance may own engines from now on.
     Admitted {
         /// Its name.
         instance: InstanceName,
     },
-    /// An instance left the table.
+    /// An entry instance was removed from the table.
     Dismissed {
         /// Its name.
         instance: InstanceName,
     },
-    /// A command of the log can't be read; this instance is older than
-    /// the one that wrote it and can't take part.
+    /// A command or snapshot of the log can't be decoded: this instance runs an older
+    /// release than the one that wrote it and can't take part.
     Unreadable {
-        /// Where it stands.
+        /// Its index in the log.
         index: Index,
     },
-    /// The replica has stopped for good.
+    /// The replica has stopped permanently.
     Halted {
-        /// Why.
+        /// Why it stopped.
         reason: HaltReason,
     },
 }
 
-/// Who asked for a change of the text.
+/// The requester of a change of the configuration text.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Asker {
-    /// An operator, here.
+    /// An operator connected to this instance.
     Operator(Ticket),
-    /// Another control instance, for an operator there.
+    /// Another control instance, on behalf of an operator connected to it.
     Control(Ticket),
 }
 
--- a/crates/control/src/control/query.rs
+++ b/crates/control/src/control/query.rs
@@ -1,4 +1,4 @@
-//! What operators may read, from any control instance.
+//! Read-only queries of operators, answered by any control instance.
 
 use std::collections::BTreeMap;
 
@@ -8,8 +8,8 @@
 use super::{Control, millis};
 
 impl Control {
-    /// Returns the state of the whole system as seen here; instances are
-    /// known to the leader only.
+    /// Returns the status of the whole system as seen here. Only the leader knows the
+    /// entry instances.
     #[must_use]
     pub fn status(&self, now: Time) -> Status {
         let leader = self.replica.leader().map(|id| id.instance.clone());
@@ -37,7 +37,8 @@
         }
     }
 
-    /// Adds up what the instances that are heard said of each brand.
+    /// Adds up the shares of each brand, as reported by the instances that are heard
+    /// from.
     fn brands(&self) -> Vec<BrandStatus> {
         let heard = self.grantor.instances().map(|(name, ..)| name);
         let said = heard.filter_map(|name| self.shares.get(name)).flatten();
@@ -61,7 +62,7 @@
         brands.collect()
     }
 
-    /// Returns accepted changes after `from`, oldest first.
+    /// Returns the accepted changes after version `from`, oldest first.
     #[must_use]
     pub fn history(&self, from: TextVersion) -> Vec<Entry> {
         self.state.texts().history(from).cloned().collect()
--- a/crates/control/src/editions.rs
+++ b/crates/control/src/editions.rs
@@ -1,8 +1,10 @@
-//! Configurations that operators number themselves, and versions of adapters.
+//! Editions, which are whole configurations numbered by operators, and versions of
+//! adapters.
 //!
-//! Beside the text of brands, which is changed from version to version, a
-//! deployment may be driven by whole configurations whose numbers come from
-//! outside. The highest number wins wherever and in whatever order they arrive.
+//! A deployment is configured either by the operators' configuration text, which changes
+//! from one version to the next, or by editions, whose numbers are assigned outside of
+//! this system. The edition with the highest number is in force, in whatever order
+//! editions arrive and whichever instance receives them.
 
 use std::collections::BTreeMap;
 
@@ -17,11 +19,11 @@
         versions: BTreeMap<String, u32>,
     }
 
-    /// What came of an edition or a version.
+    /// The outcome of publishing an edition or an adapter's version.
     pub enum Taken {
         /// It is in force.
         InForce,
-        /// A newer one, or this very one, was there before; nothing changed.
+        /// Its number is not higher than the one in force; nothing changed.
         Before,
     }
 }
@@ -33,18 +35,18 @@
         self.newest.as_ref()
     }
 
-    /// Returns the newest version of each adapter that has a named one.
+    /// Returns the newest published version of each adapter that has one.
     #[must_use]
     pub fn versions(&self) -> &BTreeMap<String, u32> {
         &self.versions
     }
 
-    /// Takes an edition if its number is the highest so far.
+    /// Accepts an edition if its number is higher than that of the edition in force.
     ///
-    /// Failure: two operators send different content under one number, or an
-    /// old edition is resent after its answer was lost. Taking either would
-    /// show callers a configuration, then another one, then the first again.
-    /// Only a higher number changes anything, in the order of the log.
+    /// Failure: two operators send different content under one number, or an old edition
+    /// is resent after its reply was lost. If either were accepted, clients would see one
+    /// configuration, then another one, then the first again. So only a higher number has
+    /// an effect, in the order of the log.
     pub(crate) fn publish(&mut self, edition: &Edition) -> Taken {
         let held = self.newest.as_ref().map_or(0, |held| held.number);
         if self.newest.is_some() && edition.number <= held {
@@ -55,7 +57,7 @@
         Taken::InForce
     }
 
-    /// Takes an adapter's version if it is the highest so far.
+    /// Accepts an adapter's version if it is higher than the newest so far.
     pub(crate) fn revise(&mut self, adapter: &str, version: u32) -> Taken {
         let held = self.versions.entry(adapter.to_owned()).or_default();
         if version <= *held {
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,11 +1,11 @@
-//! What the control instances decide together.
+//! The replicated state of the control instances and one control instance itself.
 //!
-//! [`State`] is the state machine over the commands of the replicated log: the
-//! operators' text and its history, the table of owners, and the claims of
-//! marked requests. [`Control`] is one control instance as one plain value: a
-//! replica of the log, the state and the leader's part of ownership. The
-//! reasons are in docs/design/configuration.md, docs/design/claims.md and
-//! docs/design/ownership.md.
+//! [`State`] is the state machine over the commands of the replicated log. It holds the
+//! operators' configuration text and its history, the newest edition, the zone owners,
+//! the table of entry instances and engine owners, and the claims of marked requests.
+//! [`Control`] is one control instance as a plain value without I/O: a replica of the
+//! log, the state and the leader's side of ownership. The design is explained in
+//! docs/design/configuration.md, docs/design/claims.md and docs/design/ownership.md.
 
 mod claims;
 mod command;
--- a/crates/control/src/state.rs
+++ b/crates/control/src/state.rs
@@ -1,4 +1,4 @@
-//! The state machine over the log: the same commands give the same state.
+//! The state machine over the log: a deterministic function of the commands.
 
 mod saved;
 
@@ -10,22 +10,22 @@
 use self::saved::Saved;
 use crate::{Claims, Command, Editions, Given, Item, Limits, Taken, Texts, What, ZoneOwners};
 
-/// Time that a claimer unknown to the table should wait: its first beat has
-/// not been through the log yet.
+/// Retry delay for a claim of an instance that is not in the table yet: the change that
+/// its first heartbeat causes has not been applied.
 const UNKNOWN_RETRY: std::time::Duration = std::time::Duration::from_secs(1);
 
 record! {
-    /// What came of one command.
+    /// The outcome of one command.
     pub enum Outcome {
-        /// Of a change of the text.
+        /// Of a change of the configuration text.
         Text(Applied),
-        /// Of claims and their outcomes, one answer each; none for outcomes.
+        /// Of claims and their outcomes: a reply for each claim, none for an outcome.
         Claims(Vec<Option<ClaimReply>>),
-        /// Of a change of instances or owners: whether it had an effect.
+        /// Of a change of entry instances or engine owners: whether it had an effect.
         Owner(bool),
-        /// Of an edition or a version.
+        /// Of a published edition or adapter version.
         Named(Taken),
-        /// Of a command that has nothing to say.
+        /// Of a command without result.
         Done,
     }
 
@@ -42,7 +42,7 @@
 }
 
 impl State {
-    /// Makes an empty state with other limits of claims than the usual.
+    /// Creates an empty state with the given limits for claims.
     #[must_use]
     pub fn with_limits(limits: Limits) -> Self {
         State {
@@ -53,8 +53,8 @@
 
     /// Applies the command at `index` of the log.
     pub fn apply(&mut self, index: u64, command: &Command) -> Outcome {
-        // Guard: a new leader's clock started elsewhere. Time here never goes
-        // back, or keys would be forgotten early or never.
+        // Guard: the command of a new leader may carry an earlier time than the last one.
+        // The state clock never goes back, or keys would be forgotten too early or never.
         self.at = self.at.max(command.at);
         let outcome = match &command.what {
             What::Text {
@@ -96,13 +96,13 @@
         outcome
     }
 
-    /// Returns the state's own clock, in milliseconds.
+    /// Returns the time on the state clock, in milliseconds.
     #[must_use]
     pub fn at(&self) -> u64 {
         self.at
     }
 
-    /// Returns the text and its history.
+    /// Returns the configuration text and its history.
     #[must_use]
     pub fn texts(&self) -> &Texts {
         &self.texts
@@ -114,13 +114,13 @@
         &self.editions
     }
 
-    /// Returns who gives the orders in each zone.
+    /// Returns the zone owner of each zone.
     #[must_use]
     pub fn zones(&self) -> &ZoneOwners {
         &self.zones
     }
 
-    /// Returns instances and owners.
+    /// Returns the table of entry instances and engine owners.
     #[must_use]
     pub fn table(&self) -> &Table {
         &self.table
@@ -132,7 +132,7 @@
         &self.claims
     }
 
-    /// Returns the state as bytes, for a snapshot.
+    /// Encodes the state for a snapshot.
     ///
     /// # Panics
     ///
@@ -142,11 +142,11 @@
         rmp_serde::to_vec(&Saved::from(self)).expect("a state has only encodable fields")
     }
 
-    /// Returns the state that [`State::save`] made these bytes of.
+    /// Decodes a state that was encoded by [`State::save`].
     ///
     /// # Errors
     ///
-    /// Fails when the bytes are no state, or one of an unknown format.
+    /// Fails if the bytes are not a valid state or have an unknown format.
     pub fn restore(raw: &[u8]) -> Result<Self, BadState> {
         let saved: Saved<'_> = rmp_serde::from_slice(raw)?;
         State::try_from(saved)
@@ -160,9 +160,8 @@
                 return None;
             }
         };
-        // Guard: a claim of an instance that the table doesn't name would
-        // stay under way for ever when its claimer dies, because nobody would
-        // notice.
+        // Guard: only instances in the table are watched for heartbeats. A claim of any
+        // other instance would stay under way forever if that instance died.
         if !self.table.members().contains_key(&claim.instance) {
             base::hit!(unknown_claimer);
             let retry = UNKNOWN_RETRY;
--- a/crates/control/src/state/saved.rs
+++ b/crates/control/src/state/saved.rs
@@ -1,4 +1,4 @@
-//! The state as it is written into a snapshot.
+//! The encoding of the state in a snapshot.
 
 use std::borrow::Cow;
 
@@ -9,21 +9,22 @@
 use super::State;
 use crate::{Claims, Editions, Texts, ZoneOwners};
 
-/// The format written here; others are refused, not guessed at.
+/// Number of the format written here. Snapshots in any other format are refused, as their
+/// fields might be misread.
 const FORMAT: u32 = 2;
 
-/// Says why bytes are no state.
+/// Why a snapshot could not be decoded.
 #[derive(Debug, Error)]
 pub enum BadState {
-    /// They can't be decoded.
+    /// The bytes are not a valid state.
     #[error("malformed state: {0}")]
     Malformed(#[from] rmp_serde::decode::Error),
-    /// They were written by another release.
+    /// The snapshot was written by a release with another format.
     #[error("the state has format {0}, this release reads format {FORMAT}")]
     Format(u32),
 }
 
-/// The wire type of [`State`].
+/// [`State`] as encoded in a snapshot.
 #[derive(Serialize, Deserialize)]
 pub(super) struct Saved<'a> {
     format: u32,
--- a/crates/control/src/texts.rs
+++ b/crates/control/src/texts.rs
@@ -1,4 +1,4 @@
-//! The operators' text, its history and the outcome of each change.
+//! The operators' configuration text, its history and the outcome of each change.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -8,26 +8,28 @@
 
 use crate::Patch;
 
-/// Accepted changes that are remembered, each for a resend and for the
-/// history.
+/// Number of accepted changes that are remembered, for the history and to answer a resent
+/// change.
 const CHANGES_MAX: usize = 20_000;
 
-/// Changes kept as patches. An instance that misses more gets the whole text.
+/// Number of changes kept as patches. An instance that missed more gets the full text.
 const RECENT_MAX: usize = 64;
 
-/// Lines in one patch beyond which it is not kept: the whole text is as cheap.
+/// Lines added or removed beyond which a patch is not kept, because sending the full text
+/// costs no more.
 const RECENT_LINES: u32 = 2_000;
 
-/// What is answered where the outcome of a change is no longer remembered.
+/// Retry delay in replies about a change whose outcome is forgotten: zero, since no retry can
+/// tell more.
 const NO_RETRY_MS: u64 = 0;
 
 record! {
-    /// The text in force and what is remembered of how it came about.
+    /// The text in force and the changes that led to it.
     #[derive(Default)]
     pub struct Texts {
         version: TextVersion,
         text: String,
-        /// The last changes, for instances that are a little behind.
+        /// Patches of the latest changes, for instances that are a few versions behind.
         recent: VecDeque<Patch>,
         history: VecDeque<Won>,
         #[serde(skip)]
@@ -41,21 +43,21 @@
     }
 }
 
-/// A change as the log gives it.
+/// A change of the text as given in a command or a request.
 #[derive(Clone, Copy, Debug)]
 pub struct Given<'a> {
     /// Its id.
     pub change: &'a ChangeId,
-    /// The version that it was made from.
+    /// The version to which it applies.
     pub base: TextVersion,
-    /// Who made it.
+    /// The operator, as given in the request.
     pub by: &'a str,
-    /// Hash of the whole new text.
+    /// Hash of the complete new text; see [`Texts::digest`].
     pub digest: [u8; 16],
 }
 
 impl Texts {
-    /// Returns the hash by which a resent change is compared with the first.
+    /// Returns the hash by which a resent change is compared with the original.
     #[must_use]
     pub fn digest(text: &str) -> [u8; 16] {
         let hash = Sha256::digest(text.as_bytes());
@@ -76,20 +78,20 @@
         &self.text
     }
 
-    /// Returns accepted changes after `from`, oldest first.
+    /// Returns the accepted changes after version `from`, oldest first.
     pub fn history(&self, from: TextVersion) -> impl Iterator<Item = &Entry> {
         let entries = self.history.iter().map(|won| &won.entry);
         entries.filter(move |entry| entry.version > from)
     }
 
-    /// Returns the outcome of a change as far as it is settled already: a
-    /// resend, or one that came too late. Nothing means that it may be
+    /// Returns the outcome of a change if it can be told without the log: the change is a
+    /// resend, or its base version is outdated. Returns none if the change may be
     /// accepted.
     #[must_use]
     pub fn known(&self, given: Given<'_>) -> Option<Applied> {
-        // Guard: an operator whose answer was lost sends the change again. It
-        // must not be applied twice, nor be told that it lost against itself;
-        // the outcome is part of the state, so it outlives leaders, snapshots
+        // Guard: an operator that gets no reply sends the change again. The change must
+        // neither be applied twice nor be reported as conflicting with itself. Outcomes
+        // are part of the replicated state, so they survive changes of leader, snapshots
         // and restarts.
         if let Some(won) = self.by_id.get(given.change).and_then(|v| self.won(*v)) {
             base::hit!(resent_change);
@@ -104,8 +106,9 @@
         if given.base == self.version {
             return None;
         }
-        // Guard: two operators edit the same version. The first in the log
-        // wins; the other must not overwrite it unseen.
+        // Guard: if two operators edit the same version, the first change in the log is
+        // accepted. The other one is refused, since it would silently overwrite the
+        // first.
         base::hit!(lost_race);
         let next = given.base.next();
         let winner = self.won(next).or_else(|| self.history.back());
@@ -168,8 +171,8 @@
         }
     }
 
-    /// Returns the patches that lead from `have` to the text in force, where
-    /// they are still kept.
+    /// Returns the patches that lead from version `have` to the text in force, or none if
+    /// not all of them are kept.
     #[must_use]
     pub fn since(&self, have: TextVersion) -> Option<Vec<Patch>> {
         let missed = self.version.get().checked_sub(have.get())?;
@@ -189,7 +192,7 @@
         }
     }
 
-    /// Rebuilds what is derived, after decoding.
+    /// Rebuilds the fields that are not stored, after decoding.
     pub(crate) fn index(&mut self) {
         let all = self.history.iter().map(|won| &won.entry);
         self.by_id = all.map(|e| (e.change.clone(), e.version)).collect();
--- a/crates/control/tests/control.rs
+++ b/crates/control/tests/control.rs
@@ -1,4 +1,4 @@
-//! One control instance: who is answered what, while it leads and while not.
+//! One control instance: its replies while it leads and while it doesn't.
 
 use std::time::Duration;
 
@@ -11,8 +11,7 @@
     operator::{Applied, Apply, Why},
 };
 
-/// A control instance, alone in its log, with a disk that is held back at
-/// will.
+/// A control instance that is the only replica of its log. Its writes can be held back.
 struct Alone {
     control: Control,
     now: Time,
@@ -45,7 +44,7 @@
         }
     }
 
-    /// An instance that leads.
+    /// Returns an instance that leads.
     fn leading() -> Self {
         let mut alone = Alone::new(Vec::new(), 8 << 20);
         alone.pass(5_000);
@@ -73,7 +72,7 @@
         all
     }
 
-    /// Lets time pass, and the instance wake up every 50 ms.
+    /// Advances the time, with a wake-up every 50 ms.
     fn pass(&mut self, ms: u64) -> Vec<Output> {
         let mut all = Vec::new();
         for _ in 0..ms.div_ceil(50) {
@@ -145,9 +144,9 @@
     })
 }
 
-/// A control instance was cut off, or frozen and thawed, and still takes
-/// itself for the leader. Would it answer a beat, the sender would go on under
-/// a lease that a newer leader has given to another.
+/// A control instance that was partitioned or frozen still takes itself for the leader.
+/// If it answered a heartbeat, the sender would rely on a lease for an engine that a
+/// newer leader has given to another instance.
 #[test]
 fn who_does_not_lead_grants_nothing() {
     base::covers!(not_leading);
@@ -162,8 +161,8 @@
     assert_that!(applied(&out), some(eq(&Applied::Refused { why })));
 }
 
-/// An entry instance starts: it joins, may own engines, gets one, and its
-/// lease with the next beat.
+/// An entry instance starts: it joins, is admitted, is assigned an engine, and gets the
+/// lease with a later heartbeat.
 #[test]
 fn an_instance_that_beats_gets_an_engine() {
     base::covers!(leadership_begins);
@@ -191,7 +190,8 @@
     assert_that!(status.instances, len(eq(1)));
 }
 
-/// While one write of claims is under way, all that arrive share the next.
+/// While one command with claims is being written, all claims that arrive share the next
+/// one.
 #[test]
 fn claims_share_a_write() {
     let mut alone = Alone::leading();
@@ -217,8 +217,8 @@
     assert_that!(commands.count(), le(3));
 }
 
-/// A bad text, a full disk, a change that the log can't take: each is refused
-/// with its reason, and nothing of it is in the log.
+/// An invalid text and a full disk: each change is refused with its reason, and neither
+/// is in the log.
 #[test]
 fn a_refused_change_is_told_why() {
     let mut alone = Alone::leading();
@@ -238,8 +238,8 @@
     assert_that!(out, contains(eq(&Output::Event(Event::Text { version }))));
 }
 
-/// The disk fails while a change is being written. Nobody can say whether it
-/// is in the log, so the operator is told to ask again.
+/// The disk fails while a change is being written. Whether it is in the log is unknown,
+/// so the operator is told to retry.
 #[test]
 fn a_change_lost_with_the_disk_may_have_been_accepted() {
     base::covers!(may_have_been_accepted);
@@ -254,8 +254,8 @@
     );
 }
 
-/// A change is accepted, the process restarts from its disk, the operator
-/// resends: the first outcome.
+/// A change is accepted, the process restarts from its disk, and the operator sends the
+/// change again: it gets the first outcome.
 #[test]
 fn a_restart_keeps_the_outcome() {
     let mut alone = Alone::leading();
--- a/crates/control/tests/cost.rs
+++ b/crates/control/tests/cost.rs
@@ -1,7 +1,7 @@
-//! What control costs in bytes and memory, from real messages.
+//! Sizes of control messages and memory use of the replicated state.
 //!
-//! `cargo test --release -p control --test cost -- --ignored --nocapture`
-//! prints the tables of the design notes.
+//! `cargo test --release -p control --test cost -- --ignored --nocapture` prints the
+//! tables of the design documents.
 
 use std::time::Instant;
 
@@ -38,7 +38,8 @@
     }
 }
 
-/// A leader with so many instances and engines, in one zone.
+/// Returns a leader with the given numbers of instances and engines, all in one zone, and
+/// the index of the last log entry.
 fn leader(instances: usize, engines: usize) -> (Grantor, Table, u64) {
     let mut table = Table::default();
     let mut index = 0;
@@ -72,8 +73,8 @@
     rmp_serde::to_vec(value).unwrap().len()
 }
 
-/// Returns the bytes of a beat and its answer: at the start and in steady
-/// state.
+/// Returns the bytes of a heartbeat and its reply: first for the first heartbeat, then
+/// for a later one without changes.
 fn exchange(instances: usize, engines: usize) -> ((usize, usize), (usize, usize)) {
     let (mut grantor, table, index) = leader(instances, engines);
     let mut size = |serial, roster, engines| {
@@ -87,8 +88,8 @@
     (first, size(2, index, None))
 }
 
-/// Control traffic of an instance must not grow with the system: beats and
-/// answers in steady state carry only what is the instance's own.
+/// Control traffic of one instance must not grow with the system: without changes, a
+/// heartbeat and its reply contain only the instance's own data.
 #[test]
 fn a_steady_beat_does_not_grow_with_the_system() {
     let (_, few) = exchange(7, 12);
--- a/crates/control/tests/editions.rs
+++ b/crates/control/tests/editions.rs
@@ -1,5 +1,4 @@
-//! Configurations that operators number themselves, versions of adapters, and
-//! owners of zones, on the state machine alone.
+//! Editions, versions of adapters and zone owners, on the state machine alone.
 
 use control::{Command, Outcome, State, Taken, What};
 use googletest::prelude::*;
@@ -28,9 +27,9 @@
     Some(state.editions().newest()?.body.as_str())
 }
 
-/// Two operators send different content under one number, and the answer to an
-/// older edition was lost, so it comes again. Whatever the order, the highest
-/// number stays in force with the content that came first.
+/// Two operators send different content under one number, and an older edition is resent
+/// because its reply was lost. In any order, the highest number stays in force with the
+/// content that came first.
 #[gtest]
 fn the_highest_number_wins_and_stays() {
     let mut state = State::default();
--- a/crates/control/tests/state.rs
+++ b/crates/control/tests/state.rs
@@ -1,4 +1,4 @@
-//! The state machine: texts, changes, claims, snapshots.
+//! The state machine: configuration texts, changes, claims, snapshots.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
     operator::{Applied, Why},
 };
 
-/// A state with its log; a claimer `a` and a claimer `b` have joined.
+/// A state and its log; the entry instances `a` and `b` have joined.
 struct Log {
     state: State,
     index: u64,
@@ -87,7 +87,7 @@
         self.put(What::Claims(vec![Item::Settle(settle)]));
     }
 
-    /// Saves and restores, as a snapshot or a restart does.
+    /// Saves and restores the state, as a snapshot or a restart does.
     fn reload(&mut self) {
         let restored = State::restore(&self.state.save()).unwrap();
         assert_that!(restored, eq(&self.state));
@@ -124,9 +124,10 @@
     }
 }
 
-/// Two operators edit version 1 at once, one's answer is lost and it resends,
-/// through a snapshot. One wins, the other learns who did, the resend gets its
-/// first outcome, and the same id with another text is refused.
+/// Two operators edit version 1 at once. The reply to one of them is lost, so it sends
+/// its change again, after a restart from a snapshot. One change is accepted and the
+/// other operator learns which; the resent change gets its first outcome; the same id
+/// with another text is refused.
 #[test]
 fn of_two_operators_one_wins_and_a_resend_changes_nothing() {
     base::covers!(lost_race);
@@ -159,8 +160,8 @@
     assert_that!((entries[1].added, entries[1].removed), eq((0, 1)));
 }
 
-/// A change older than what is remembered: it may have been accepted, and
-/// nobody can say so any more.
+/// A change is resent after its outcome was forgotten. It may have been accepted, so it
+/// must not be reported as refused.
 #[test]
 fn a_forgotten_change_is_not_called_refused() {
     let mut log = Log::new(Limits::default());
@@ -178,8 +179,8 @@
     );
 }
 
-/// A resend meets the first through another instance: during it, after it, and
-/// when the key is no more than a fingerprint.
+/// A marked request is resent through another instance: while the first one is under way,
+/// after it, and when only the key's fingerprint is left.
 #[test]
 fn a_key_runs_once_whoever_resends_it() {
     base::covers!(claimed_by_other);
@@ -212,9 +213,9 @@
     assert_that!(log.claim("b", 1, 8, None), eq(&ClaimReply::Ran(None)));
 }
 
-/// The claimer dies between its claim and the outcome: nobody can tell whether
-/// the request ran, so the key is never free again, unless the very claimer
-/// says that it did not send it.
+/// An instance dies between its claim and the outcome. Whether the request ran is
+/// unknown, so the key is not free again unless the same instance and attempt reports
+/// that the request was not sent.
 #[test]
 fn a_dead_claimers_key_may_have_run() {
     base::covers!(claimer_died);
@@ -237,9 +238,8 @@
     assert_that!(matches!(unknown, ClaimReply::NotNow { .. }), eq(true));
 }
 
-/// Memory is bounded. Keys with a date are forgotten by date and refused from
-/// then on; for keys without one there is no room at some point. In no case
-/// does a key run twice.
+/// Memory is bounded. Keys with a date are forgotten by date and refused from then on;
+/// new keys without date are refused when there is no room left. No key runs twice.
 #[test]
 fn beyond_its_memory_nothing_runs_twice() {
     base::covers!(key_too_old);
@@ -292,8 +292,8 @@
     );
 }
 
-/// A key's date was believed at first and not later, or the other way round,
-/// because the leaders' wall clocks differ: it is found all the same.
+/// The leaders' wall clocks differ, so a key's date is accepted for the first claim and
+/// not for the second, or the other way round. The key is found in both cases.
 #[test]
 fn a_date_believed_once_only_is_no_second_run() {
     for (first, then) in [(50_001_000_000, 1_000_000), (1_000_000, 50_001_000_000)] {
@@ -314,8 +314,8 @@
     }
 }
 
-/// A claim under way for longer than any request may take ends as one that
-/// may have run; kept answers stay within their bytes.
+/// A claim that is under way for longer than any request may take ends with an unknown
+/// outcome. Kept answers stay within their limit in bytes.
 #[test]
 fn claims_end_and_answers_stay_bounded() {
     let mut log = Log::new(small());
@@ -335,8 +335,8 @@
     assert_that!(log.claim("b", 3, 1, None), eq(&ClaimReply::Ran(answer)));
 }
 
-/// A new leader's clock is behind the last one's: time in the state stands
-/// still until it has caught up.
+/// The clock of a new leader is behind that of the last one: the state clock stands still
+/// until the leader's has caught up.
 #[test]
 fn time_never_goes_back() {
     let mut log = Log::new(Limits::default());
@@ -362,7 +362,7 @@
 }
 
 proptest! {
-    /// A patch turns the old text into the new one, whatever they are.
+    /// A patch turns any old text into any new one.
     #[test]
     fn a_patch_makes_the_new_text(old in "([abc]\n?){0,24}", new in "([abc]\n?){0,24}") {
         let patch = Patch::between(&old, &new);
@@ -370,8 +370,8 @@
     }
 }
 
-/// A change of one line in a text of 48,000 adapters stays small, also when
-/// lines are changed far apart.
+/// The patch for single changed lines in a text of 48,000 adapters stays small, even if
+/// the lines are far apart.
 #[test]
 fn a_small_change_of_a_large_text_is_a_small_patch() {
     let line = |i: u32| format!("[adapters.a{i}]\nbrand = \"b{}\"\nserve = 1\n", i % 40);
@@ -383,8 +383,8 @@
     assert_that!(patch.apply(&old).unwrap() == new, eq(true));
 }
 
-/// An instance that is a little behind gets what changed; one that is far
-/// behind, or has nothing, gets the whole text.
+/// An instance that is a few versions behind gets patches; one that is far behind, or has
+/// no text, gets the full text.
 #[test]
 fn recent_changes_travel_as_patches() {
     let mut log = Log::new(Limits::default());
