--- a/crates/member/src/instances.rs
+++ b/crates/member/src/instances.rs
@@ -1,4 +1,4 @@
-//! Entry instances, by list and heartbeat.
+//! Entry instances, according to the platform's list and to heartbeats.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -6,14 +6,14 @@
 use base::{InstanceName, Time, ZoneName};
 use wire::platform::{List, State};
 
-/// How an instance stands.
+/// Whether an instance is running, as far as known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Standing {
-    /// Heard of lately, and staying.
+    /// Heard from recently and not shutting down.
     Live,
-    /// To stop soon: no new work.
+    /// Shutting down soon: gets no new work.
     Leaving,
-    /// Listed but not heard of: may be gone, cut off, or not started yet.
+    /// Listed but not heard from: may be gone, partitioned, or not started yet.
     Suspect,
 }
 
@@ -35,7 +35,7 @@
 }
 
 impl Instances {
-    /// Makes an empty view; whoever is silent for `silence` is suspect.
+    /// Creates an empty view. An instance not heard from for `silence` is suspect.
     #[must_use]
     pub fn new(silence: Duration) -> Self {
         Instances {
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Takes the platform's list; one older than the last is ignored.
+    /// Takes in the platform's list; one older than the last is ignored.
     pub fn list(&mut self, now: Time, list: &List) {
         if list.serial < self.serial {
             return;
@@ -62,7 +62,8 @@
             .retain(|_, i| i.listed.is_some() || i.fresh(now, silence));
     }
 
-    /// Takes a sign of life: a beat, a call, or the leader's word.
+    /// Records that an instance was heard from, by a heartbeat, a call or the leader's
+    /// report.
     pub fn heard(
         &mut self,
         now: Time,
@@ -76,7 +77,8 @@
         instance.leaving = leaving;
     }
 
-    /// Returns how `name` stands; nothing when neither source names it.
+    /// Returns the liveness of `name`; none if it is neither listed nor recently heard
+    /// from.
     #[must_use]
     pub fn standing(&self, now: Time, name: &InstanceName) -> Option<Standing> {
         let instance = self.all.get(name)?;
@@ -90,8 +92,7 @@
         }
     }
 
-    /// Returns every instance with its zone and the address of its peer
-    /// listener.
+    /// Returns every instance with its zone and the address of its peer listener.
     pub fn iter(&self) -> impl Iterator<Item = (&InstanceName, &ZoneName, &str)> {
         let all = self.all.iter();
         all.map(|(name, i)| (name, &i.zone, i.peer.as_str()))
--- a/crates/member/src/lib.rs
+++ b/crates/member/src/lib.rs
@@ -1,10 +1,10 @@
-//! Who is there: the platform's lagging list, heartbeats, and what is seen of
-//! targets.
+//! Membership: which entry instances and targets exist, from the platform's lagging list,
+//! from heartbeats and from observations of targets.
 //!
-//! Neither source is enough. The list names what is gone and misses what has
-//! come; a heartbeat says nothing about a planned stop before it begins. An
-//! observation of a target counts only if nothing has overtaken it since it
-//! began, see [`Watch`].
+//! No source suffices alone. The list tells what has been removed but lags behind what
+//! has started; a heartbeat doesn't announce a planned shutdown before it begins. An
+//! observation of a target counts only if the target did not change after the observation
+//! began; see [`Watch`].
 
 mod instances;
 mod targets;
--- a/crates/member/src/targets.rs
+++ b/crates/member/src/targets.rs
@@ -1,4 +1,4 @@
-//! Targets, by the platform's list and by what is seen of them.
+//! Targets, according to the platform's list and to observations of them.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,24 +7,25 @@
 use wire::platform::{List, State};
 
 value! {
-    /// Counts what makes older observations of a target worthless: a new
-    /// incarnation, a drain, a return. Never reused, also not by a target that
-    /// leaves the list and comes back.
+    /// Counts the changes that invalidate earlier observations of a target: a new
+    /// incarnation, a drain, a return to the list. Numbers are never reused, not even for
+    /// a target that leaves the list and comes back.
     pub struct Epoch(pub u64);
 
-    /// Where a target stands.
+    /// Whether a target accepts new work, according to the platform's list.
     pub enum Phase {
-        /// Takes new work.
+        /// Accepts new work.
         Live,
-        /// To stop soon: finishes what it has, gets nothing new.
+        /// Shutting down soon: finishes its running work and gets no new work.
         Leaving,
     }
 
-    /// What an observation that has just begun has to bring back.
+    /// Identifies an observation that is under way. Returned by [`Targets::begin`] and
+    /// handed back when the observation ends.
     pub struct Watch {
         /// The target's epoch when it began.
         epoch: Epoch,
-        /// Its place among the observations of all targets.
+        /// Its number, in the order in which observations of all targets began.
         serial: u64,
     }
 }
@@ -32,38 +33,38 @@
 /// Why an observation was discarded.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum Overtaken {
-    /// The target restarted, was drained or came back since it began.
+    /// The target restarted, was drained or came back after it began.
     #[error("the target changed while it was observed")]
     Changed,
-    /// One that began later has already been taken in.
+    /// An observation that began later has already been taken in.
     #[error("a newer observation is known")]
     Newer,
-    /// The target is gone.
+    /// The target is no longer listed.
     #[error("the target is gone")]
     Gone,
 }
 
-/// What an accepted observation says about the target's life.
+/// Whether an accepted observation found a new incarnation of the target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Look {
-    /// Nothing new.
+    /// The same incarnation as before, or the first one seen.
     Same,
-    /// A new life: it holds nothing that was loaded before.
+    /// A new incarnation: all adapters loaded before are gone.
     Restarted,
 }
 
 /// A target as one process sees it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Target {
-    /// Its pool.
+    /// Its pool, from the platform's list.
     pub pool: PoolName,
-    /// Its zone.
+    /// Its availability zone, from the platform's list.
     pub zone: ZoneName,
-    /// IP and port of its HTTP listener.
+    /// IP and port of its HTTP listener, from the platform's list.
     pub address: String,
-    /// Where it stands.
+    /// Whether it accepts new work, from the platform's list.
     pub phase: Phase,
-    /// Which life of it, once seen.
+    /// Its incarnation, once observed.
     pub incarnation: Option<Incarnation>,
     /// When the newest accepted observation began.
     pub seen: Option<Time>,
@@ -81,11 +82,11 @@
 }
 
 impl Targets {
-    /// Takes the platform's list; returns the targets whose phase or address
-    /// changed, came or went. One older than the last is ignored.
+    /// Takes in the platform's list; returns the targets that were added, removed or
+    /// changed. A list older than the last is ignored.
     ///
-    /// A target that the list calls leaving gets no new work from this very
-    /// call on, however its observations look.
+    /// A target that the list calls leaving gets no new work from this call on, whatever
+    /// observations of it say.
     pub fn list(&mut self, list: &List) -> Vec<TargetName> {
         if list.serial < self.list {
             return Vec::new();
@@ -100,8 +101,8 @@
         changed
     }
 
-    /// Begins an observation: a report, a probe, a load. Returns nothing for
-    /// an unknown target.
+    /// Begins an observation, such as a report, a probe or a load. Returns none for an
+    /// unknown target.
     pub fn begin(&mut self, name: &TargetName) -> Option<Watch> {
         let epoch = self.all.get(name)?.epoch;
         self.serials += 1;
@@ -111,13 +112,13 @@
         })
     }
 
-    /// Ends an observation that began at `began` with `watch` and has found
-    /// the target's life `incarnation`, where the target tells it.
+    /// Ends the observation `watch`, which began at `began` and found the target's
+    /// `incarnation`, if the target reports it.
     ///
     /// # Errors
     ///
-    /// Fails when the observation was overtaken: nothing of it may be used,
-    /// neither good news nor bad.
+    /// Fails if the observation is outdated. Then none of it may be used, neither a
+    /// success nor a failure.
     pub fn finish(
         &mut self,
         name: &TargetName,
@@ -126,10 +127,10 @@
         incarnation: Option<Incarnation>,
     ) -> Result<Look, Overtaken> {
         let target = self.all.get_mut(name).ok_or(Overtaken::Gone)?;
-        // Guard: a slow report of an engine's former life, or one begun before
-        // a drain, arrives after the change and would show adapters that are
-        // gone, or bring a drained target back. It carries the epoch of its
-        // beginning and is dropped here.
+        // Guard: a slow report from an engine's former incarnation, or one begun before a
+        // drain, may arrive after that change. It would show adapters that are gone, or
+        // mark a drained target as usable. Its epoch is outdated, so it is discarded
+        // here.
         if watch.epoch != target.epoch {
             base::hit!(overtaken_by_change);
             return Err(Overtaken::Changed);
@@ -150,34 +151,33 @@
         Ok(Look::Restarted)
     }
 
-    /// Ends an order, a load or an unload, that began with `watch` and was
-    /// answered.
+    /// Ends the order `watch`, a load or an unload, that was answered.
     ///
     /// # Errors
     ///
-    /// Fails when the target restarted, was drained or came back meanwhile:
-    /// what the order did is gone.
+    /// Fails if the target restarted, was drained or came back meanwhile: the effect of
+    /// the order is lost.
     pub fn ordered(&mut self, name: &TargetName, watch: Watch) -> Result<(), Overtaken> {
         let serial = self.serials;
         let target = self.all.get_mut(name).ok_or(Overtaken::Gone)?;
         if watch.epoch != target.epoch {
             return Err(Overtaken::Changed);
         }
-        // Guard: a report that began before the order's answer may have looked
-        // at the engine before the order, and arrive after. It would show an
-        // adapter that has just been unloaded, and requests would use it while
-        // another owner, who loaded it anew, may unload it.
+        // Guard: a report that began before the order was answered may show the engine's
+        // state from before the order. If it were accepted after an unload, requests
+        // would use the unloaded adapter, which another owner may load and unload again
+        // at any time.
         target.accepted = serial + 1;
         self.serials += 1;
         Ok(())
     }
 
-    /// Ends an observation that failed: an error counts only under the same
+    /// Ends the observation `watch`, which failed. A failure counts under the same
     /// conditions as a success.
     ///
     /// # Errors
     ///
-    /// Fails when the observation was overtaken.
+    /// Fails if the observation is outdated.
     pub fn failed(&mut self, name: &TargetName, watch: Watch) -> Result<(), Overtaken> {
         let target = self.all.get_mut(name).ok_or(Overtaken::Gone)?;
         if watch.epoch != target.epoch {
--- a/crates/member/tests/member.rs
+++ b/crates/member/tests/member.rs
@@ -1,4 +1,4 @@
-//! Membership: what list, heartbeats and observations say together.
+//! Membership from the platform's list, heartbeats and observations together.
 
 use std::time::Duration;
 
@@ -30,9 +30,9 @@
 
 const T: Time = Time(5);
 
-/// An engine restarts empty while a report of its former life is on its way.
-/// Taken in, the report would show adapters that are gone, and requests would
-/// go there in vain.
+/// An engine restarts without adapters while a report of its former incarnation is on its
+/// way. If the report were accepted, it would show adapters that are gone, and requests
+/// for them would fail.
 #[test]
 fn a_report_of_a_former_life_is_dropped() {
     base::covers!(overtaken_by_change);
@@ -56,8 +56,9 @@
     );
 }
 
-/// A probe begun before a drain ends after it, and one begun before the target
-/// came back under the same name: neither good news nor bad counts.
+/// A probe that began before a drain ends after it, and another one ends after the target
+/// has left the list and come back under the same name. Neither counts, whether it
+/// succeeded or failed.
 #[test]
 fn an_observation_that_crosses_a_drain_is_dropped() {
     let (mut targets, t) = (targets(), "t".parse().unwrap());
@@ -78,7 +79,7 @@
     assert_that!(targets.takes_work(&t), eq(true));
 }
 
-/// Two observations end in reverse order: the one begun first says nothing.
+/// Two observations end in reverse order: the one that began first is discarded.
 #[test]
 fn an_older_observation_never_wins() {
     base::covers!(overtaken_by_newer);
@@ -89,8 +90,8 @@
     assert_that!(targets.finish(&t, old, T, None), err(eq(Overtaken::Newer)));
 }
 
-/// A report looks at the engine before an unload and arrives after its answer:
-/// it shows an adapter that is gone.
+/// A report reads the engine's state before an unload and arrives after the unload was
+/// answered: it shows an adapter that is gone.
 #[test]
 fn a_report_that_crosses_an_order_is_dropped() {
     base::covers!(overtaken_by_newer);
