--- a/crates/owner/src/grantor.rs
+++ b/crates/owner/src/grantor.rs
@@ -11,7 +11,7 @@
 use crate::{Change, Config, Life, Table, store};
 
 /// A change for which the log gave no answer is proposed again after this time.
-const PROPOSE_AGAIN: Duration = Duration::from_secs(2);
+const PROPOSE_RETRY: Duration = Duration::from_secs(2);
 /// An instance that owns no engine is removed from the table after this time without
 /// heartbeat.
 const DISMISS_AFTER: Duration = Duration::from_secs(30);
@@ -61,15 +61,23 @@
 pub(crate) struct Seen {
     pub(crate) life: Life,
     pub(crate) zone: ZoneName,
+    /// When the last heartbeat arrived.
     pub(crate) last: Time,
     /// Start of the current run of heartbeats without a gap.
     pub(crate) steady: Time,
+    /// Greatest serial among the replies that it has taken in.
     pub(crate) heard: u64,
+    /// Log index up to which it knows the table.
     pub(crate) roster: u64,
+    /// Whether it is shutting down.
     pub(crate) leaving: bool,
+    /// Engines that it can reach; none until it lists them.
     pub(crate) engines: Option<BTreeSet<TargetName>>,
+    /// Engines that it lost and still has requests on.
     pub(crate) busy: BTreeSet<TargetName>,
+    /// Version of the configuration text in force there.
     pub(crate) text: TextVersion,
+    /// Number of loads that it waits to make.
     pub(crate) loads: u32,
 }
 
@@ -78,7 +86,7 @@
 pub(crate) struct Moving {
     pub(crate) fence: Fence,
     /// Serial of the first heartbeat whose reply left out the lease.
-    pub(crate) without: Option<u64>,
+    pub(crate) withheld: Option<u64>,
     /// Whether the engine gets no other owner, because the platform no longer lists it.
     pub(crate) forget: bool,
 }
@@ -90,14 +98,19 @@
     config: Config,
     /// When this instance began to lead; none while it doesn't lead.
     since: Option<Time>,
+    /// Entry instances from which heartbeats have arrived.
     seen: BTreeMap<InstanceName, Seen>,
     /// Fencing number of each engine's last renewed lease, and when it was renewed.
     granted: BTreeMap<TargetName, (Fence, Time)>,
     /// When a heartbeat of each incarnation was last answered.
     answered: BTreeMap<Life, Time>,
+    /// Engines that their owners have to give up.
     moving: BTreeMap<TargetName, Moving>,
+    /// Changes proposed recently, and when.
     proposed: BTreeMap<Change, Time>,
+    /// Entry instances that the platform lists; none before its first list.
     listed: Option<BTreeSet<InstanceName>>,
+    /// Load rate that the weight store allows.
     rate: PerSecond,
     /// Each instance's share of `rate`, in thousandths of a load per second.
     loads: BTreeMap<InstanceName, u32>,
@@ -155,7 +168,7 @@
     /// to propose are appended to `out`. May be called only while the leader's own lease
     /// is valid.
     pub fn beat(&mut self, now: Time, beat: &Beat, table: &Table, out: &mut Vec<Change>) -> Part {
-        let (life, news) = self.note(now, beat);
+        let (life, urgent) = self.note(now, beat);
         if !table.knows(&life) {
             let change = Change::Join {
                 life: life.clone(),
@@ -166,7 +179,7 @@
         }
         // Everything else can wait for the next wake-up: planning looks at all engines
         // and instances, which is too much for every heartbeat of every instance.
-        if news {
+        if urgent {
             self.plan(now, table, out);
         }
         let leases = self.leases(now, beat, &life, table);
@@ -219,7 +232,7 @@
         let old = old.filter(|old| old.life == life);
         let gapless = old.as_ref().filter(|old| self.live(now, old));
         let steady = gapless.map_or(now, |old| old.steady);
-        let told = beat
+        let reported = beat
             .engines
             .as_ref()
             .map(|all| all.iter().cloned().collect());
@@ -231,14 +244,14 @@
             heard: beat.heard,
             roster: beat.roster,
             leaving: beat.leaving,
-            engines: told.or_else(|| old.and_then(|old| old.engines)),
+            engines: reported.or_else(|| old.and_then(|old| old.engines)),
             busy: beat.busy.iter().map(|(target, _)| target.clone()).collect(),
             text: beat.text,
             loads: beat.loads,
         };
-        let news = steady == now || beat.leaving || beat.engines.is_some();
+        let urgent = steady == now || beat.leaving || beat.engines.is_some();
         self.seen.insert(beat.instance.clone(), seen);
-        (life, news)
+        (life, urgent)
     }
 
     fn leases(&mut self, now: Time, beat: &Beat, life: &Life, table: &Table) -> Vec<Lease> {
@@ -250,7 +263,7 @@
             if let Some(moving) = self.moving.get_mut(target)
                 && moving.fence == engine.fence
             {
-                moving.without.get_or_insert(beat.serial);
+                moving.withheld.get_or_insert(beat.serial);
                 continue;
             }
             self.granted.insert(target.clone(), (engine.fence, now));
@@ -267,15 +280,15 @@
     /// Recomputes each instance's share of the store's rate.
     fn share_loads(&mut self, now: Time) {
         let live = self.seen.iter().filter(|(_, s)| self.live(now, s));
-        let ask = |s: &Seen| store::Ask {
+        let demand = |s: &Seen| store::Demand {
             zone: s.zone.clone(),
             loads: s.loads,
         };
-        let asks: BTreeMap<_, _> = live.map(|(name, s)| (name.clone(), ask(s))).collect();
+        let demands: BTreeMap<_, _> = live.map(|(name, s)| (name.clone(), demand(s))).collect();
         let zones: BTreeSet<_> = self.seen.values().map(|s| &s.zone).collect();
-        let heard: BTreeSet<_> = asks.values().map(|ask| &ask.zone).collect();
+        let heard: BTreeSet<_> = demands.values().map(|demand| &demand.zone).collect();
         let silent = zones.len() - heard.len();
-        self.loads = store::divide(self.rate, zones.len(), silent, &asks);
+        self.loads = store::divide(self.rate, zones.len(), silent, &demands);
     }
 
     pub(crate) fn live(&self, now: Time, seen: &Seen) -> bool {
@@ -284,10 +297,10 @@
 
     pub(crate) fn propose(&mut self, now: Time, change: Change, out: &mut Vec<Change>) {
         let last = self.proposed.get(&change);
-        if last.is_some_and(|at| now.since(*at) < PROPOSE_AGAIN) {
+        if last.is_some_and(|at| now.since(*at) < PROPOSE_RETRY) {
             return;
         }
-        self.proposed.retain(|_, at| now.since(*at) < PROPOSE_AGAIN);
+        self.proposed.retain(|_, at| now.since(*at) < PROPOSE_RETRY);
         self.proposed.insert(change.clone(), now);
         out.push(change);
     }
--- a/crates/owner/src/grantor/plan.rs
+++ b/crates/owner/src/grantor/plan.rs
@@ -144,24 +144,24 @@
         zone: &ZoneName,
         due: &mut Vec<Change>,
     ) {
-        let able = self.candidates(now, table, zone);
-        let mut counts: Counts = able.keys().map(|name| (name.clone(), 0)).collect();
+        let candidates = self.candidates(now, table, zone);
+        let mut counts: Counts = candidates.keys().map(|name| (name.clone(), 0)).collect();
         for engine in table.engines().values() {
             if let Some(count) = counts.get_mut(&engine.owner.instance)
-                && able[&engine.owner.instance] == engine.owner
+                && candidates[&engine.owner.instance] == engine.owner
             {
                 *count += 1;
             }
         }
-        self.settle_moves(now, table, zone);
-        let open = self.open_engines(now, since, table, zone);
-        let calm = open.is_empty();
-        for (target, expect) in open {
-            let Some(name) = self.choose(&able, &counts, &target) else {
+        self.prune_moves(now, table, zone);
+        let assignable = self.assignable_engines(now, since, table, zone);
+        let all_assigned = assignable.is_empty();
+        for (target, expect) in assignable {
+            let Some(name) = self.choose(&candidates, &counts, &target) else {
                 continue;
             };
             *counts.entry(name.clone()).or_default() += 1;
-            let life = able[&name].clone();
+            let life = candidates[&name].clone();
             due.push(Change::Assign {
                 target,
                 life,
@@ -169,8 +169,8 @@
             });
         }
         self.forget(now, table, zone, due);
-        if calm {
-            self.even_out(table, zone, &counts);
+        if all_assigned {
+            self.rebalance(table, zone, &counts);
         }
     }
 
@@ -182,8 +182,8 @@
         zone: &ZoneName,
     ) -> BTreeMap<InstanceName, Life> {
         let members = table.members().iter();
-        let able = members.filter(|(_, m)| m.zone == *zone && m.admitted);
-        able.filter(|(name, m)| self.present(now, name, m).is_some_and(|s| !s.leaving))
+        let admitted = members.filter(|(_, m)| m.zone == *zone && m.admitted);
+        admitted.filter(|(name, m)| self.present(now, name, m).is_some_and(|s| !s.leaving))
             .map(|(name, m)| (name.clone(), life_of(name, m)))
             .collect()
     }
@@ -196,7 +196,7 @@
 
     /// Returns the engines of `zone` that need an owner, each with the fencing number in
     /// force.
-    fn open_engines(
+    fn assignable_engines(
         &self,
         now: Time,
         since: Time,
@@ -206,17 +206,17 @@
         let mates = self.seen.values();
         let mates = mates.filter(|seen| seen.zone == *zone && self.live(now, seen));
         let reach: BTreeSet<_> = mates.filter_map(|s| s.engines.as_ref()).flatten().collect();
-        let mut open = Vec::new();
+        let mut assignable = Vec::new();
         for target in reach {
             match table.engines().get(target) {
-                None => open.push((target.clone(), Fence(0))),
+                None => assignable.push((target.clone(), Fence(0))),
                 Some(engine) if self.may_move(now, since, target, engine) => {
-                    open.push((target.clone(), engine.fence));
+                    assignable.push((target.clone(), engine.fence));
                 }
                 Some(_) => {}
             }
         }
-        open
+        assignable
     }
 
     /// Returns whether the owner's lease has certainly ended.
@@ -229,7 +229,7 @@
         if let Some(moving) = self.moving.get(target)
             && !moving.forget
             && let Some(seen) = seen
-            && moving.without.is_some_and(|serial| seen.heard >= serial)
+            && moving.withheld.is_some_and(|serial| seen.heard >= serial)
         {
             return true;
         }
@@ -247,7 +247,7 @@
         if !over {
             base::hit!(lease_waited_out);
         }
-        over && self.zone_back(now, &engine.zone)
+        over && self.zone_settled(now, &engine.zone)
     }
 
     /// Returns whether a zone has been heard from for long enough that its owners would
@@ -256,7 +256,7 @@
     /// Guard: when a partition ends, the first heartbeat may come from any instance of
     /// the zone. An owner whose heartbeat arrives a moment later still owns its engines
     /// and would lose them needlessly.
-    fn zone_back(&self, now: Time, zone: &ZoneName) -> bool {
+    fn zone_settled(&self, now: Time, zone: &ZoneName) -> bool {
         let here = self.seen.values().filter(|seen| seen.zone == *zone);
         let wait = self.config.beat * 2;
         let back = here
@@ -273,12 +273,12 @@
     /// when an instance leaves.
     fn choose(
         &self,
-        able: &BTreeMap<InstanceName, Life>,
+        candidates: &BTreeMap<InstanceName, Life>,
         counts: &Counts,
         target: &TargetName,
     ) -> Option<InstanceName> {
-        let near = able.keys().filter(|name| self.reaches(name, target));
-        let best = near.min_by_key(|name| {
+        let able = candidates.keys().filter(|name| self.reaches(name, target));
+        let best = able.min_by_key(|name| {
             let count = counts.get(*name).copied().unwrap_or(0);
             (count, std::cmp::Reverse(score(name, target)))
         });
@@ -291,7 +291,7 @@
     }
 
     /// Ends moves whose engine has a new owner or whose owner is no longer heard from.
-    fn settle_moves(&mut self, now: Time, table: &Table, zone: &ZoneName) {
+    fn prune_moves(&mut self, now: Time, table: &Table, zone: &ZoneName) {
         let seen = &self.seen;
         let lease = self.config.lease;
         self.moving.retain(|target, moving| {
@@ -312,17 +312,17 @@
             let Some(seen) = self.seen.get(&engine.owner.instance) else {
                 continue;
             };
-            let told = seen.engines.as_ref();
-            let wanted = told.is_none_or(|all| all.contains(target));
+            let listed = seen.engines.as_ref();
+            let wanted = listed.is_none_or(|all| all.contains(target));
             if seen.life != engine.owner || wanted || !self.live(now, seen) {
                 continue;
             }
             let moving = self.moving.entry(target.clone()).or_insert(Moving {
                 fence: engine.fence,
-                without: None,
+                withheld: None,
                 forget: true,
             });
-            let heard = moving.without.is_some_and(|serial| seen.heard >= serial);
+            let heard = moving.withheld.is_some_and(|serial| seen.heard >= serial);
             if heard && engine.former.is_empty() && !seen.busy.contains(target) {
                 due.push(Change::Forget {
                     target: target.clone(),
@@ -334,7 +334,7 @@
 
     /// Begins to move one engine from the instance with the most engines to the one with
     /// the fewest, if they differ by two or more.
-    fn even_out(&mut self, table: &Table, zone: &ZoneName, counts: &Counts) {
+    fn rebalance(&mut self, table: &Table, zone: &ZoneName, counts: &Counts) {
         let under_way = self.moving.keys().filter_map(|t| table.engines().get(t));
         if under_way.filter(|e| e.zone == *zone).count() > 0 {
             return;
@@ -349,13 +349,13 @@
         }
         let owned = table.engines().iter();
         let owned = owned.filter(|(_, e)| e.owner.instance == *from && e.zone == *zone);
-        let near = owned.filter(|(target, _)| self.reaches(to, target));
-        let Some((target, engine)) = near.max_by_key(|(target, _)| score(to, target)) else {
+        let reachable = owned.filter(|(target, _)| self.reaches(to, target));
+        let Some((target, engine)) = reachable.max_by_key(|(target, _)| score(to, target)) else {
             return;
         };
         let moving = Moving {
             fence: engine.fence,
-            without: None,
+            withheld: None,
             forget: false,
         };
         self.moving.insert(target.clone(), moving);
--- a/crates/owner/src/holder.rs
+++ b/crates/owner/src/holder.rs
@@ -16,11 +16,11 @@
 
 /// A confirmation is valid for at least this time per zone peer. Confirmations are
 /// requested less often in a large zone, so that they don't saturate its links.
-const CONFIRM_EACH: Duration = Duration::from_millis(200);
+const CONFIRM_PER_PEER: Duration = Duration::from_millis(200);
 /// Number of heartbeats whose sending time is remembered for a late reply.
-const BEATS_MAX: usize = 64;
+const SENT_MAX: usize = 64;
 /// Number of handovers kept for one engine before its lease arrives.
-const EARLY_MAX: usize = 16;
+const EARLY_HANDOVERS_MAX: usize = 16;
 
 /// What an instance may do to an engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -148,6 +148,7 @@
 /// A promise to a zone peer not to take over an engine that it owns.
 #[derive(Clone, Debug)]
 struct Promise {
+    /// The fencing number of the zone peer.
     fence: Fence,
     until: Time,
 }
@@ -155,9 +156,12 @@
 /// An engine that this instance no longer owns.
 #[derive(Clone, Debug)]
 struct Lost {
+    /// The fencing number that this instance had.
     fence: Fence,
+    /// Adapters that its requests still use; none until [`Input::Using`] reports them.
     using: Option<BTreeSet<Resident>>,
-    told: Option<(InstanceName, BTreeSet<Resident>)>,
+    /// The owner that was told last, and the adapters it was told of.
+    reported: Option<(InstanceName, BTreeSet<Resident>)>,
 }
 
 /// The leases of one entry instance on engines.
@@ -166,18 +170,29 @@
     config: Config,
     name: InstanceName,
     zone: ZoneName,
-    born: Time,
+    /// When this incarnation of the instance started.
+    started: Time,
+    /// Serial of the newest reply taken in.
     heard: u64,
+    /// Log index up to which the table of instances and owners is known.
     roster: u64,
+    /// Whether the instance is shutting down.
     renounced: bool,
+    /// When recent heartbeats were sent, by serial.
     sent: BTreeMap<u64, Time>,
+    /// All entry instances as last listed by the leader.
     peers: BTreeMap<InstanceName, Peer>,
     held: BTreeMap<TargetName, Held>,
     lost: BTreeMap<TargetName, Lost>,
+    /// Promises given to zone peers.
     promises: BTreeMap<TargetName, Promise>,
+    /// Fencing numbers of all leases in the newest reply, accepted or not.
     offered: BTreeMap<TargetName, Fence>,
-    news: BTreeSet<TargetName>,
-    early: BTreeMap<TargetName, BTreeMap<Fence, BTreeSet<Resident>>>,
+    /// Engines given up since the last [`Output::Changed`].
+    unreported: BTreeSet<TargetName>,
+    /// Handovers that arrived before the lease, by the fencing number of their sender.
+    early_handovers: BTreeMap<TargetName, BTreeMap<Fence, BTreeSet<Resident>>>,
+    /// Number of the last round of requests for confirmation.
     round: u64,
 }
 
@@ -189,7 +204,7 @@
             config,
             name,
             zone,
-            born: now,
+            started: now,
             heard: 0,
             roster: 0,
             renounced: false,
@@ -199,8 +214,8 @@
             lost: BTreeMap::new(),
             promises: BTreeMap::new(),
             offered: BTreeMap::new(),
-            news: BTreeSet::new(),
-            early: BTreeMap::new(),
+            unreported: BTreeSet::new(),
+            early_handovers: BTreeMap::new(),
             round: 0,
         }
     }
@@ -241,7 +256,7 @@
             Input::Renounce => self.renounced = true,
             Input::Wake => {}
         }
-        self.settle(now, out);
+        self.flush(now, out);
     }
 
     /// Answers a zone peer that asks to confirm its ownership of an engine. Returns
@@ -258,7 +273,7 @@
             promise.until = promise.until.max(until);
             self.drop_older(ask);
         }
-        self.settle(now, out);
+        self.flush(now, out);
         granted
     }
 
@@ -275,7 +290,7 @@
         // Guard: a process that was frozen resumes at an arbitrary point, before any of
         // its timers fires. So no stored state says whether the lease is valid; its end
         // is compared with the clock at each use.
-        if held.in_charge(now, self.mates(), self.config.alone) {
+        if held.is_valid(now, self.mates(), self.config.alone) {
             Own::Full { fence }
         } else {
             base::hit!(engine_lease_lapsed);
@@ -325,7 +340,7 @@
         // Guard: an order sent at the very end of a lease arrives when the next owner has
         // taken over. So an unload is sent only if it can arrive before the lease ends.
         let full =
-            full && held.in_charge(now + self.config.flight, self.mates(), self.config.alone);
+            full && held.is_valid(now + self.config.flight, self.mates(), self.config.alone);
         // Guard: an instance that was replaced without knowing it would unload adapters
         // that the new owner's requests use. An engine that checks fencing numbers
         // refuses that order; any other engine is not sent it.
@@ -360,7 +375,7 @@
     #[must_use]
     pub fn owner_of(&self, target: &TargetName) -> Option<(&InstanceName, Fence)> {
         let all = self.peers.values();
-        let owners = all.filter_map(|peer| Some((&peer.instance, fence_in(peer, target)?)));
+        let owners = all.filter_map(|peer| Some((&peer.instance, fence_of(peer, target)?)));
         owners.max_by_key(|(_, fence)| *fence)
     }
 
@@ -423,10 +438,10 @@
 /// Returns how long a confirmation is valid in a zone with `mates` zone peers.
 fn confirm_time(config: &Config, mates: usize) -> Duration {
     let mates = u32::try_from(mates).unwrap_or(u32::MAX);
-    config.lease.max(CONFIRM_EACH.saturating_mul(mates))
+    config.lease.max(CONFIRM_PER_PEER.saturating_mul(mates))
 }
 
-fn fence_in(peer: &Peer, target: &TargetName) -> Option<Fence> {
+fn fence_of(peer: &Peer, target: &TargetName) -> Option<Fence> {
     let owned = peer.owns.iter().find(|(name, _)| name == target);
     owned.map(|(_, fence)| *fence)
 }
--- a/crates/owner/src/holder/own.rs
+++ b/crates/owner/src/holder/own.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use super::{
-    BEATS_MAX, BeatReply, Confirm, EARLY_MAX, Fence, Handover, Holder, InstanceName, Lease, Lost,
-    Output, Own, Resident, TargetName, Time, confirm_time, fence_in,
+    SENT_MAX, BeatReply, Confirm, EARLY_HANDOVERS_MAX, Fence, Handover, Holder, InstanceName, Lease, Lost,
+    Output, Own, Resident, TargetName, Time, confirm_time, fence_of,
 };
 
 /// A lease on one engine.
@@ -13,25 +13,33 @@
 pub(super) struct Held {
     pub(super) fence: Fence,
     /// When the heartbeat was sent from which the lease counts.
-    base: Time,
+    sent_at: Time,
+    /// End of the lease.
     until: Time,
+    /// Fencing numbers of former owners that may still have requests running.
     former: BTreeSet<Fence>,
-    handed: BTreeMap<Fence, BTreeSet<Resident>>,
+    /// The adapters that former owners reported as still in use, by fencing number.
+    handovers: BTreeMap<Fence, BTreeSet<Resident>>,
+    /// Adapters made resident by this owner's loads, which are safe to unload.
     pub(super) loaded: BTreeSet<Resident>,
-    touched: bool,
+    /// Whether the engine has accepted an order of this owner since it last restarted.
+    order_accepted: bool,
     /// Whether the engine restarted while a former owner might still use it.
-    emptied: bool,
+    early_restart: bool,
     /// The last state reported by [`Output::Changed`].
-    told: Own,
-    asked: BTreeMap<u64, (Time, Duration)>,
+    reported: Own,
+    /// Recent rounds of requests for confirmation: when they were sent, and for how long.
+    rounds: BTreeMap<u64, (Time, Duration)>,
+    /// Until when each zone peer has confirmed the ownership.
     confirmed: BTreeMap<InstanceName, Time>,
+    /// When to ask the zone peers for confirmation.
     ask_at: Time,
 }
 
 impl Held {
     /// Returns whether the lease is valid, or all zone peers have confirmed the
     /// ownership.
-    pub(super) fn in_charge<'a>(
+    pub(super) fn is_valid<'a>(
         &self,
         now: Time,
         mut mates: impl Iterator<Item = &'a InstanceName>,
@@ -43,7 +51,7 @@
         // Guard: after the time `alone` the leader admits an instance that this one has
         // never heard of, which then may get the engine. This instance must have stopped
         // by then.
-        if now >= self.base + alone {
+        if now >= self.sent_at + alone {
             base::hit!(alone_too_long);
             return false;
         }
@@ -53,14 +61,14 @@
     /// Records that the engine restarted and lost all loaded adapters.
     pub(super) fn restarted(&mut self) {
         self.loaded.clear();
-        self.touched = false;
-        self.emptied |= !self.former.is_empty();
+        self.order_accepted = false;
+        self.early_restart |= !self.former.is_empty();
     }
 
     /// Returns whether a former owner may still send orders to the engine.
     pub(super) fn untouched(&self) -> bool {
-        let silent = |fence: &Fence| !self.handed.contains_key(fence);
-        !self.touched && self.former.iter().any(silent)
+        let silent = |fence: &Fence| !self.handovers.contains_key(fence);
+        !self.order_accepted && self.former.iter().any(silent)
     }
 
     /// Returns whether a former owner may use `resident`: one of the adapters it reported
@@ -68,7 +76,7 @@
     pub(super) fn pinned(&self, resident: &Resident) -> bool {
         self.former
             .iter()
-            .any(|fence| match self.handed.get(fence) {
+            .any(|fence| match self.handovers.get(fence) {
                 Some(using) => using.contains(resident),
                 None => !self.loaded.contains(resident),
             })
@@ -77,7 +85,7 @@
     /// Returns the next time after `now` at which the ownership may change or a
     /// confirmation has to be requested.
     fn next_change(&self, now: Time, alone: Duration) -> Option<Time> {
-        let fixed = [self.until, self.base + alone, self.ask_at];
+        let fixed = [self.until, self.sent_at + alone, self.ask_at];
         let all = fixed.into_iter().chain(self.confirmed.values().copied());
         all.filter(|at| now < *at).min()
     }
@@ -88,9 +96,9 @@
         // A handover message may have been lost, so it is sent again with each heartbeat
         // as long as an adapter is in use.
         let busy = self.lost.values_mut().filter(|lost| lost.busy());
-        busy.for_each(|lost| lost.told = None);
+        busy.for_each(|lost| lost.reported = None);
         self.sent.insert(serial, now);
-        while self.sent.len() > BEATS_MAX {
+        while self.sent.len() > SENT_MAX {
             self.sent.pop_first();
         }
     }
@@ -119,7 +127,7 @@
             .cloned()
             .collect();
         for target in gone {
-            self.lose(&target);
+            self.give_up(&target);
         }
         if self.renounced {
             return;
@@ -148,7 +156,7 @@
     fn offer(&mut self, now: Time, sent: Time, lease: Lease) {
         self.offered.insert(lease.target.clone(), lease.fence);
         let held = self.held.get(&lease.target).map(|h| h.fence);
-        if held.is_none() && !self.free_to_take(now, &lease.target) {
+        if held.is_none() && !self.may_accept(now, &lease.target) {
             return;
         }
         if held.is_some_and(|fence| fence > lease.fence) {
@@ -158,36 +166,36 @@
             self.held.remove(&lease.target);
         }
         self.lost.remove(&lease.target);
-        let early = self.early.remove(&lease.target).unwrap_or_default();
+        let early = self.early_handovers.remove(&lease.target).unwrap_or_default();
         let held = self.held.entry(lease.target).or_insert_with(|| Held {
             fence: lease.fence,
-            base: sent,
+            sent_at: sent,
             until: sent,
             former: BTreeSet::new(),
-            handed: BTreeMap::new(),
+            handovers: BTreeMap::new(),
             loaded: BTreeSet::new(),
-            touched: false,
-            emptied: false,
-            told: Own::None,
-            asked: BTreeMap::new(),
+            order_accepted: false,
+            early_restart: false,
+            reported: Own::None,
+            rounds: BTreeMap::new(),
             confirmed: BTreeMap::new(),
             ask_at: sent,
         });
-        held.base = sent;
+        held.sent_at = sent;
         held.until = sent + lease.lasts;
         held.ask_at = sent + self.config.beat * 3 / 2;
         held.former = lease.former.into_iter().collect();
-        held.handed.extend(early);
-        held.handed.retain(|fence, _| held.former.contains(fence));
+        held.handovers.extend(early);
+        held.handovers.retain(|fence, _| held.former.contains(fence));
     }
 
     /// Returns whether this instance may accept an engine that the leader assigns to it.
-    fn free_to_take(&self, now: Time, target: &TargetName) -> bool {
+    fn may_accept(&self, now: Time, target: &TargetName) -> bool {
         // Guard: the previous incarnation of this instance may have promised a zone peer
         // not to take an engine, and the restart erased the promise. So no engine is
         // accepted before all such promises have expired.
         let longest = self.longest_promise();
-        if now < self.born + self.config.margin.stretch(longest) {
+        if now < self.started + self.config.margin.stretch(longest) {
             base::hit!(young_holder);
             return false;
         }
@@ -232,7 +240,7 @@
     pub(super) fn drop_older(&mut self, ask: &Confirm) {
         let held = self.held.get(&ask.target).map(|h| h.fence);
         if held.is_some_and(|fence| fence < ask.fence) {
-            self.lose(&ask.target);
+            self.give_up(&ask.target);
         }
     }
 
@@ -246,7 +254,7 @@
         let Some(held) = self.held.get_mut(target) else {
             return;
         };
-        let Some((asked, lasts)) = held.asked.get(&round).copied() else {
+        let Some((asked, lasts)) = held.rounds.get(&round).copied() else {
             return;
         };
         if !granted {
@@ -264,12 +272,12 @@
         if let Some(held) = self.held.get_mut(&handover.target)
             && held.former.contains(&handover.fence)
         {
-            held.handed.insert(handover.fence, using);
+            held.handovers.insert(handover.fence, using);
             return;
         }
-        let early = self.early.entry(handover.target).or_default();
+        let early = self.early_handovers.entry(handover.target).or_default();
         early.insert(handover.fence, using);
-        while early.len() > EARLY_MAX {
+        while early.len() > EARLY_HANDOVERS_MAX {
             early.pop_first();
         }
     }
@@ -287,7 +295,7 @@
         if held.fence != fence {
             return;
         }
-        held.touched = true;
+        held.order_accepted = true;
         // Guard: a former owner that doesn't know of its replacement may just have loaded
         // this adapter and may be using it. Only adapters that this owner's load made
         // resident are safe to unload.
@@ -298,38 +306,38 @@
         // Guard: a former owner that is partitioned doesn't notice the restart. A load
         // brings back an adapter that it believes resident and may be using, so no
         // adapter loaded since the restart is safe to unload.
-        if held.emptied {
+        if held.early_restart {
             base::hit!(restarted_under_former);
             return;
         }
         held.loaded.insert(resident);
     }
 
-    fn lose(&mut self, target: &TargetName) {
+    fn give_up(&mut self, target: &TargetName) {
         let Some(held) = self.held.remove(target) else {
             return;
         };
         let lost = Lost {
             fence: held.fence,
             using: None,
-            told: None,
+            reported: None,
         };
         self.lost.insert(target.clone(), lost);
-        self.news.insert(target.clone());
+        self.unreported.insert(target.clone());
     }
 
     /// Reports what has changed since the last input, asks zone peers for confirmation
     /// while the leader doesn't answer, and schedules the next wake-up.
-    pub(super) fn settle(&mut self, now: Time, out: &mut Vec<Output>) {
+    pub(super) fn flush(&mut self, now: Time, out: &mut Vec<Output>) {
         self.promises.retain(|_, promise| now < promise.until);
         if self.renounced {
             let all: Vec<_> = self.held.keys().cloned().collect();
-            all.iter().for_each(|target| self.lose(target));
+            all.iter().for_each(|target| self.give_up(target));
         }
-        self.tell_gone(out);
-        self.tell_lost(out);
-        self.ask_mates(now, out);
-        self.tell_held(now, out);
+        self.report_lost(out);
+        self.send_handovers(out);
+        self.ask_zone_peers(now, out);
+        self.report_changes(now, out);
         let alone = self.config.alone;
         let times = self.held.values().filter_map(|h| h.next_change(now, alone));
         if let Some(next) = times.min() {
@@ -337,8 +345,8 @@
         }
     }
 
-    fn tell_gone(&mut self, out: &mut Vec<Output>) {
-        for target in std::mem::take(&mut self.news) {
+    fn report_lost(&mut self, out: &mut Vec<Output>) {
+        for target in std::mem::take(&mut self.unreported) {
             if !self.held.contains_key(&target) {
                 let own = Own::None;
                 out.push(Output::Changed { target, own });
@@ -346,7 +354,7 @@
         }
     }
 
-    fn tell_held(&mut self, now: Time, out: &mut Vec<Output>) {
+    fn report_changes(&mut self, now: Time, out: &mut Vec<Output>) {
         let owns: Vec<_> = self
             .held
             .keys()
@@ -356,25 +364,25 @@
             let Some(held) = self.held.get_mut(&target) else {
                 continue;
             };
-            if held.told != own {
-                held.told = own;
+            if held.reported != own {
+                held.reported = own;
                 out.push(Output::Changed { target, own });
             }
         }
     }
 
-    fn ask_mates(&mut self, now: Time, out: &mut Vec<Output>) {
+    fn ask_zone_peers(&mut self, now: Time, out: &mut Vec<Output>) {
         let mates: Vec<_> = self.mates().cloned().collect();
         let lasts = confirm_time(&self.config, mates.len());
         for (target, held) in &mut self.held {
-            if now < held.ask_at || now >= held.base + self.config.alone {
+            if now < held.ask_at || now >= held.sent_at + self.config.alone {
                 continue;
             }
             self.round += 1;
             held.ask_at = now + lasts / 2;
-            held.asked.insert(self.round, (now, lasts));
-            while held.asked.len() > 4 {
-                held.asked.pop_first();
+            held.rounds.insert(self.round, (now, lasts));
+            while held.rounds.len() > 4 {
+                held.rounds.pop_first();
             }
             for to in &mates {
                 let confirm = Confirm {
@@ -391,7 +399,7 @@
 
     /// Tells new owners which adapters this instance still uses, whenever these or the
     /// owner change.
-    fn tell_lost(&mut self, out: &mut Vec<Output>) {
+    fn send_handovers(&mut self, out: &mut Vec<Output>) {
         let peers = &self.peers;
         for (target, lost) in &mut self.lost {
             let Some(using) = &lost.using else {
@@ -399,16 +407,16 @@
             };
             let owners = peers
                 .values()
-                .filter_map(|p| Some((fence_in(p, target)?, p)));
+                .filter_map(|p| Some((fence_of(p, target)?, p)));
             let owner = owners.max_by_key(|(fence, _)| *fence);
             let Some((fence, peer)) = owner else {
                 continue;
             };
-            let news = Some((peer.instance.clone(), using.clone()));
-            if fence <= lost.fence || peer.instance == self.name || lost.told == news {
+            let current = Some((peer.instance.clone(), using.clone()));
+            if fence <= lost.fence || peer.instance == self.name || lost.reported == current {
                 continue;
             }
-            lost.told = news;
+            lost.reported = current;
             let in_use = using.iter().map(|r| (r.adapter.clone(), r.version));
             let handover = Handover {
                 target: target.clone(),
@@ -419,6 +427,6 @@
             out.push(Output::Handover { to, handover });
         }
         self.lost
-            .retain(|_, lost| lost.busy() || lost.told.is_none());
+            .retain(|_, lost| lost.busy() || lost.reported.is_none());
     }
 }
--- a/crates/owner/src/store.rs
+++ b/crates/owner/src/store.rs
@@ -8,17 +8,17 @@
 
 /// What one instance needs from the weight store.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct Ask {
+pub(crate) struct Demand {
     pub(crate) zone: ZoneName,
     pub(crate) loads: u32,
 }
 
 /// Returns the load rate of an instance whose zone is partitioned from the leader, in
 /// thousandths of a load per second: `rate` divided equally among `zones` zones, and
-/// within the zone among its `mates` instances.
+/// within the zone among its `instances`.
 #[must_use]
-pub fn fixed_share(rate: PerSecond, zones: usize, mates: usize) -> u32 {
-    let parts = zones.max(1) * mates.max(1);
+pub fn fixed_share(rate: PerSecond, zones: usize, instances: usize) -> u32 {
+    let parts = zones.max(1) * instances.max(1);
     thousandths(rate) / u32::try_from(parts).unwrap_or(u32::MAX)
 }
 
@@ -33,19 +33,19 @@
     rate: PerSecond,
     zones: usize,
     silent: usize,
-    asks: &BTreeMap<InstanceName, Ask>,
+    demands: &BTreeMap<InstanceName, Demand>,
 ) -> BTreeMap<InstanceName, u32> {
     let zones = u64::try_from(zones.max(1)).unwrap_or(u64::MAX);
     let silent = u64::try_from(silent).unwrap_or(u64::MAX).min(zones);
     let open = u64::from(thousandths(rate)) * (zones - silent) / zones;
-    let waiting: u64 = asks.values().map(|ask| u64::from(ask.loads)).sum();
-    let count = u64::try_from(asks.len().max(1)).unwrap_or(u64::MAX);
+    let waiting: u64 = demands.values().map(|demand| u64::from(demand.loads)).sum();
+    let count = u64::try_from(demands.len().max(1)).unwrap_or(u64::MAX);
     let equal = if waiting == 0 { open } else { open / 2 };
-    let part = |ask: &Ask| {
-        let busy = ((open - equal) * u64::from(ask.loads)).checked_div(waiting);
+    let part = |demand: &Demand| {
+        let busy = ((open - equal) * u64::from(demand.loads)).checked_div(waiting);
         u32::try_from(equal / count + busy.unwrap_or(0)).unwrap_or(u32::MAX)
     };
-    let parts = asks.iter().map(|(name, ask)| (name.clone(), part(ask)));
+    let parts = demands.iter().map(|(name, demand)| (name.clone(), part(demand)));
     parts.collect()
 }
 
@@ -57,16 +57,16 @@
     rate: PerSecond,
     zones: usize,
     silent: usize,
-    asks: &[(InstanceName, ZoneName, u32)],
+    demands: &[(InstanceName, ZoneName, u32)],
 ) -> Vec<(InstanceName, u32)> {
-    let asks = asks.iter().map(|(name, zone, loads)| {
-        let ask = Ask {
+    let demands = demands.iter().map(|(name, zone, loads)| {
+        let demand = Demand {
             zone: zone.clone(),
             loads: *loads,
         };
-        (name.clone(), ask)
+        (name.clone(), demand)
     });
-    divide(rate, zones, silent, &asks.collect())
+    divide(rate, zones, silent, &demands.collect())
         .into_iter()
         .collect()
 }
--- a/crates/owner/src/table.rs
+++ b/crates/owner/src/table.rs
@@ -117,8 +117,11 @@
     pub struct Table {
         members: BTreeMap<InstanceName, Member>,
         engines: BTreeMap<TargetName, Engine>,
+        /// Names of removed instances, by the index of the log entry that removed them.
         gone: BTreeMap<u64, InstanceName>,
+        /// Index of the last log entry that changed instances or owners.
         changed: u64,
+        /// Index of the last removal that is no longer in `gone`.
         floor: u64,
     }
 }
@@ -182,11 +185,11 @@
     /// removed.
     #[must_use]
     pub fn since(&self, have: u64) -> (bool, Vec<Peer>, Vec<InstanceName>) {
-        let whole = have < self.floor || have > self.changed;
-        let from = if whole { 0 } else { have };
+        let full = have < self.floor || have > self.changed;
+        let from = if full { 0 } else { have };
         let fresh = self.members.iter().filter(|(_, m)| m.changed > from);
         let peers = fresh.map(|(name, m)| self.peer(name, m)).collect();
-        let gone = if whole {
+        let gone = if full {
             Vec::new()
         } else {
             let gone = self.gone.range(have + 1..).map(|(_, name)| name);
@@ -194,7 +197,7 @@
                 .cloned()
                 .collect()
         };
-        (whole, peers, gone)
+        (full, peers, gone)
     }
 
     fn peer(&self, name: &InstanceName, member: &Member) -> Peer {
@@ -281,9 +284,9 @@
             former,
         };
         self.engines.insert(target.clone(), engine);
-        self.touch(index, &life.instance);
+        self.mark_changed(index, &life.instance);
         if let Some(old) = old {
-            self.touch(index, &old.owner.instance);
+            self.mark_changed(index, &old.owner.instance);
         }
         true
     }
@@ -303,12 +306,12 @@
             return false;
         }
         if let Some(engine) = self.engines.remove(target) {
-            self.touch(index, &engine.owner.instance);
+            self.mark_changed(index, &engine.owner.instance);
         }
         true
     }
 
-    fn touch(&mut self, index: u64, instance: &InstanceName) {
+    fn mark_changed(&mut self, index: u64, instance: &InstanceName) {
         if let Some(member) = self.members.get_mut(instance) {
             member.changed = index;
         }
