--- a/crates/owner/src/holder.rs
+++ b/crates/owner/src/lessee.rs
@@ -1,6 +1,6 @@
 //! Decides what one entry instance may send to the engines of its zone at a given moment.
 
-mod own;
+mod held;
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -11,7 +11,7 @@
     engine::Resident,
 };
 
-use self::own::Held;
+use self::held::Held;
 use crate::Config;
 
 /// A confirmation is valid for at least this time per zone peer. Confirmations are
--- a/crates/owner/src/lib.rs
+++ b/crates/owner/src/lib.rs
@@ -8,7 +8,7 @@
 //! possible.
 
 mod grantor;
-mod holder;
+mod lessee;
 mod store;
 mod table;
 
@@ -18,7 +18,7 @@
 
 pub use crate::{
     grantor::{Grantor, Part},
-    holder::{Holder, Input, Order, Output, Own},
+    lessee::{Holder, Input, Order, Output, Own},
     store::{fixed_share, shares},
     table::{Change, Engine, Former, Life, Member, Table},
 };
