--- a/crates/control/src/command.rs
+++ b/crates/control/src/command.rs
@@ -1,7 +1,7 @@
 //! Commands of the state machine, as stored in the log.
 
 use base::{ChangeId, InstanceName, TextVersion, record};
-use owner::Life;
+use owner::InstanceId;
 use thiserror::Error;
 use wire::{
     call::{Claim, Settle},
@@ -67,7 +67,7 @@
             instance: InstanceName,
         },
         /// An entry instance is unresponsive: its claims under way may have run.
-        Lapse(Life),
+        Lapse(InstanceId),
     }
 
     /// One claim, or the outcome of one.
--- a/crates/control/src/control.rs
+++ b/crates/control/src/control.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use base::{InstanceName, PerSecond, Ticket, Time};
-use owner::{Change, Grantor, Life};
+use owner::{Change, Grantor, InstanceId};
 use replog::{Index, Replica, Term};
 use wire::call::{Reply, Share};
 
@@ -232,24 +232,24 @@
             return;
         }
         self.looked = now;
-        for life in self.silent_claimers(now) {
-            self.propose(now, What::Lapse(life), Waiting::Nobody, out);
+        for id in self.silent_claimers(now) {
+            self.propose(now, What::Lapse(id), Waiting::Nobody, out);
         }
     }
 
-    fn silent_claimers(&self, now: Time) -> Vec<Life> {
+    fn silent_claimers(&self, now: Time) -> Vec<InstanceId> {
         let members = self.state.table().members();
         let claimers = self.state.claims().claimers().into_iter();
         let silent = claimers.filter(|name| self.grantor.silence(now, name) > CLAIMER_SILENT);
-        let lives = silent.filter_map(|name| {
+        let ids = silent.filter_map(|name| {
             let incarnation = members.get(name)?.incarnation;
             let instance = name.clone();
-            Some(Life {
+            Some(InstanceId {
                 instance,
                 incarnation,
             })
         });
-        lives.collect()
+        ids.collect()
     }
 
     fn propose_changes(&mut self, now: Time, changes: Vec<Change>, out: &mut Vec<Output>) {
--- a/crates/control/src/control/calls.rs
+++ b/crates/control/src/control/calls.rs
@@ -179,7 +179,7 @@
         let mut changes = Vec::new();
         let part = self
             .grantor
-            .beat(now, beat, self.state.table(), &mut changes);
+            .heartbeat(now, beat, self.state.table(), &mut changes);
         self.propose_changes(now, changes, out);
         part.reply(beat.serial, self.state.texts().version())
     }
--- a/crates/control/src/control/drive.rs
+++ b/crates/control/src/control/drive.rs
@@ -108,18 +108,18 @@
 
 fn event_of(index: Index, change: &Change) -> Option<Event> {
     let event = match change {
-        Change::Join { life, .. } => Event::Joined {
-            instance: life.instance.clone(),
+        Change::Join { id, .. } => Event::Joined {
+            instance: id.instance.clone(),
         },
-        Change::Admit { life } => Event::Admitted {
-            instance: life.instance.clone(),
+        Change::Admit { id } => Event::Admitted {
+            instance: id.instance.clone(),
         },
-        Change::Dismiss { life } => Event::Dismissed {
-            instance: life.instance.clone(),
+        Change::Dismiss { id } => Event::Dismissed {
+            instance: id.instance.clone(),
         },
-        Change::Assign { target, life, .. } => Event::Owner {
+        Change::Assign { target, id, .. } => Event::Owner {
             target: target.clone(),
-            instance: life.instance.clone(),
+            instance: id.instance.clone(),
             fence: base::Fence(index.get()),
         },
         Change::Account { .. } | Change::Forget { .. } => return None,
--- a/crates/control/src/state.rs
+++ b/crates/control/src/state.rs
@@ -85,9 +85,9 @@
                 Outcome::Named(Taken::InForce)
             }
             What::Owner(change) => Outcome::Owner(self.own(index, change)),
-            What::Lapse(life) => {
-                if self.table.knows(life) {
-                    self.claims.lapse(self.at, &life.instance);
+            What::Lapse(id) => {
+                if self.table.knows(id) {
+                    self.claims.lapse(self.at, &id.instance);
                 }
                 Outcome::Done
             }
@@ -172,8 +172,8 @@
 
     fn own(&mut self, index: u64, change: &Change) -> bool {
         let done = self.table.apply(index, change);
-        if let (true, Change::Join { life, .. } | Change::Dismiss { life }) = (done, change) {
-            self.claims.lapse(self.at, &life.instance);
+        if let (true, Change::Join { id, .. } | Change::Dismiss { id }) = (done, change) {
+            self.claims.lapse(self.at, &id.instance);
         }
         done
     }
--- a/crates/control/tests/cost.rs
+++ b/crates/control/tests/cost.rs
@@ -8,23 +8,23 @@
 use base::{Fence, Incarnation, TextVersion, Time};
 use control::{Command, Item, State, What};
 use googletest::prelude::*;
-use owner::{Change, Config, Grantor, Life, Table};
+use owner::{Change, Config, Grantor, InstanceId, Table};
 use wire::call::{Beat, Call, Claim, Confirm, Fate, Reply, Settle};
 
-fn life(i: usize) -> Life {
-    Life {
+fn instance_id(i: usize) -> InstanceId {
+    InstanceId {
         instance: format!("instance-{i:04}").parse().unwrap(),
         incarnation: Incarnation(1_700_000_000_000 + i as u64),
     }
 }
 
 fn beat(i: usize, serial: u64, roster: u64, engines: Option<usize>) -> Beat {
-    let life = life(i);
+    let id = instance_id(i);
     let names = |count| (0..count).map(|e| format!("engine-{e:04}").parse().unwrap());
     Beat {
-        instance: life.instance,
+        instance: id.instance,
         zone: "zone-0".parse().unwrap(),
-        incarnation: life.incarnation,
+        incarnation: id.incarnation,
         peer: format!("10.0.{}.{}:7100", i / 250, i % 250),
         text: TextVersion(1_000),
         leaving: false,
@@ -51,16 +51,16 @@
         let peer = format!("10.0.{}.{}:7100", i / 250, i % 250);
         let zone = "zone-0".parse().unwrap();
         put(Change::Join {
-            life: life(i),
+            id: instance_id(i),
             zone,
             peer,
         });
-        put(Change::Admit { life: life(i) });
+        put(Change::Admit { id: instance_id(i) });
     }
     for e in 0..engines {
         put(Change::Assign {
             target: format!("engine-{e:04}").parse().unwrap(),
-            life: life(e % instances),
+            id: instance_id(e % instances),
             expect: Fence(0),
         });
     }
@@ -80,7 +80,7 @@
     let mut size = |serial, roster, engines| {
         let beat = beat(0, serial, roster, engines);
         let now = Time::from_millis(serial * 1_000);
-        let part = grantor.beat(now, &beat, &table, &mut Vec::new());
+        let part = grantor.heartbeat(now, &beat, &table, &mut Vec::new());
         let reply = Reply::Beat(part.reply(serial, beat.text));
         (bytes(&Call::Beat(beat)), bytes(&reply))
     };
@@ -105,7 +105,7 @@
         brand: "brand".parse().unwrap(),
         key,
         body: key,
-        instance: life(0).instance,
+        instance: instance_id(0).instance,
         attempt: n,
         dated,
     }
@@ -126,7 +126,7 @@
         println!("{instances:9} {engines:7} | {first:?} | {steady:?}");
     }
     let confirm = Confirm {
-        instance: life(0).instance,
+        instance: instance_id(0).instance,
         target: "engine-0000".parse().unwrap(),
         fence: Fence(1_234_567),
         lasts: std::time::Duration::from_secs(9),
@@ -143,7 +143,7 @@
         for i in 0..380 {
             let beat = beat(i, round, index, None);
             let now = Time::from_millis(round * 1_000 + i as u64 * 2);
-            grantor.beat(now, &beat, &table, &mut Vec::new());
+            grantor.heartbeat(now, &beat, &table, &mut Vec::new());
         }
     }
     let each = began.elapsed().as_micros() / 3_800;
@@ -155,9 +155,9 @@
     for (label, dated) in [("undated", None), ("dated", Some(1_700_000_000_000))] {
         let mut state = State::default();
         let (zone, peer) = ("zone-0".parse().unwrap(), String::new());
-        let life = life(0);
+        let id = instance_id(0);
         let join = What::Owner(Change::Join {
-            life: life.clone(),
+            id: id.clone(),
             zone,
             peer,
         });
@@ -196,7 +196,7 @@
             state.save().len(),
             log / 1_000
         );
-        let later = command(10_000_000_000, What::Lapse(life));
+        let later = command(10_000_000_000, What::Lapse(id));
         state.apply(1_000_000, &later);
         let (full, prints) = state.claims().counts();
         println!(
--- a/crates/control/tests/state.rs
+++ b/crates/control/tests/state.rs
@@ -5,7 +5,7 @@
 use base::{Incarnation, TextVersion};
 use control::{Command, Item, Limits, Outcome, Patch, State, Texts, What};
 use googletest::prelude::*;
-use owner::{Change, Life};
+use owner::{Change, InstanceId};
 use proptest::prelude::*;
 use wire::{
     call::{Answer, Claim, ClaimReply, Fate, Settle},
@@ -48,9 +48,9 @@
     }
 
     fn join(&mut self, name: &str, incarnation: u64) {
-        let life = life(name, incarnation);
+        let id = instance_id(name, incarnation);
         let (zone, peer) = ("za".parse().unwrap(), String::new());
-        self.put(What::Owner(Change::Join { life, zone, peer }));
+        self.put(What::Owner(Change::Join { id, zone, peer }));
     }
 
     fn text(&mut self, change: &str, base: u64, new: &str) -> Applied {
@@ -95,8 +95,8 @@
     }
 }
 
-fn life(name: &str, incarnation: u64) -> Life {
-    Life {
+fn instance_id(name: &str, incarnation: u64) -> InstanceId {
+    InstanceId {
         instance: name.parse().unwrap(),
         incarnation: Incarnation(incarnation),
     }
@@ -226,7 +226,7 @@
     log.claim("a", 2, 2, None);
     log.settle("a", 1, 9, Fate::NotRun);
     assert_that!(log.claim("b", 1, 1, None), eq(&ClaimReply::Running));
-    log.put(What::Lapse(life("a", 1)));
+    log.put(What::Lapse(instance_id("a", 1)));
     assert_that!(log.claim("b", 1, 1, None), eq(&ClaimReply::MayHaveRun));
     log.settle("a", 1, 1, Fate::NotRun);
     assert_that!(log.claim("b", 1, 1, None), eq(&ClaimReply::Yours));
--- a/crates/node/src/engines.rs
+++ b/crates/node/src/engines.rs
@@ -22,7 +22,7 @@
     Version,
 };
 use member::Watch;
-use owner::Holder;
+use owner::Lessee;
 use route::{Input as SchedulerInput, News, Output as SchedulerOutput, Scheduler};
 use wire::platform::State;
 
@@ -48,7 +48,7 @@
     polled: Time,
     /// Requests running there through this instance, by what they use.
     using: BTreeMap<Ticket, AdapterKey>,
-    owned: Option<owner::Own>,
+    owned: Option<owner::Ownership>,
     silent: bool,
     /// What the other entry instances were told that it holds.
     listed: BTreeSet<AdapterKey>,
@@ -60,7 +60,7 @@
 /// The engines and what is known of them.
 #[derive(Debug)]
 pub(crate) struct Engines {
-    holder: Holder,
+    holder: Lessee,
     scheduler: Scheduler,
     engines: BTreeMap<TargetNo, Engine>,
     orders: BTreeMap<u64, (Sent, Watch)>,
@@ -83,7 +83,7 @@
         let settings = &shared.settings;
         let (name, zone) = (settings.name.clone(), settings.zone.clone());
         Engines {
-            holder: Holder::new(owner::Config::default(), name, zone, now),
+            holder: Lessee::new(owner::Config::default(), name, zone, now),
             scheduler: Scheduler::new(settings.seed.get()),
             engines: BTreeMap::new(),
             orders: BTreeMap::new(),
--- a/crates/node/src/engines/confirm.rs
+++ b/crates/node/src/engines/confirm.rs
@@ -151,7 +151,7 @@
     /// for as long as a lease, has set it aside by now.
     pub(super) fn budget_alone(&mut self, shared: &mut Shared, now: Time, out: &mut Out) {
         let rate = shared.model.store.rate;
-        let mates = self.holder.mates().count() + 1;
+        let mates = self.holder.zone_peers().count() + 1;
         let part = owner::fixed_share(rate, self.holder.zones(), mates);
         self.scheduler(shared, now, SchedulerInput::Budget(part), out);
     }
--- a/crates/node/src/engines/own.rs
+++ b/crates/node/src/engines/own.rs
@@ -1,7 +1,7 @@
 //! What changes of ownership mean for the scheduler, and the holder's messages.
 
 use base::{Fence, Incarnation, TargetName, TargetNo, Time};
-use owner::{Input as HolderInput, Output as HolderOutput, Own};
+use owner::{Input as HolderInput, Output as HolderOutput, Ownership};
 use route::{Engine as Owned, Input as SchedulerInput, Ordering};
 use wire::call::{BeatReply, Call};
 
@@ -44,8 +44,8 @@
                     let body = Call::Confirm(confirm);
                     shared.call(ENGINES, purpose, address, body, CALL_LIMIT, out);
                 }
-                HolderOutput::Changed { target, own } => {
-                    self.on_changed(shared, now, &target, own, out);
+                HolderOutput::Changed { target, ownership } => {
+                    self.on_changed(shared, now, &target, ownership, out);
                 }
                 HolderOutput::Handover { to, handover } => {
                     if let Some(address) = shared.peers.get(&to).copied() {
@@ -64,13 +64,13 @@
         shared: &mut Shared,
         now: Time,
         name: &TargetName,
-        own: Own,
+        own: Ownership,
         out: &mut Out,
     ) {
         let target = shared.names.target(name);
         let engine = self.engines.entry(target).or_default();
-        engine.owned = (own != Own::None).then_some(own);
-        if own == Own::None {
+        engine.owned = (own != Ownership::None).then_some(own);
+        if own == Ownership::None {
             engine.life = None;
             out.emit(Output::Event(Event::Lost(name.clone())));
             self.scheduler(shared, now, SchedulerInput::Lost(target), out);
@@ -80,9 +80,9 @@
         // What the engine holds now is for its next report to say.
         engine.polled = Time::ZERO;
         let event = match own {
-            Own::Full { fence } => Some(Event::Owns(name.clone(), fence)),
-            Own::Restricted { fence } => Some(Event::Restricted(name.clone(), fence)),
-            Own::None => None,
+            Ownership::Full { fence } => Some(Event::Owns(name.clone(), fence)),
+            Ownership::Restricted { fence } => Some(Event::Restricted(name.clone(), fence)),
+            Ownership::None => None,
         };
         if let Some(event) = event {
             out.emit(Output::Event(event));
@@ -125,7 +125,7 @@
         out: &mut Out,
     ) {
         let name = shared.names.target_name(target).clone();
-        let due = self.holder.untouched().any(|open| *open == name);
+        let due = self.holder.unfenced().any(|open| *open == name);
         let Some(engine) = self.engines.get(&target) else {
             return;
         };
@@ -187,7 +187,7 @@
         let adapters = engine.using.values();
         let adapters = adapters.map(|key| shared.names.resident(*key)).collect();
         let target = shared.names.target_name(target).clone();
-        self.hold(shared, now, HolderInput::Using { target, adapters }, out);
+        self.hold(shared, now, HolderInput::InUse { target, adapters }, out);
     }
 
     pub(super) fn on_beat(
@@ -208,20 +208,20 @@
 
     /// Returns the fencing number under which `target` is owned here.
     pub(super) fn fence(&self, now: Time, target: &TargetName) -> Option<Fence> {
-        match self.holder.own(now, target) {
-            Own::Full { fence } | Own::Restricted { fence } => Some(fence),
-            Own::None => None,
+        match self.holder.ownership(now, target) {
+            Ownership::Full { fence } | Ownership::Restricted { fence } => Some(fence),
+            Ownership::None => None,
         }
     }
 }
 
-fn owned(shared: &Shared, target: TargetNo, own: Own, life: Incarnation) -> Option<Owned> {
+fn owned(shared: &Shared, target: TargetNo, own: Ownership, life: Incarnation) -> Option<Owned> {
     let engine = shared.targets.get(&target)?.engine()?;
     let ordering = match own {
-        Own::Full { .. } => Ordering::Full,
-        Own::Restricted { .. } if engine.fencing => Ordering::Full,
-        Own::Restricted { .. } => Ordering::FreeSlotsOnly,
-        Own::None => Ordering::None,
+        Ownership::Full { .. } => Ordering::Full,
+        Ownership::Restricted { .. } if engine.fencing => Ordering::Full,
+        Ownership::Restricted { .. } => Ordering::FreeSlotsOnly,
+        Ownership::None => Ordering::None,
     };
     Some(Owned {
         target,
--- a/crates/node/src/engines/reports.rs
+++ b/crates/node/src/engines/reports.rs
@@ -5,7 +5,7 @@
 
 use base::{AdapterKey, TargetName, TargetNo, Time};
 use member::{Look, Watch};
-use owner::Own;
+use owner::Ownership;
 use route::{Input as SchedulerInput, News, Report};
 use wire::engine;
 
@@ -175,6 +175,6 @@
     /// Tells whether an engine is owned here without a valid lease.
     pub(super) fn restricted(&self, target: TargetNo) -> bool {
         let owned = self.engines.get(&target).and_then(|engine| engine.owned);
-        matches!(owned, Some(Own::Restricted { .. }))
+        matches!(owned, Some(Ownership::Restricted { .. }))
     }
 }
--- a/crates/owner/src/grantor.rs
+++ b/crates/owner/src/grantor.rs
@@ -8,7 +8,7 @@
 use base::{Fence, InstanceName, PerSecond, TargetName, TextVersion, Time, ZoneName};
 use wire::call::{Beat, BeatReply, Lease, Peer};
 
-use crate::{Change, Config, Life, Table, store};
+use crate::{Change, Config, InstanceId, Table, store};
 
 /// A change for which the log gave no answer is proposed again after this time.
 const PROPOSE_RETRY: Duration = Duration::from_secs(2);
@@ -18,7 +18,7 @@
 
 /// The grantor's contribution to the reply to a heartbeat.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Part {
+pub struct Grant {
     /// Leases on the engines that the requester owns.
     pub leases: Vec<Lease>,
     /// Loads from the weight store that the requester may start, in thousandths per
@@ -28,16 +28,16 @@
     pub roster: u64,
     /// Whether `peers` lists all instances rather than those changed since the
     /// requester's roster.
-    pub whole: bool,
+    pub full: bool,
     /// Instances added or changed since the requester's roster.
     pub peers: Vec<Peer>,
     /// Instances removed since the requester's roster.
     pub gone: Vec<InstanceName>,
     /// Whether the next heartbeat has to list the engines that the requester can reach.
-    pub tell: bool,
+    pub want_engines: bool,
 }
 
-impl Part {
+impl Grant {
     /// Returns the complete reply to the heartbeat `serial`, where `text` is the newest
     /// accepted version of the operators' configuration text.
     #[must_use]
@@ -48,10 +48,10 @@
             leases: self.leases,
             loads: self.loads,
             roster: self.roster,
-            whole: self.whole,
+            whole: self.full,
             peers: self.peers,
             gone: self.gone,
-            tell: self.tell,
+            tell: self.want_engines,
         }
     }
 }
@@ -59,7 +59,7 @@
 /// The state of an entry instance according to its heartbeats.
 #[derive(Clone, Debug)]
 pub(crate) struct Seen {
-    pub(crate) life: Life,
+    pub(crate) id: InstanceId,
     pub(crate) zone: ZoneName,
     /// When the last heartbeat arrived.
     pub(crate) last: Time,
@@ -103,7 +103,7 @@
     /// Fencing number of each engine's last renewed lease, and when it was renewed.
     granted: BTreeMap<TargetName, (Fence, Time)>,
     /// When a heartbeat of each incarnation was last answered.
-    answered: BTreeMap<Life, Time>,
+    answered: BTreeMap<InstanceId, Time>,
     /// Engines that their owners have to give up.
     moving: BTreeMap<TargetName, Moving>,
     /// Changes proposed recently, and when.
@@ -167,11 +167,11 @@
     /// Handles a heartbeat and returns the grantor's contribution to the reply; changes
     /// to propose are appended to `out`. May be called only while the leader's own lease
     /// is valid.
-    pub fn beat(&mut self, now: Time, beat: &Beat, table: &Table, out: &mut Vec<Change>) -> Part {
-        let (life, urgent) = self.note(now, beat);
-        if !table.knows(&life) {
+    pub fn heartbeat(&mut self, now: Time, beat: &Beat, table: &Table, out: &mut Vec<Change>) -> Grant {
+        let (id, urgent) = self.note(now, beat);
+        if !table.knows(&id) {
             let change = Change::Join {
-                life: life.clone(),
+                id: id.clone(),
                 zone: beat.zone.clone(),
                 peer: beat.peer.clone(),
             };
@@ -182,18 +182,18 @@
         if urgent {
             self.plan(now, table, out);
         }
-        let leases = self.leases(now, beat, &life, table);
-        self.answered.insert(life, now);
-        let (whole, peers, gone) = table.since(beat.roster);
+        let leases = self.leases(now, beat, &id, table);
+        self.answered.insert(id, now);
+        let (full, peers, gone) = table.since(beat.roster);
         let seen = self.seen.get(&beat.instance);
-        Part {
+        Grant {
             leases,
             loads: self.loads.get(&beat.instance).copied().unwrap_or(0),
             roster: table.roster(),
-            whole,
+            full,
             peers,
             gone,
-            tell: seen.is_some_and(|seen| seen.engines.is_none()),
+            want_engines: seen.is_some_and(|seen| seen.engines.is_none()),
         }
     }
 
@@ -223,13 +223,13 @@
 
     /// Records a heartbeat; returns the sender, and whether the heartbeat contains
     /// anything that may require a change of owners.
-    fn note(&mut self, now: Time, beat: &Beat) -> (Life, bool) {
-        let life = Life {
+    fn note(&mut self, now: Time, beat: &Beat) -> (InstanceId, bool) {
+        let id = InstanceId {
             instance: beat.instance.clone(),
             incarnation: beat.incarnation,
         };
         let old = self.seen.remove(&beat.instance);
-        let old = old.filter(|old| old.life == life);
+        let old = old.filter(|old| old.id == id);
         let gapless = old.as_ref().filter(|old| self.live(now, old));
         let steady = gapless.map_or(now, |old| old.steady);
         let reported = beat
@@ -237,7 +237,7 @@
             .as_ref()
             .map(|all| all.iter().cloned().collect());
         let seen = Seen {
-            life: life.clone(),
+            id: id.clone(),
             zone: beat.zone.clone(),
             last: now,
             steady,
@@ -251,15 +251,15 @@
         };
         let urgent = steady == now || beat.leaving || beat.engines.is_some();
         self.seen.insert(beat.instance.clone(), seen);
-        (life, urgent)
+        (id, urgent)
     }
 
-    fn leases(&mut self, now: Time, beat: &Beat, life: &Life, table: &Table) -> Vec<Lease> {
+    fn leases(&mut self, now: Time, beat: &Beat, id: &InstanceId, table: &Table) -> Vec<Lease> {
         if beat.leaving {
             return Vec::new();
         }
         let mut leases = Vec::new();
-        for (target, engine) in table.owned(life) {
+        for (target, engine) in table.owned(id) {
             if let Some(moving) = self.moving.get_mut(target)
                 && moving.fence == engine.fence
             {
--- a/crates/owner/src/grantor/plan.rs
+++ b/crates/owner/src/grantor/plan.rs
@@ -5,7 +5,7 @@
 
 use base::{Fence, InstanceName, TargetName, Time, ZoneName, stable_hash};
 
-use super::{Change, DISMISS_AFTER, Grantor, Life, Moving, Seen, Table};
+use super::{Change, DISMISS_AFTER, Grantor, InstanceId, Moving, Seen, Table};
 use crate::table::{Engine, Former, Member};
 
 /// Number of engines that each candidate owns or is about to own, by candidate.
@@ -34,8 +34,8 @@
         for (name, member) in table.members() {
             let fresh = !member.admitted && self.present(now, name, member).is_some();
             if fresh && self.known_to_all(now, since, table, name, member) {
-                let life = life_of(name, member);
-                due.push(Change::Admit { life });
+                let id = id_of(name, member);
+                due.push(Change::Admit { id });
             }
         }
     }
@@ -58,32 +58,32 @@
         let engines = table.engines().values();
         let engines = engines.filter(|engine| engine.zone == member.zone);
         let holders = engines.flat_map(|engine| {
-            let former = engine.former.iter().map(|f| (&f.life, f.peer.as_str()));
+            let former = engine.former.iter().map(|f| (&f.id, f.peer.as_str()));
             former.chain([(&engine.owner, engine.peer.as_str())])
         });
         let mut others = holders
-            .filter(|(life, _)| life.instance != *name || life.incarnation != member.incarnation);
-        let known = others.all(|(life, peer)| {
-            self.acknowledged(life, member.joined)
-                || replaced(table, life, peer)
-                || self.stopped(now, since, life)
+            .filter(|(id, _)| id.instance != *name || id.incarnation != member.incarnation);
+        let known = others.all(|(id, peer)| {
+            self.acknowledged(id, member.joined)
+                || replaced(table, id, peer)
+                || self.stopped(now, since, id)
         });
         if !known {
-            base::hit!(unknown_newcomer);
+            base::hit!(unacknowledged_instance);
         }
         known
     }
 
-    fn acknowledged(&self, life: &Life, roster: u64) -> bool {
-        let seen = self.seen.get(&life.instance);
-        seen.is_some_and(|seen| seen.life == *life && seen.roster >= roster)
+    fn acknowledged(&self, id: &InstanceId, roster: u64) -> bool {
+        let seen = self.seen.get(&id.instance);
+        seen.is_some_and(|seen| seen.id == *id && seen.roster >= roster)
     }
 
-    /// Returns whether `life` has not been heard from for longer than it may go on
+    /// Returns whether `id` has not been heard from for longer than it may go on
     /// without leader.
-    fn stopped(&self, now: Time, since: Time, life: &Life) -> bool {
-        let last = self.answered.get(life).copied().unwrap_or(since).max(since);
-        now.since(last) > self.config.margin.stretch(self.config.alone)
+    fn stopped(&self, now: Time, since: Time, id: &InstanceId) -> bool {
+        let last = self.answered.get(id).copied().unwrap_or(since).max(since);
+        now.since(last) > self.config.margin.stretch(self.config.leaderless)
     }
 
     fn account(&self, now: Time, since: Time, table: &Table, due: &mut Vec<Change>) {
@@ -110,28 +110,28 @@
         engine: &Engine,
         former: &Former,
     ) -> bool {
-        let life = &former.life;
-        let seen = self.seen.get(&life.instance).filter(|s| s.life == *life);
+        let id = &former.id;
+        let seen = self.seen.get(&id.instance).filter(|s| s.id == *id);
         if let Some(seen) = seen {
             let knows = seen.roster >= engine.fence.get();
             return knows && !seen.busy.contains(target);
         }
         let listed = self.listed.as_ref();
-        let unlisted = listed.is_some_and(|all| !all.contains(&life.instance));
-        replaced(table, life, &former.peer) || (unlisted && self.stopped(now, since, life))
+        let unlisted = listed.is_some_and(|all| !all.contains(&id.instance));
+        replaced(table, id, &former.peer) || (unlisted && self.stopped(now, since, id))
     }
 
     fn dismiss(&self, now: Time, since: Time, table: &Table, due: &mut Vec<Change>) {
         for (name, member) in table.members() {
-            let life = life_of(name, member);
-            let seen = self.seen.get(name).filter(|seen| seen.life == life);
+            let id = id_of(name, member);
+            let seen = self.seen.get(name).filter(|seen| seen.id == id);
             let last = seen.map_or(since, |seen| seen.last.max(since));
-            let idle = now.since(last) > DISMISS_AFTER && table.owned(&life).next().is_none();
+            let idle = now.since(last) > DISMISS_AFTER && table.owned(&id).next().is_none();
             // A dismissed instance that comes back has to be admitted again, which takes
             // until all owners know it. So an instance is kept while its zone has no
             // other candidate.
             if idle && !self.candidates(now, table, &member.zone).is_empty() {
-                due.push(Change::Dismiss { life });
+                due.push(Change::Dismiss { id });
             }
         }
     }
@@ -161,10 +161,10 @@
                 continue;
             };
             *counts.entry(name.clone()).or_default() += 1;
-            let life = candidates[&name].clone();
+            let id = candidates[&name].clone();
             due.push(Change::Assign {
                 target,
-                life,
+                id,
                 expect,
             });
         }
@@ -180,17 +180,17 @@
         now: Time,
         table: &Table,
         zone: &ZoneName,
-    ) -> BTreeMap<InstanceName, Life> {
+    ) -> BTreeMap<InstanceName, InstanceId> {
         let members = table.members().iter();
         let admitted = members.filter(|(_, m)| m.zone == *zone && m.admitted);
         admitted.filter(|(name, m)| self.present(now, name, m).is_some_and(|s| !s.leaving))
-            .map(|(name, m)| (name.clone(), life_of(name, m)))
+            .map(|(name, m)| (name.clone(), id_of(name, m)))
             .collect()
     }
 
     fn present(&self, now: Time, name: &InstanceName, member: &Member) -> Option<&Seen> {
         let seen = self.seen.get(name)?;
-        let same = seen.life.incarnation == member.incarnation;
+        let same = seen.id.incarnation == member.incarnation;
         (same && self.live(now, seen)).then_some(seen)
     }
 
@@ -203,9 +203,9 @@
         table: &Table,
         zone: &ZoneName,
     ) -> Vec<(TargetName, Fence)> {
-        let mates = self.seen.values();
-        let mates = mates.filter(|seen| seen.zone == *zone && self.live(now, seen));
-        let reach: BTreeSet<_> = mates.filter_map(|s| s.engines.as_ref()).flatten().collect();
+        let instances = self.seen.values();
+        let instances = instances.filter(|seen| seen.zone == *zone && self.live(now, seen));
+        let reach: BTreeSet<_> = instances.filter_map(|s| s.engines.as_ref()).flatten().collect();
         let mut assignable = Vec::new();
         for target in reach {
             match table.engines().get(target) {
@@ -222,7 +222,7 @@
     /// Returns whether the owner's lease has certainly ended.
     fn may_move(&self, now: Time, since: Time, target: &TargetName, engine: &Engine) -> bool {
         let seen = self.seen.get(&engine.owner.instance);
-        let seen = seen.filter(|seen| seen.life == engine.owner);
+        let seen = seen.filter(|seen| seen.id == engine.owner);
         if seen.is_some_and(|seen| seen.leaving) {
             return true;
         }
@@ -258,7 +258,7 @@
     /// and would lose them needlessly.
     fn zone_settled(&self, now: Time, zone: &ZoneName) -> bool {
         let here = self.seen.values().filter(|seen| seen.zone == *zone);
-        let wait = self.config.beat * 2;
+        let wait = self.config.heartbeat * 2;
         let back = here
             .filter(|seen| self.live(now, seen))
             .any(|seen| now.since(seen.steady) > wait);
@@ -273,7 +273,7 @@
     /// when an instance leaves.
     fn choose(
         &self,
-        candidates: &BTreeMap<InstanceName, Life>,
+        candidates: &BTreeMap<InstanceName, InstanceId>,
         counts: &Counts,
         target: &TargetName,
     ) -> Option<InstanceName> {
@@ -299,7 +299,7 @@
                 return false;
             };
             let owner = seen.get(&engine.owner.instance);
-            let live = owner.is_some_and(|s| s.life == engine.owner && now.since(s.last) < lease);
+            let live = owner.is_some_and(|s| s.id == engine.owner && now.since(s.last) < lease);
             engine.zone != *zone || (engine.fence == moving.fence && live)
         });
     }
@@ -314,7 +314,7 @@
             };
             let listed = seen.engines.as_ref();
             let wanted = listed.is_none_or(|all| all.contains(target));
-            if seen.life != engine.owner || wanted || !self.live(now, seen) {
+            if seen.id != engine.owner || wanted || !self.live(now, seen) {
                 continue;
             }
             let moving = self.moving.entry(target.clone()).or_insert(Moving {
@@ -363,14 +363,14 @@
 }
 
 /// Returns whether a later incarnation of the same instance listens at the address of
-/// `life`, in which case that process no longer exists.
-fn replaced(table: &Table, life: &Life, peer: &str) -> bool {
-    let member = table.members().get(&life.instance);
-    member.is_some_and(|m| m.incarnation > life.incarnation && m.peer == peer)
+/// `id`, in which case that process no longer exists.
+fn replaced(table: &Table, id: &InstanceId, peer: &str) -> bool {
+    let member = table.members().get(&id.instance);
+    member.is_some_and(|m| m.incarnation > id.incarnation && m.peer == peer)
 }
 
-fn life_of(name: &InstanceName, member: &Member) -> Life {
-    Life {
+fn id_of(name: &InstanceName, member: &Member) -> InstanceId {
+    InstanceId {
         instance: name.clone(),
         incarnation: member.incarnation,
     }
--- a/crates/owner/src/lessee.rs
+++ b/crates/owner/src/lessee.rs
@@ -24,7 +24,7 @@
 
 /// What an instance may do to an engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Own {
+pub enum Ownership {
     /// The lease or the confirmation of all zone peers is valid: any order may be sent.
     Full {
         /// The fencing number for orders.
@@ -51,7 +51,7 @@
     Unload(&'a Resident),
 }
 
-/// An input of [`Holder::handle`].
+/// An input of [`Lessee::handle`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Input {
     /// A heartbeat is about to be sent. Must be handed in before its first byte is sent,
@@ -76,9 +76,9 @@
     /// A former owner of an engine reports which adapters it still uses there.
     Handover(Handover),
     /// The adapters that requests of this instance still use on an engine that it no
-    /// longer owns. To be handed in after [`Own::None`] is reported and after each
+    /// longer owns. To be handed in after [`Ownership::None`] is reported and after each
     /// change, until the set is empty.
-    Using {
+    InUse {
         /// The engine.
         target: TargetName,
         /// Adapters in use by running requests.
@@ -96,7 +96,7 @@
         /// that case another owner may have loaded it and may be using it.
         fresh: bool,
     },
-    /// An unload, permitted by [`Holder::may_order`], is about to be sent.
+    /// An unload, permitted by [`Lessee::may_order`], is about to be sent.
     Unloading {
         /// The engine.
         target: TargetName,
@@ -114,7 +114,7 @@
     Wake,
 }
 
-/// An action that the caller of [`Holder::handle`] has to carry out.
+/// An action that the caller of [`Lessee::handle`] has to carry out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Output {
     /// Ask a zone peer to confirm ownership of an engine; its answer is handed in as
@@ -132,7 +132,7 @@
         /// The engine.
         target: TargetName,
         /// What it may do now.
-        own: Own,
+        ownership: Ownership,
     },
     /// Tell the new owner of an engine which adapters are still in use there.
     Handover {
@@ -158,7 +158,7 @@
 struct Lost {
     /// The fencing number that this instance had.
     fence: Fence,
-    /// Adapters that its requests still use; none until [`Input::Using`] reports them.
+    /// Adapters that its requests still use; none until [`Input::InUse`] reports them.
     using: Option<BTreeSet<Resident>>,
     /// The owner that was told last, and the adapters it was told of.
     reported: Option<(InstanceName, BTreeSet<Resident>)>,
@@ -166,7 +166,7 @@
 
 /// The leases of one entry instance on engines.
 #[derive(Debug)]
-pub struct Holder {
+pub struct Lessee {
     config: Config,
     name: InstanceName,
     zone: ZoneName,
@@ -196,11 +196,11 @@
     round: u64,
 }
 
-impl Holder {
+impl Lessee {
     /// Creates the holder of an instance that starts at `now`.
     #[must_use]
     pub fn new(config: Config, name: InstanceName, zone: ZoneName, now: Time) -> Self {
-        Holder {
+        Lessee {
             config,
             name,
             zone,
@@ -232,7 +232,7 @@
                 granted,
             } => self.on_confirmed(from, &target, round, granted),
             Input::Handover(handover) => self.on_handover(handover),
-            Input::Using { target, adapters } => {
+            Input::InUse { target, adapters } => {
                 if let Some(lost) = self.lost.get_mut(&target) {
                     lost.using = Some(adapters);
                 }
@@ -279,22 +279,22 @@
 
     /// Returns what this instance may do to `target` at `now`.
     #[must_use]
-    pub fn own(&self, now: Time, target: &TargetName) -> Own {
+    pub fn ownership(&self, now: Time, target: &TargetName) -> Ownership {
         let Some(held) = self.held.get(target) else {
-            return Own::None;
+            return Ownership::None;
         };
         if self.renounced {
-            return Own::None;
+            return Ownership::None;
         }
         let fence = held.fence;
         // Guard: a process that was frozen resumes at an arbitrary point, before any of
         // its timers fires. So no stored state says whether the lease is valid; its end
         // is compared with the clock at each use.
-        if held.is_valid(now, self.mates(), self.config.alone) {
-            Own::Full { fence }
+        if held.is_valid(now, self.zone_peers(), self.config.leaderless) {
+            Ownership::Full { fence }
         } else {
             base::hit!(engine_lease_lapsed);
-            Own::Restricted { fence }
+            Ownership::Restricted { fence }
         }
     }
 
@@ -304,17 +304,17 @@
     /// `fencing` says whether the engine refuses outdated fencing numbers. Such an engine
     /// must first have accepted one order of this owner: until then it accepts orders of
     /// a former owner, which could unload the adapter that the request uses. A load of an
-    /// adapter that is resident already suffices; see [`Holder::untouched`].
+    /// adapter that is resident already suffices; see [`Lessee::unfenced`].
     #[must_use]
     pub fn may_send(&self, now: Time, target: &TargetName, fencing: bool) -> Option<Fence> {
         let held = self.held.get(target)?;
-        if fencing && held.untouched() {
-            base::hit!(untouched_engine);
+        if fencing && held.unfenced() {
+            base::hit!(unfenced_engine);
             return None;
         }
-        match self.own(now, target) {
-            Own::Full { fence } | Own::Restricted { fence } => Some(fence),
-            Own::None => None,
+        match self.ownership(now, target) {
+            Ownership::Full { fence } | Ownership::Restricted { fence } => Some(fence),
+            Ownership::None => None,
         }
     }
 
@@ -329,10 +329,10 @@
         fencing: bool,
     ) -> Option<Fence> {
         let held = self.held.get(target)?;
-        let (fence, full) = match self.own(now, target) {
-            Own::Full { fence } => (fence, true),
-            Own::Restricted { fence } => (fence, false),
-            Own::None => return None,
+        let (fence, full) = match self.ownership(now, target) {
+            Ownership::Full { fence } => (fence, true),
+            Ownership::Restricted { fence } => (fence, false),
+            Ownership::None => return None,
         };
         let Order::Unload(resident) = order else {
             return Some(fence);
@@ -340,11 +340,11 @@
         // Guard: an order sent at the very end of a lease arrives when the next owner has
         // taken over. So an unload is sent only if it can arrive before the lease ends.
         let full =
-            full && held.is_valid(now + self.config.flight, self.mates(), self.config.alone);
+            full && held.is_valid(now + self.config.delivery, self.zone_peers(), self.config.leaderless);
         // Guard: an instance that was replaced without knowing it would unload adapters
         // that the new owner's requests use. An engine that checks fencing numbers
         // refuses that order; any other engine is not sent it.
-        if !full && (!fencing || held.untouched()) {
+        if !full && (!fencing || held.unfenced()) {
             base::hit!(restricted_unload);
             return None;
         }
@@ -366,8 +366,8 @@
 
     /// Returns the owned engines to which a former owner may still send orders. Those
     /// that check fencing numbers need one order of this owner before any request.
-    pub fn untouched(&self) -> impl Iterator<Item = &TargetName> {
-        let open = self.held.iter().filter(|(_, held)| held.untouched());
+    pub fn unfenced(&self) -> impl Iterator<Item = &TargetName> {
+        let open = self.held.iter().filter(|(_, held)| held.unfenced());
         open.map(|(target, _)| target)
     }
 
@@ -386,10 +386,10 @@
     }
 
     /// Returns the zone peers: the other instances of this availability zone.
-    pub fn mates(&self) -> impl Iterator<Item = &InstanceName> {
-        let mates = self.peers.values();
-        let mates = mates.filter(|peer| peer.zone == self.zone && peer.instance != self.name);
-        mates.map(|peer| &peer.instance)
+    pub fn zone_peers(&self) -> impl Iterator<Item = &InstanceName> {
+        let peers = self.peers.values();
+        let others = peers.filter(|peer| peer.zone == self.zone && peer.instance != self.name);
+        others.map(|peer| &peer.instance)
     }
 
     /// Returns the number of zones that have instances, at least 1.
@@ -435,10 +435,10 @@
     }
 }
 
-/// Returns how long a confirmation is valid in a zone with `mates` zone peers.
-fn confirm_time(config: &Config, mates: usize) -> Duration {
-    let mates = u32::try_from(mates).unwrap_or(u32::MAX);
-    config.lease.max(CONFIRM_PER_PEER.saturating_mul(mates))
+/// Returns how long a confirmation is valid in a zone with `zone_peers` zone peers.
+fn confirm_time(config: &Config, zone_peers: usize) -> Duration {
+    let zone_peers = u32::try_from(zone_peers).unwrap_or(u32::MAX);
+    config.lease.max(CONFIRM_PER_PEER.saturating_mul(zone_peers))
 }
 
 fn fence_of(peer: &Peer, target: &TargetName) -> Option<Fence> {
--- a/crates/owner/src/lessee/held.rs
+++ b/crates/owner/src/lessee/held.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use super::{
-    SENT_MAX, BeatReply, Confirm, EARLY_HANDOVERS_MAX, Fence, Handover, Holder, InstanceName, Lease, Lost,
-    Output, Own, Resident, TargetName, Time, confirm_time, fence_of,
+    SENT_MAX, BeatReply, Confirm, EARLY_HANDOVERS_MAX, Fence, Handover, Lessee, InstanceName, Lease, Lost,
+    Output, Ownership, Resident, TargetName, Time, confirm_time, fence_of,
 };
 
 /// A lease on one engine.
@@ -27,7 +27,7 @@
     /// Whether the engine restarted while a former owner might still use it.
     early_restart: bool,
     /// The last state reported by [`Output::Changed`].
-    reported: Own,
+    reported: Ownership,
     /// Recent rounds of requests for confirmation: when they were sent, and for how long.
     rounds: BTreeMap<u64, (Time, Duration)>,
     /// Until when each zone peer has confirmed the ownership.
@@ -42,20 +42,20 @@
     pub(super) fn is_valid<'a>(
         &self,
         now: Time,
-        mut mates: impl Iterator<Item = &'a InstanceName>,
-        alone: Duration,
+        mut zone_peers: impl Iterator<Item = &'a InstanceName>,
+        leaderless: Duration,
     ) -> bool {
         if now < self.until {
             return true;
         }
-        // Guard: after the time `alone` the leader admits an instance that this one has
+        // Guard: after the time `leaderless` the leader admits an instance that this one has
         // never heard of, which then may get the engine. This instance must have stopped
         // by then.
-        if now >= self.sent_at + alone {
-            base::hit!(alone_too_long);
+        if now >= self.sent_at + leaderless {
+            base::hit!(leaderless_too_long);
             return false;
         }
-        mates.all(|mate| self.confirmed.get(mate).is_some_and(|until| now < *until))
+        zone_peers.all(|peer| self.confirmed.get(peer).is_some_and(|until| now < *until))
     }
 
     /// Records that the engine restarted and lost all loaded adapters.
@@ -66,7 +66,7 @@
     }
 
     /// Returns whether a former owner may still send orders to the engine.
-    pub(super) fn untouched(&self) -> bool {
+    pub(super) fn unfenced(&self) -> bool {
         let silent = |fence: &Fence| !self.handovers.contains_key(fence);
         !self.order_accepted && self.former.iter().any(silent)
     }
@@ -84,14 +84,14 @@
 
     /// Returns the next time after `now` at which the ownership may change or a
     /// confirmation has to be requested.
-    fn next_change(&self, now: Time, alone: Duration) -> Option<Time> {
-        let fixed = [self.until, self.sent_at + alone, self.ask_at];
+    fn next_change(&self, now: Time, leaderless: Duration) -> Option<Time> {
+        let fixed = [self.until, self.sent_at + leaderless, self.ask_at];
         let all = fixed.into_iter().chain(self.confirmed.values().copied());
         all.filter(|at| now < *at).min()
     }
 }
 
-impl Holder {
+impl Lessee {
     pub(super) fn note_sent(&mut self, now: Time, serial: u64) {
         // A handover message may have been lost, so it is sent again with each heartbeat
         // as long as an adapter is in use.
@@ -176,14 +176,14 @@
             loaded: BTreeSet::new(),
             order_accepted: false,
             early_restart: false,
-            reported: Own::None,
+            reported: Ownership::None,
             rounds: BTreeMap::new(),
             confirmed: BTreeMap::new(),
             ask_at: sent,
         });
         held.sent_at = sent;
         held.until = sent + lease.lasts;
-        held.ask_at = sent + self.config.beat * 3 / 2;
+        held.ask_at = sent + self.config.heartbeat * 3 / 2;
         held.former = lease.former.into_iter().collect();
         held.handovers.extend(early);
         held.handovers.retain(|fence, _| held.former.contains(fence));
@@ -196,7 +196,7 @@
         // accepted before all such promises have expired.
         let longest = self.longest_promise();
         if now < self.started + self.config.margin.stretch(longest) {
-            base::hit!(young_holder);
+            base::hit!(just_restarted);
             return false;
         }
         // Guard: this instance promised that the current owner may go on, which the
@@ -212,7 +212,7 @@
     /// Returns the longest promise that this instance gives: twice the time requested in
     /// a zone of this size, since the requester may know of more zone peers.
     fn longest_promise(&self) -> Duration {
-        confirm_time(&self.config, 2 * self.mates().count())
+        confirm_time(&self.config, 2 * self.zone_peers().count())
     }
 
     pub(super) fn grants(&self, ask: &Confirm) -> bool {
@@ -338,8 +338,8 @@
         self.send_handovers(out);
         self.ask_zone_peers(now, out);
         self.report_changes(now, out);
-        let alone = self.config.alone;
-        let times = self.held.values().filter_map(|h| h.next_change(now, alone));
+        let leaderless = self.config.leaderless;
+        let times = self.held.values().filter_map(|h| h.next_change(now, leaderless));
         if let Some(next) = times.min() {
             out.push(Output::Wake(next));
         }
@@ -348,8 +348,8 @@
     fn report_lost(&mut self, out: &mut Vec<Output>) {
         for target in std::mem::take(&mut self.unreported) {
             if !self.held.contains_key(&target) {
-                let own = Own::None;
-                out.push(Output::Changed { target, own });
+                let ownership = Ownership::None;
+                out.push(Output::Changed { target, ownership });
             }
         }
     }
@@ -358,24 +358,24 @@
         let owns: Vec<_> = self
             .held
             .keys()
-            .map(|t| (t.clone(), self.own(now, t)))
+            .map(|t| (t.clone(), self.ownership(now, t)))
             .collect();
-        for (target, own) in owns {
+        for (target, ownership) in owns {
             let Some(held) = self.held.get_mut(&target) else {
                 continue;
             };
-            if held.reported != own {
-                held.reported = own;
-                out.push(Output::Changed { target, own });
+            if held.reported != ownership {
+                held.reported = ownership;
+                out.push(Output::Changed { target, ownership });
             }
         }
     }
 
     fn ask_zone_peers(&mut self, now: Time, out: &mut Vec<Output>) {
-        let mates: Vec<_> = self.mates().cloned().collect();
-        let lasts = confirm_time(&self.config, mates.len());
+        let zone_peers: Vec<_> = self.zone_peers().cloned().collect();
+        let lasts = confirm_time(&self.config, zone_peers.len());
         for (target, held) in &mut self.held {
-            if now < held.ask_at || now >= held.sent_at + self.config.alone {
+            if now < held.ask_at || now >= held.sent_at + self.config.leaderless {
                 continue;
             }
             self.round += 1;
@@ -384,7 +384,7 @@
             while held.rounds.len() > 4 {
                 held.rounds.pop_first();
             }
-            for to in &mates {
+            for to in &zone_peers {
                 let confirm = Confirm {
                     instance: self.name.clone(),
                     target: target.clone(),
--- a/crates/owner/src/lib.rs
+++ b/crates/owner/src/lib.rs
@@ -3,7 +3,7 @@
 //! An engine has one owner at a time, an entry instance of its availability zone. The
 //! replicated log holds the [`Table`] of owners. The [`Grantor`] of the leading control
 //! instance assigns engines and renews leases in its replies to heartbeats. Each entry
-//! instance consults its [`Holder`] immediately before every request and order.
+//! instance consults its [`Lessee`] immediately before every request and order.
 //! docs/design/ownership.md compares the alternatives and lists the cases that remain
 //! possible.
 
@@ -17,26 +17,26 @@
 use base::DriftMargin;
 
 pub use crate::{
-    grantor::{Grantor, Part},
-    lessee::{Holder, Input, Order, Output, Own},
+    grantor::{Grantor, Grant},
+    lessee::{Lessee, Input, Order, Output, Ownership},
     store::{fixed_share, shares},
-    table::{Change, Engine, Former, Life, Member, Table},
+    table::{Change, Engine, Former, InstanceId, Member, Table},
 };
 
 /// Time limits that the grantor and all lessees must agree on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Config {
     /// Interval between two heartbeats of an entry instance.
-    pub beat: Duration,
+    pub heartbeat: Duration,
     /// How long a lease is valid, counted from when the heartbeat was sent.
     pub lease: Duration,
     /// How long an owner that can't reach the leader may go on with the confirmation of
     /// its zone peers alone. An instance that such an owner can't know of waits as long
     /// before it gets an engine.
-    pub alone: Duration,
+    pub leaderless: Duration,
     /// Upper limit for the delivery of an order: an unload is sent only if the lease
     /// stays valid for at least this long.
-    pub flight: Duration,
+    pub delivery: Duration,
     /// How far the rates of two clocks may differ.
     pub margin: DriftMargin,
 }
@@ -47,10 +47,10 @@
     /// under a new name waits in a zone whose only instance crashed.
     fn default() -> Self {
         Config {
-            beat: Duration::from_secs(1),
+            heartbeat: Duration::from_secs(1),
             lease: Duration::from_secs(3),
-            alone: Duration::from_secs(600),
-            flight: Duration::from_millis(500),
+            leaderless: Duration::from_secs(600),
+            delivery: Duration::from_millis(500),
             margin: DriftMargin::DEFAULT,
         }
     }
--- a/crates/owner/src/table.rs
+++ b/crates/owner/src/table.rs
@@ -15,7 +15,7 @@
 record! {
     /// Identifies one incarnation of an entry instance.
     #[derive(PartialOrd, Ord)]
-    pub struct Life {
+    pub struct InstanceId {
         /// The instance's name.
         pub instance: InstanceName,
         /// Number of the incarnation; a later one is higher.
@@ -28,7 +28,7 @@
         /// An instance started or restarted. It may not own engines yet.
         Join {
             /// The instance.
-            life: Life,
+            id: InstanceId,
             /// Its availability zone.
             zone: ZoneName,
             /// IP and port of its peer listener.
@@ -37,12 +37,12 @@
         /// Every owner in the zone knows the instance, which may own engines from now on.
         Admit {
             /// The instance.
-            life: Life,
+            id: InstanceId,
         },
         /// The instance owns no engine and is removed.
         Dismiss {
             /// The instance.
-            life: Life,
+            id: InstanceId,
         },
         /// An engine gets an owner. The index of this log entry is the owner's fencing
         /// number.
@@ -50,7 +50,7 @@
             /// The engine.
             target: TargetName,
             /// The new owner.
-            life: Life,
+            id: InstanceId,
             /// The fencing number that must be in force for the change to apply; 0 for an
             /// engine without owner.
             expect: Fence,
@@ -90,7 +90,7 @@
     /// A former owner that may still have requests running on an engine.
     pub struct Former {
         /// The owner.
-        pub life: Life,
+        pub id: InstanceId,
         /// Its fencing number at the time.
         pub fence: Fence,
         /// IP and port of its peer listener.
@@ -100,7 +100,7 @@
     /// An engine in the table.
     pub struct Engine {
         /// Its owner.
-        pub owner: Life,
+        pub owner: InstanceId,
         /// IP and port of the owner's peer listener.
         pub peer: String,
         /// The owner's fencing number.
@@ -130,14 +130,14 @@
     /// Applies the change in the log entry at `index`; returns whether it had an effect.
     pub fn apply(&mut self, index: u64, change: &Change) -> bool {
         let done = match change {
-            Change::Join { life, zone, peer } => self.join(index, life, zone, peer),
-            Change::Admit { life } => self.admit(index, life),
-            Change::Dismiss { life } => self.dismiss(index, life),
+            Change::Join { id, zone, peer } => self.join(index, id, zone, peer),
+            Change::Admit { id } => self.admit(index, id),
+            Change::Dismiss { id } => self.dismiss(index, id),
             Change::Assign {
                 target,
-                life,
+                id,
                 expect,
-            } => self.assign(index, target, life, *expect),
+            } => self.assign(index, target, id, *expect),
             Change::Account { target, fence } => self.account(target, *fence),
             Change::Forget { target, expect } => self.forget(index, target, *expect),
         };
@@ -167,17 +167,17 @@
 
     /// Returns whether the table holds this very incarnation of the instance.
     #[must_use]
-    pub fn knows(&self, life: &Life) -> bool {
-        let member = self.members.get(&life.instance);
-        member.is_some_and(|m| m.incarnation == life.incarnation)
+    pub fn knows(&self, id: &InstanceId) -> bool {
+        let member = self.members.get(&id.instance);
+        member.is_some_and(|m| m.incarnation == id.incarnation)
     }
 
-    /// Returns the engines that `life` owns.
+    /// Returns the engines that `id` owns.
     pub fn owned<'a>(
         &'a self,
-        life: &'a Life,
+        id: &'a InstanceId,
     ) -> impl Iterator<Item = (&'a TargetName, &'a Engine)> {
-        self.engines.iter().filter(|(_, e)| e.owner == *life)
+        self.engines.iter().filter(|(_, e)| e.owner == *id)
     }
 
     /// Returns what changed after the log index `have`: whether the result is the full
@@ -201,7 +201,7 @@
     }
 
     fn peer(&self, name: &InstanceName, member: &Member) -> Peer {
-        let life = Life {
+        let id = InstanceId {
             instance: name.clone(),
             incarnation: member.incarnation,
         };
@@ -210,30 +210,30 @@
             zone: member.zone.clone(),
             address: member.peer.clone(),
             owns: self
-                .owned(&life)
+                .owned(&id)
                 .map(|(t, e)| (t.clone(), e.fence))
                 .collect(),
         }
     }
 
-    fn join(&mut self, index: u64, life: &Life, zone: &ZoneName, peer: &str) -> bool {
-        if self.knows(life) {
+    fn join(&mut self, index: u64, id: &InstanceId, zone: &ZoneName, peer: &str) -> bool {
+        if self.knows(id) {
             return false;
         }
         let member = Member {
-            incarnation: life.incarnation,
+            incarnation: id.incarnation,
             zone: zone.clone(),
             peer: peer.to_owned(),
             joined: index,
             admitted: false,
             changed: index,
         };
-        self.members.insert(life.instance.clone(), member);
+        self.members.insert(id.instance.clone(), member);
         true
     }
 
-    fn admit(&mut self, index: u64, life: &Life) -> bool {
-        let Some(member) = self.member_mut(life) else {
+    fn admit(&mut self, index: u64, id: &InstanceId) -> bool {
+        let Some(member) = self.member_mut(id) else {
             return false;
         };
         if member.admitted {
@@ -244,12 +244,12 @@
         true
     }
 
-    fn dismiss(&mut self, index: u64, life: &Life) -> bool {
-        if !self.knows(life) || self.owned(life).next().is_some() {
+    fn dismiss(&mut self, index: u64, id: &InstanceId) -> bool {
+        if !self.knows(id) || self.owned(id).next().is_some() {
             return false;
         }
-        self.members.remove(&life.instance);
-        self.gone.insert(index, life.instance.clone());
+        self.members.remove(&id.instance);
+        self.gone.insert(index, id.instance.clone());
         if self.gone.len() > GONE_MAX
             && let Some((dropped, _)) = self.gone.pop_first()
         {
@@ -258,7 +258,7 @@
         true
     }
 
-    fn assign(&mut self, index: u64, target: &TargetName, life: &Life, expect: Fence) -> bool {
+    fn assign(&mut self, index: u64, target: &TargetName, id: &InstanceId, expect: Fence) -> bool {
         let current = self.engines.get(target);
         // Guard: of two proposals for one engine, or one made before a change of leader,
         // only the first may take effect, so each states the fencing number that it
@@ -267,24 +267,24 @@
             base::hit!(stale_assign);
             return false;
         }
-        let Some(member) = self.members.get(&life.instance) else {
+        let Some(member) = self.members.get(&id.instance) else {
             return false;
         };
-        if member.incarnation != life.incarnation || !member.admitted {
+        if member.incarnation != id.incarnation || !member.admitted {
             return false;
         }
         let (zone, peer) = (member.zone.clone(), member.peer.clone());
         let old = self.engines.remove(target);
-        let former = old.as_ref().map(|e| former_of(e, life)).unwrap_or_default();
+        let former = old.as_ref().map(|e| former_of(e, id)).unwrap_or_default();
         let engine = Engine {
-            owner: life.clone(),
+            owner: id.clone(),
             peer,
             fence: Fence(index),
             zone,
             former,
         };
         self.engines.insert(target.clone(), engine);
-        self.mark_changed(index, &life.instance);
+        self.mark_changed(index, &id.instance);
         if let Some(old) = old {
             self.mark_changed(index, &old.owner.instance);
         }
@@ -317,23 +317,23 @@
         }
     }
 
-    fn member_mut(&mut self, life: &Life) -> Option<&mut Member> {
-        let member = self.members.get_mut(&life.instance)?;
-        (member.incarnation == life.incarnation).then_some(member)
+    fn member_mut(&mut self, id: &InstanceId) -> Option<&mut Member> {
+        let member = self.members.get_mut(&id.instance)?;
+        (member.incarnation == id.incarnation).then_some(member)
     }
 }
 
 /// Returns the former owners of `engine` once `next` owns it. Each incarnation is listed
 /// once, so that their number is bounded by the instances of a zone.
-fn former_of(engine: &Engine, next: &Life) -> Vec<Former> {
+fn former_of(engine: &Engine, next: &InstanceId) -> Vec<Former> {
     let last = Former {
-        life: engine.owner.clone(),
+        id: engine.owner.clone(),
         fence: engine.fence,
         peer: engine.peer.clone(),
     };
     let mut all = engine.former.clone();
-    all.retain(|f| f.life != last.life);
+    all.retain(|f| f.id != last.id);
     all.push(last);
-    all.retain(|f| f.life != *next);
+    all.retain(|f| f.id != *next);
     all
 }
--- a/crates/owner/tests/grantor.rs
+++ b/crates/owner/tests/grantor.rs
@@ -4,7 +4,7 @@
 
 use base::{Fence, Incarnation, PerSecond, TextVersion, Time};
 use googletest::prelude::*;
-use owner::{Change, Config, Grantor, Life, Part, Table, fixed_share, shares};
+use owner::{Change, Config, Grantor, InstanceId, Grant, Table, fixed_share, shares};
 use wire::call::Beat;
 
 /// A leader and its log; every proposal is applied at once.
@@ -29,7 +29,7 @@
         }
     }
 
-    fn beat(&mut self, ms: u64, name: &str, engines: &[&str], leaving: bool) -> Part {
+    fn heartbeat(&mut self, ms: u64, name: &str, engines: &[&str], leaving: bool) -> Grant {
         self.serial += 1;
         let beat = Beat {
             instance: name.parse().unwrap(),
@@ -48,10 +48,10 @@
         };
         let mut out = Vec::new();
         let now = Time::from_millis(ms);
-        let part = self.grantor.beat(now, &beat, &self.table, &mut out);
-        self.rosters.insert(name.to_owned(), part.roster);
+        let grant = self.grantor.heartbeat(now, &beat, &self.table, &mut out);
+        self.rosters.insert(name.to_owned(), grant.roster);
         self.apply(out);
-        part
+        grant
     }
 
     fn apply(&mut self, changes: Vec<Change>) {
@@ -62,11 +62,11 @@
     }
 
     /// Sends heartbeats of the named instances each second, during the range `ms`.
-    fn beats(&mut self, ms: std::ops::Range<u64>, names: &[&str], engines: &[&str]) {
+    fn heartbeats(&mut self, ms: std::ops::Range<u64>, names: &[&str], engines: &[&str]) {
         for ms in ms.step_by(1_000) {
             names
                 .iter()
-                .for_each(|name| drop(self.beat(ms, name, engines, false)));
+                .for_each(|name| drop(self.heartbeat(ms, name, engines, false)));
         }
     }
 
@@ -83,13 +83,13 @@
 fn an_engine_moves_after_the_lease_is_waited_out() {
     base::covers!(lease_waited_out);
     let mut leader = Leader::new();
-    leader.beats(0..10_000, &["a"], &["e"]);
-    leader.beats(10_000..30_000, &["a", "b"], &["e"]);
+    leader.heartbeats(0..10_000, &["a"], &["e"]);
+    leader.heartbeats(10_000..30_000, &["a", "b"], &["e"]);
     assert_that!(leader.owner("e"), some(eq("a")));
-    leader.beats(30_000..32_000, &["b"], &["e"]);
-    leader.beat(32_100, "b", &["e"], false);
+    leader.heartbeats(30_000..32_000, &["b"], &["e"]);
+    leader.heartbeat(32_100, "b", &["e"], false);
     assert_that!(leader.owner("e"), some(eq("a")));
-    leader.beat(32_200, "b", &["e"], false);
+    leader.heartbeat(32_200, "b", &["e"], false);
     assert_that!(leader.owner("e"), some(eq("b")));
 }
 
@@ -99,12 +99,12 @@
 fn an_owner_keeps_its_engine_when_its_zone_comes_back() {
     base::covers!(zone_just_back);
     let mut leader = Leader::new();
-    leader.beats(0..10_000, &["a"], &["e"]);
-    leader.beats(10_000..30_000, &["a", "b"], &["e"]);
+    leader.heartbeats(0..10_000, &["a"], &["e"]);
+    leader.heartbeats(10_000..30_000, &["a", "b"], &["e"]);
     for ms in [90_000, 91_000, 92_000] {
-        leader.beat(ms, "b", &["e"], false);
+        leader.heartbeat(ms, "b", &["e"], false);
     }
-    leader.beats(92_100..100_000, &["a", "b"], &["e"]);
+    leader.heartbeats(92_100..100_000, &["a", "b"], &["e"]);
     let engine = &leader.table.engines()[&"e".parse().unwrap()];
     assert_that!(engine.owner.instance.as_str(), eq("a"));
     assert_that!(engine.former, is_empty());
@@ -115,12 +115,12 @@
 /// ten minutes.
 #[test]
 fn a_newcomer_waits_until_every_owner_knows_it() {
-    base::covers!(unknown_newcomer);
+    base::covers!(unacknowledged_instance);
     let mut leader = Leader::new();
-    leader.beats(0..10_000, &["a"], &["e"]);
-    leader.beats(10_000..638_000, &["b"], &["e"]);
+    leader.heartbeats(0..10_000, &["a"], &["e"]);
+    leader.heartbeats(10_000..638_000, &["b"], &["e"]);
     assert_that!(leader.owner("e"), some(eq("a")));
-    leader.beats(638_000..660_000, &["b"], &["e"]);
+    leader.heartbeats(638_000..660_000, &["b"], &["e"]);
     assert_that!(leader.owner("e"), some(eq("b")));
 }
 
@@ -128,10 +128,10 @@
 #[test]
 fn a_leaving_owner_is_relieved_at_once() {
     let mut leader = Leader::new();
-    leader.beats(0..10_000, &["a"], &["e"]);
-    leader.beats(10_000..20_000, &["a", "b"], &["e"]);
-    let part = leader.beat(20_000, "a", &["e"], true);
-    assert_that!(part.leases, is_empty());
+    leader.heartbeats(0..10_000, &["a"], &["e"]);
+    leader.heartbeats(10_000..20_000, &["a", "b"], &["e"]);
+    let grant = leader.heartbeat(20_000, "a", &["e"], true);
+    assert_that!(grant.leases, is_empty());
     assert_that!(leader.owner("e"), some(eq("b")));
 }
 
@@ -142,8 +142,8 @@
     let engines: Vec<_> = (0..12).map(|i| format!("e{i}")).collect();
     let engines: Vec<_> = engines.iter().map(String::as_str).collect();
     let mut leader = Leader::new();
-    leader.beats(0..10_000, &["a", "b"], &engines);
-    leader.beats(10_000..60_000, &["a", "b", "c"], &engines);
+    leader.heartbeats(0..10_000, &["a", "b"], &engines);
+    leader.heartbeats(10_000..60_000, &["a", "b", "c"], &engines);
     let count = |leader: &Leader, name: &str| {
         engines
             .iter()
@@ -154,8 +154,8 @@
     for name in ["a", "b", "c"] {
         assert_that!(count(&leader, name), all![ge(3), le(5)], "{name}");
     }
-    leader.beat(60_000, "c", &engines, true);
-    leader.beats(60_000..70_000, &["a", "b"], &engines);
+    leader.heartbeat(60_000, "c", &engines, true);
+    leader.heartbeats(60_000..70_000, &["a", "b"], &engines);
     let after: Vec<_> = engines.iter().map(|e| leader.owner(e)).collect();
     let moved = before.iter().zip(&after).filter(|(a, b)| a != b).count();
     assert_that!(moved, le(5));
@@ -168,30 +168,30 @@
 fn a_stale_assignment_changes_nothing() {
     base::covers!(stale_assign);
     let mut table = Table::default();
-    let life = |name: &str| Life {
+    let id = |name: &str| InstanceId {
         instance: name.parse().unwrap(),
         incarnation: Incarnation(1),
     };
     for (i, name) in ["a", "b"].into_iter().enumerate() {
         let (zone, peer) = ("za".parse().unwrap(), String::new());
         let join = Change::Join {
-            life: life(name),
+            id: id(name),
             zone,
             peer,
         };
         table.apply(1 + 2 * i as u64, &join);
-        table.apply(2 + 2 * i as u64, &Change::Admit { life: life(name) });
+        table.apply(2 + 2 * i as u64, &Change::Admit { id: id(name) });
     }
     let assign = |name: &str, expect| Change::Assign {
         target: "e".parse().unwrap(),
-        life: life(name),
+        id: id(name),
         expect: Fence(expect),
     };
     assert_that!(table.apply(5, &assign("a", 0)), eq(true));
     assert_that!(table.apply(6, &assign("b", 0)), eq(false));
     assert_that!(table.apply(7, &assign("b", 5)), eq(true));
-    let (whole, peers, gone) = table.since(6);
-    assert_that!((whole, peers.len(), gone.len()), eq((false, 2, 0)));
+    let (full, peers, gone) = table.since(6);
+    assert_that!((full, peers.len(), gone.len()), eq((false, 2, 0)));
     assert_that!(table.since(7).1, is_empty());
 }
 
--- a/crates/owner/tests/lessee.rs
+++ b/crates/owner/tests/lessee.rs
@@ -4,7 +4,7 @@
 
 use base::{Fence, Time};
 use googletest::prelude::*;
-use owner::{Config, Holder, Input, Order, Output, Own};
+use owner::{Config, Lessee, Input, Order, Output, Ownership};
 use wire::call::{BeatReply, Confirm, Handover, Lease, Peer};
 
 /// Milliseconds after its start at which a lessee certainly accepts engines; before, it
@@ -44,25 +44,25 @@
     }
 }
 
-fn holder() -> Holder {
+fn lessee() -> Lessee {
     let (name, zone) = ("me".parse().unwrap(), "za".parse().unwrap());
-    Holder::new(Config::default(), name, zone, Time::ZERO)
+    Lessee::new(Config::default(), name, zone, Time::ZERO)
 }
 
-fn step(holder: &mut Holder, ms: u64, input: Input) -> Vec<Output> {
+fn step(lessee: &mut Lessee, ms: u64, input: Input) -> Vec<Output> {
     let mut out = Vec::new();
-    holder.handle(at(ms), input, &mut out);
+    lessee.handle(at(ms), input, &mut out);
     out
 }
 
-fn beat(holder: &mut Holder, ms: u64, reply: BeatReply) -> Vec<Output> {
+fn heartbeat(lessee: &mut Lessee, ms: u64, reply: BeatReply) -> Vec<Output> {
     let serial = reply.serial;
-    step(holder, ms, Input::Sent { serial });
-    step(holder, ms + 5, Input::Reply(reply))
+    step(lessee, ms, Input::Sent { serial });
+    step(lessee, ms + 5, Input::Reply(reply))
 }
 
-fn own(holder: &Holder, ms: u64) -> Own {
-    holder.own(at(ms), &"e".parse().unwrap())
+fn ownership(lessee: &Lessee, ms: u64) -> Ownership {
+    lessee.ownership(at(ms), &"e".parse().unwrap())
 }
 
 fn ask(fence: u64, lasts: u64) -> Confirm {
@@ -74,10 +74,10 @@
     }
 }
 
-fn unload(holder: &Holder, ms: u64, fencing: bool) -> bool {
+fn unload(lessee: &Lessee, ms: u64, fencing: bool) -> bool {
     let (target, resident) = ("e".parse().unwrap(), "a@1".parse().unwrap());
     let order = Order::Unload(&resident);
-    holder.may_order(at(ms), &target, order, fencing).is_some()
+    lessee.may_order(at(ms), &target, order, fencing).is_some()
 }
 
 /// An owner is stopped with SIGSTOP for longer than its lease. When it is resumed, it is
@@ -87,15 +87,15 @@
 fn a_thawed_owner_finds_its_lease_lapsed() {
     base::covers!(engine_lease_lapsed);
     base::covers!(restricted_unload);
-    let mut holder = holder();
-    beat(&mut holder, START, reply(1, &[("e", 7, &[])]));
+    let mut lessee = lessee();
+    heartbeat(&mut lessee, START, reply(1, &[("e", 7, &[])]));
     let fence = Fence(7);
-    assert_that!(own(&holder, START + 2_999), eq(Own::Full { fence }));
-    assert_that!(unload(&holder, START + 100, false), eq(true));
-    assert_that!(unload(&holder, START + 2_600, false), eq(false));
-    assert_that!(own(&holder, START + 3_000), eq(Own::Restricted { fence }));
-    assert_that!(unload(&holder, START + 3_000, false), eq(false));
-    assert_that!(unload(&holder, START + 3_000, true), eq(true));
+    assert_that!(ownership(&lessee, START + 2_999), eq(Ownership::Full { fence }));
+    assert_that!(unload(&lessee, START + 100, false), eq(true));
+    assert_that!(unload(&lessee, START + 2_600, false), eq(false));
+    assert_that!(ownership(&lessee, START + 3_000), eq(Ownership::Restricted { fence }));
+    assert_that!(unload(&lessee, START + 3_000, false), eq(false));
+    assert_that!(unload(&lessee, START + 3_000, true), eq(true));
 }
 
 /// The leader doesn't answer. The owner asks its zone peer for confirmation and goes on
@@ -103,14 +103,14 @@
 /// time after which the leader admits an instance that the owner doesn't know.
 #[test]
 fn an_owner_goes_on_by_its_zones_word() {
-    base::covers!(alone_too_long);
-    let mut holder = holder();
-    beat(&mut holder, START, reply(1, &[("e", 7, &[])]));
+    base::covers!(leaderless_too_long);
+    let mut lessee = lessee();
+    heartbeat(&mut lessee, START, reply(1, &[("e", 7, &[])]));
     let fence = Fence(7);
     let mut ms = START + 1_500;
     let end = START + 600_000;
     while ms < end + 3_000 {
-        for output in step(&mut holder, ms, Input::Wake) {
+        for output in step(&mut lessee, ms, Input::Wake) {
             if let Output::Ask { to, round, confirm } = output {
                 let (from, target) = (to, confirm.target);
                 let granted = true;
@@ -120,15 +120,15 @@
                     round,
                     granted,
                 };
-                step(&mut holder, ms + 3, input);
+                step(&mut lessee, ms + 3, input);
             }
         }
         if (START + 2_000..end - 100).contains(&ms) {
-            assert_that!(own(&holder, ms + 4), eq(Own::Full { fence }), "at {ms}");
+            assert_that!(ownership(&lessee, ms + 4), eq(Ownership::Full { fence }), "at {ms}");
         }
         ms += 500;
     }
-    assert_that!(own(&holder, end), eq(Own::Restricted { fence }));
+    assert_that!(ownership(&lessee, end), eq(Ownership::Restricted { fence }));
 }
 
 /// An instance has promised its zone peer not to take an engine. The leader, which can't
@@ -138,25 +138,25 @@
 fn a_promise_is_kept_against_the_leader() {
     base::covers!(kept_promise);
     base::covers!(newer_owner);
-    base::covers!(young_holder);
-    let mut holder = holder();
-    beat(&mut holder, 1_000, reply(1, &[("e", 9, &[])]));
-    assert_that!(own(&holder, 1_100), eq(Own::None));
-    beat(&mut holder, START, reply(2, &[]));
+    base::covers!(just_restarted);
+    let mut lessee = lessee();
+    heartbeat(&mut lessee, 1_000, reply(1, &[("e", 9, &[])]));
+    assert_that!(ownership(&lessee, 1_100), eq(Ownership::None));
+    heartbeat(&mut lessee, START, reply(2, &[]));
     assert_that!(
-        holder.confirm(at(START), &ask(7, 3), &mut Vec::new()),
+        lessee.confirm(at(START), &ask(7, 3), &mut Vec::new()),
         eq(true)
     );
-    beat(&mut holder, START + 1_000, reply(3, &[("e", 9, &[7])]));
-    assert_that!(own(&holder, START + 1_100), eq(Own::None));
+    heartbeat(&mut lessee, START + 1_000, reply(3, &[("e", 9, &[7])]));
+    assert_that!(ownership(&lessee, START + 1_100), eq(Ownership::None));
     assert_that!(
-        holder.confirm(at(START + 1_200), &ask(7, 3), &mut Vec::new()),
+        lessee.confirm(at(START + 1_200), &ask(7, 3), &mut Vec::new()),
         eq(false)
     );
-    beat(&mut holder, START + 3_200, reply(4, &[("e", 9, &[7])]));
+    heartbeat(&mut lessee, START + 3_200, reply(4, &[("e", 9, &[7])]));
     assert_that!(
-        own(&holder, START + 3_300),
-        eq(Own::Full { fence: Fence(9) })
+        ownership(&lessee, START + 3_300),
+        eq(Ownership::Full { fence: Fence(9) })
     );
 }
 
@@ -165,10 +165,10 @@
 #[test]
 fn an_endless_promise_is_refused() {
     base::covers!(long_promise);
-    let mut holder = holder();
-    beat(&mut holder, START, reply(1, &[]));
+    let mut lessee = lessee();
+    heartbeat(&mut lessee, START, reply(1, &[]));
     assert_that!(
-        holder.confirm(at(START), &ask(7, 3_600), &mut Vec::new()),
+        lessee.confirm(at(START), &ask(7, 3_600), &mut Vec::new()),
         eq(false)
     );
 }
@@ -179,25 +179,25 @@
 fn an_older_reply_brings_nothing_back() {
     base::covers!(stale_reply);
     base::covers!(unknown_reply);
-    let mut holder = holder();
+    let mut lessee = lessee();
     for serial in 1..=2 {
-        step(&mut holder, START, Input::Sent { serial });
+        step(&mut lessee, START, Input::Sent { serial });
     }
-    step(&mut holder, START + 5, Input::Reply(reply(2, &[])));
+    step(&mut lessee, START + 5, Input::Reply(reply(2, &[])));
     step(
-        &mut holder,
+        &mut lessee,
         START + 6,
         Input::Reply(reply(1, &[("e", 7, &[])])),
     );
-    assert_that!(own(&holder, START + 7), eq(Own::None));
-    step(&mut holder, START + 8, Input::Sent { serial: 3 });
-    step(&mut holder, START + 9, Input::Reply(reply(3, &[])));
+    assert_that!(ownership(&lessee, START + 7), eq(Ownership::None));
+    step(&mut lessee, START + 8, Input::Sent { serial: 3 });
+    step(&mut lessee, START + 9, Input::Reply(reply(3, &[])));
     step(
-        &mut holder,
+        &mut lessee,
         START + 9,
         Input::Reply(reply(3, &[("e", 7, &[])])),
     );
-    assert_that!(own(&holder, START + 10), eq(Own::None));
+    assert_that!(ownership(&lessee, START + 10), eq(Ownership::None));
 }
 
 /// The former owner was partitioned and may still have requests running. An adapter that
@@ -207,14 +207,14 @@
 fn what_an_earlier_owner_may_use_stays() {
     base::covers!(inherited_adapter);
     base::covers!(loaded_by_other);
-    base::covers!(untouched_engine);
-    let mut holder = holder();
-    beat(&mut holder, START, reply(1, &[("e", 9, &[7])]));
+    base::covers!(unfenced_engine);
+    let mut lessee = lessee();
+    heartbeat(&mut lessee, START, reply(1, &[("e", 9, &[7])]));
     let target: base::TargetName = "e".parse().unwrap();
-    assert_that!(unload(&holder, START + 10, false), eq(false));
-    assert_that!(holder.may_send(at(START + 10), &target, true), none());
+    assert_that!(unload(&lessee, START + 10, false), eq(false));
+    assert_that!(lessee.may_send(at(START + 10), &target, true), none());
     assert_that!(
-        holder.may_send(at(START + 10), &target, false),
+        lessee.may_send(at(START + 10), &target, false),
         some(eq(Fence(9)))
     );
     let loaded = |fresh| Input::Loaded {
@@ -223,14 +223,14 @@
         resident: "a@1".parse().unwrap(),
         fresh,
     };
-    step(&mut holder, START + 20, loaded(false));
+    step(&mut lessee, START + 20, loaded(false));
     assert_that!(
-        holder.may_send(at(START + 20), &target, true),
+        lessee.may_send(at(START + 20), &target, true),
         some(anything())
     );
-    assert_that!(unload(&holder, START + 20, false), eq(false));
-    step(&mut holder, START + 30, loaded(true));
-    assert_that!(unload(&holder, START + 30, false), eq(true));
+    assert_that!(unload(&lessee, START + 20, false), eq(false));
+    step(&mut lessee, START + 30, loaded(true));
+    assert_that!(unload(&lessee, START + 30, false), eq(true));
     let handover = |in_use: &[&str]| {
         Input::Handover(Handover {
             target: "e".parse().unwrap(),
@@ -241,10 +241,10 @@
                 .collect(),
         })
     };
-    step(&mut holder, START + 40, handover(&["a"]));
-    assert_that!(unload(&holder, START + 40, false), eq(false));
-    step(&mut holder, START + 50, handover(&[]));
-    assert_that!(unload(&holder, START + 50, false), eq(true));
+    step(&mut lessee, START + 40, handover(&["a"]));
+    assert_that!(unload(&lessee, START + 40, false), eq(false));
+    step(&mut lessee, START + 50, handover(&[]));
+    assert_that!(unload(&lessee, START + 50, false), eq(true));
 }
 
 /// The engine restarts while a former owner is partitioned. The former owner takes the
@@ -253,46 +253,46 @@
 #[test]
 fn a_restart_makes_nothing_ones_own() {
     base::covers!(restarted_under_former);
-    let mut holder = holder();
-    beat(&mut holder, START, reply(1, &[("e", 9, &[7])]));
+    let mut lessee = lessee();
+    heartbeat(&mut lessee, START, reply(1, &[("e", 9, &[7])]));
     let target = || "e".parse().unwrap();
     let restarted = Input::Restarted { target: target() };
-    step(&mut holder, START + 10, restarted);
+    step(&mut lessee, START + 10, restarted);
     let loaded = Input::Loaded {
         target: target(),
         fence: Fence(9),
         resident: "a@1".parse().unwrap(),
         fresh: true,
     };
-    step(&mut holder, START + 20, loaded);
-    assert_that!(unload(&holder, START + 30, false), eq(false));
-    beat(&mut holder, START + 1_000, reply(2, &[("e", 9, &[])]));
-    assert_that!(unload(&holder, START + 1_100, false), eq(true));
+    step(&mut lessee, START + 20, loaded);
+    assert_that!(unload(&lessee, START + 30, false), eq(false));
+    heartbeat(&mut lessee, START + 1_000, reply(2, &[("e", 9, &[])]));
+    assert_that!(unload(&lessee, START + 1_100, false), eq(true));
 }
 
 /// A planned shutdown: no more orders are sent, heartbeats announce it, and the new owner
 /// is told which adapters are in use until none is.
 #[test]
 fn a_leaving_owner_names_what_it_uses() {
-    let mut holder = holder();
-    beat(&mut holder, START, reply(1, &[("e", 7, &[])]));
-    let out = step(&mut holder, START + 10, Input::Renounce);
+    let mut lessee = lessee();
+    heartbeat(&mut lessee, START, reply(1, &[("e", 7, &[])]));
+    let out = step(&mut lessee, START + 10, Input::Renounce);
     let target: base::TargetName = "e".parse().unwrap();
     let gone = Output::Changed {
         target: target.clone(),
-        own: Own::None,
+        ownership: Ownership::None,
     };
     assert_that!(out, contains(eq(&gone)));
-    assert_that!(holder.leaving(), eq(true));
-    assert_that!(holder.busy(), len(eq(1)));
-    let using = |adapters: &[&str]| Input::Using {
+    assert_that!(lessee.leaving(), eq(true));
+    assert_that!(lessee.busy(), len(eq(1)));
+    let using = |adapters: &[&str]| Input::InUse {
         target: "e".parse().unwrap(),
         adapters: adapters.iter().map(|a| a.parse().unwrap()).collect(),
     };
-    step(&mut holder, START + 20, using(&["a@1"]));
+    step(&mut lessee, START + 20, using(&["a@1"]));
     let mut moved = reply(2, &[]);
     moved.peers[1].owns.push((target, Fence(9)));
-    let out = beat(&mut holder, START + 1_000, moved);
+    let out = heartbeat(&mut lessee, START + 1_000, moved);
     let named = |out: &[Output]| {
         let mut all = out.iter();
         all.find_map(|output| match output {
@@ -301,7 +301,7 @@
         })
     };
     assert_that!(named(&out), some(eq(&("mate".to_owned(), 1))));
-    let out = step(&mut holder, START + 1_100, using(&[]));
+    let out = step(&mut lessee, START + 1_100, using(&[]));
     assert_that!(named(&out), some(eq(&("mate".to_owned(), 0))));
-    assert_that!(holder.busy(), is_empty());
+    assert_that!(lessee.busy(), is_empty());
 }
--- a/crates/scenarios/src/entry.rs
+++ b/crates/scenarios/src/entry.rs
@@ -1,10 +1,10 @@
-//! A fake entry instance around the real [`Holder`].
+//! A fake entry instance around the real [`Lessee`].
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use base::{ChangeId, Fence, Incarnation, TargetName, TextVersion, Time};
 use member::Targets;
-use owner::{Config, Holder};
+use owner::{Config, Lessee};
 use wire::{call::Beat, engine::Resident};
 
 /// What the instance knows of one engine.
@@ -35,7 +35,7 @@
     pub(crate) name: String,
     pub(crate) zone: String,
     pub(crate) life: u64,
-    pub(crate) holder: Holder,
+    pub(crate) holder: Lessee,
     pub(crate) targets: Targets,
     pub(crate) views: BTreeMap<TargetName, View>,
     pub(crate) engines: Vec<TargetName>,
@@ -55,7 +55,7 @@
             name: name.to_owned(),
             zone: zone.to_owned(),
             life,
-            holder: Holder::new(config, name.parse().unwrap(), zone.parse().unwrap(), now),
+            holder: Lessee::new(config, name.parse().unwrap(), zone.parse().unwrap(), now),
             targets: Targets::default(),
             views: BTreeMap::new(),
             engines: Vec::new(),
--- a/crates/scenarios/src/world/act.rs
+++ b/crates/scenarios/src/world/act.rs
@@ -2,7 +2,7 @@
 
 use base::{TargetName, Time};
 use control::Input;
-use owner::{Input as Holding, Order as Wanted, Output as Told, Own};
+use owner::{Input as Holding, Order as Wanted, Output as Told, Ownership};
 use wire::call::{Call, Claim, Fate, Settle};
 
 use super::{Msg, Pending, Proc, Step, World};
@@ -84,9 +84,9 @@
                     let call = Call::Confirm(confirm);
                     self.ask(name, to.as_str(), pending, |id| Msg::Call(id, call));
                 }
-                Told::Changed { target, own } => {
-                    self.log(|| format!("{name} {target} {own:?}"));
-                    if own == Own::None {
+                Told::Changed { target, ownership } => {
+                    self.log(|| format!("{name} {target} {ownership:?}"));
+                    if ownership == Ownership::None {
                         self.tell_using(name, &target);
                     }
                 }
@@ -108,7 +108,7 @@
         };
         let adapters = entry.using(target);
         let target = target.clone();
-        self.hold(name, Holding::Using { target, adapters });
+        self.hold(name, Holding::InUse { target, adapters });
     }
 
     fn beat(&mut self, name: &str, again: bool) {
@@ -146,11 +146,11 @@
         let Some(target) = self.pick(&engines) else {
             return;
         };
-        let own = self.entry(name).unwrap().holder.own(now, &target);
-        if own == Own::None {
+        let own = self.entry(name).unwrap().holder.ownership(now, &target);
+        if own == Ownership::None {
             return;
         }
-        if matches!(own, Own::Full { .. }) && self.roll(0..3) == 0 {
+        if matches!(own, Ownership::Full { .. }) && self.roll(0..3) == 0 {
             self.report(name, now, &target);
         }
         match self.roll(0..10) {
--- a/crates/scenarios/src/world/audit.rs
+++ b/crates/scenarios/src/world/audit.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use owner::Own;
+use owner::Ownership;
 
 use super::{Proc, World};
 
@@ -17,7 +17,7 @@
             };
             let now = self.local(name);
             for target in entry.engines.iter().filter(|_| node.up) {
-                if matches!(entry.holder.own(now, target), Own::Full { .. }) {
+                if matches!(entry.holder.ownership(now, target), Ownership::Full { .. }) {
                     full.entry(target.to_string())
                         .or_default()
                         .push(name.clone());
@@ -36,7 +36,7 @@
         let owner = self.nodes.iter().find(|(name, node)| match &node.proc {
             Proc::Entry(entry) if node.up => {
                 let now = self.local(name);
-                matches!(entry.holder.own(now, &target), Own::Full { .. })
+                matches!(entry.holder.ownership(now, &target), Ownership::Full { .. })
             }
             _ => false,
         });
@@ -48,10 +48,10 @@
             return "none".to_owned();
         };
         let target = target.parse().unwrap();
-        let own = match entry.holder.own(self.local(name), &target) {
-            Own::Full { .. } => "full",
-            Own::Restricted { .. } => "restricted",
-            Own::None => "none",
+        let own = match entry.holder.ownership(self.local(name), &target) {
+            Ownership::Full { .. } => "full",
+            Ownership::Restricted { .. } => "restricted",
+            Ownership::None => "none",
         };
         own.to_owned()
     }
--- a/crates/scenarios/src/world/deliver.rs
+++ b/crates/scenarios/src/world/deliver.rs
@@ -5,7 +5,7 @@
 use base::{Fence, Incarnation, TargetName, Ticket, Time};
 use control::Input;
 use member::Watch;
-use owner::{Input as Holding, Own};
+use owner::{Input as Holding, Ownership};
 use wire::{
     call::{BeatReply, Call, ClaimReply, Fate, Reply},
     operator::Applied,
@@ -290,10 +290,10 @@
         }
         // What somebody else loaded is used only by who is in charge.
         let fresh = answer == Answer::Done;
-        let usable = match entry.holder.own(now, &target) {
-            Own::Full { .. } => true,
-            Own::Restricted { .. } => fresh,
-            Own::None => false,
+        let usable = match entry.holder.ownership(now, &target) {
+            Ownership::Full { .. } => true,
+            Ownership::Restricted { .. } => fresh,
+            Ownership::None => false,
         };
         if usable {
             entry.view(&target).resident.insert(adapter.clone());
@@ -322,7 +322,7 @@
             return;
         };
         let look = entry.targets.finish(&target, watch, began, Some(life));
-        let full = matches!(entry.holder.own(now, &target), Own::Full { .. });
+        let full = matches!(entry.holder.ownership(now, &target), Ownership::Full { .. });
         if look.is_err() || !full {
             return;
         }
