--- a/crates/control/src/claims.rs
+++ b/crates/control/src/claims.rs
@@ -10,7 +10,7 @@
 //! keeps its fingerprint; when there is no room for more fingerprints, new keys without
 //! date are refused. No key ever runs a second time.
 
-mod prints;
+mod fingerprints;
 mod record;
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -19,7 +19,7 @@
 use wire::call::{Answer, Claim, ClaimReply, Fate, Settle};
 
 use self::{
-    prints::Prints,
+    fingerprints::Prints,
     record::{Kept, Key, Phase},
 };
 
