--- a/crates/control/src/claims.rs
+++ b/crates/control/src/claims.rs
@@ -19,8 +19,8 @@
 use wire::call::{Answer, Claim, ClaimReply, Fate, Settle};
 
 use self::{
-    fingerprints::Prints,
-    record::{Kept, Key, Phase},
+    fingerprints::Fingerprints,
+    record::{KeyRecord, Key, Phase},
 };
 
 record! {
@@ -56,12 +56,18 @@
     /// All claims.
     pub struct Claims {
         limits: Limits,
-        keys: BTreeMap<Key, Kept>,
+        /// The keys remembered in full.
+        keys: BTreeMap<Key, KeyRecord>,
+        /// Claims under way, by the time of the claim on the state clock.
         under_way: BTreeSet<(u64, Key)>,
+        /// Settled keys remembered in full, by the time on the state clock when they were
+        /// settled, oldest first.
         settled: VecDeque<(u64, Key)>,
+        /// Keys with a kept answer, oldest first.
         answers: VecDeque<Key>,
+        /// Total size of the kept answers.
         answer_bytes: usize,
-        prints: BTreeMap<BrandName, Prints>,
+        fingerprints: BTreeMap<BrandName, Fingerprints>,
     }
 }
 
@@ -102,7 +108,7 @@
             settled: VecDeque::new(),
             answers: VecDeque::new(),
             answer_bytes: 0,
-            prints: BTreeMap::new(),
+            fingerprints: BTreeMap::new(),
         }
     }
 
@@ -110,32 +116,32 @@
     /// has to go through the log.
     #[must_use]
     pub fn known(&self, claim: &Claim) -> Option<ClaimReply> {
-        let kept = self.keys.get(&Key::of(claim))?;
-        let reply = kept.reply(claim);
+        let record = self.keys.get(&Key::of(claim))?;
+        let reply = record.reply(claim);
         (!matches!(reply, ClaimReply::Yours | ClaimReply::Running)).then_some(reply)
     }
 
     /// Returns the number of keys remembered in full and the number of fingerprints.
     #[must_use]
     pub fn counts(&self) -> (usize, usize) {
-        let prints = self.prints.values().map(Prints::len).sum();
-        (self.keys.len(), prints)
+        let fingerprints = self.fingerprints.values().map(Fingerprints::len).sum();
+        (self.keys.len(), fingerprints)
     }
 
     /// Applies a claim at time `at` of the state clock and time `wall` of the leader's
     /// wall clock.
     pub(crate) fn claim(&mut self, at: u64, wall: u64, claim: &Claim) -> ClaimReply {
         let key = Key::of(claim);
-        if let Some(kept) = self.keys.get(&key) {
-            return kept.reply(claim);
+        if let Some(record) = self.keys.get(&key) {
+            return record.reply(claim);
         }
-        let dated = self.date(wall, claim);
-        let print = print_of(&key);
-        if let Some(prints) = self.prints.get(&claim.brand) {
+        let dated = self.accepted_date(wall, claim);
+        let fingerprint = fingerprint_of(&key);
+        if let Some(fingerprints) = self.fingerprints.get(&claim.brand) {
             // Guard: a key that was reduced to a fingerprint has no record, but a late
             // retry with it must not be taken for a new key. The fingerprint is also
             // found if the date was accepted for only one of the two claims.
-            if let Some(ran) = prints.find(claim.dated, print) {
+            if let Some(ran) = fingerprints.find(claim.dated, fingerprint) {
                 base::hit!(fingerprint_found);
                 return if ran {
                     ClaimReply::Ran(None)
@@ -146,12 +152,12 @@
             // Guard: keys of this date were forgotten for lack of room, and this may be
             // one of them. A refusal makes the caller use a new key at worst; accepting
             // it could run the request twice.
-            if claim.dated.is_some_and(|date| prints.forgot(date)) {
+            if claim.dated.is_some_and(|date| fingerprints.forgot(date)) {
                 base::hit!(key_too_old);
                 return ClaimReply::TooOld;
             }
         }
-        if claim.dated.is_some_and(|date| self.outside(wall, date)) {
+        if claim.dated.is_some_and(|date| self.too_old(wall, date)) {
             base::hit!(key_outside_window);
             return ClaimReply::TooOld;
         }
@@ -160,12 +166,12 @@
             let retry = std::time::Duration::from_millis(self.limits.retry_ms);
             return ClaimReply::NotNow { retry };
         }
-        self.prints
+        self.fingerprints
             .entry(claim.brand.clone())
             .or_default()
             .reserve(dated);
         self.under_way.insert((at, key.clone()));
-        self.keys.insert(key, Kept::running(claim, dated, at));
+        self.keys.insert(key, KeyRecord::running(claim, dated, at));
         ClaimReply::Yours
     }
 
@@ -173,17 +179,17 @@
     /// the instance and attempt that hold the claim.
     pub(crate) fn settle(&mut self, at: u64, settle: &Settle) -> bool {
         let key = Key::of_settle(settle);
-        let Some(kept) = self.keys.get_mut(&key) else {
+        let Some(record) = self.keys.get_mut(&key) else {
             return false;
         };
         // Guard: the late outcome of an attempt that was given up must not free a key
         // that another instance has claimed since, or the request would run a second
         // time.
-        if kept.instance != settle.instance || kept.attempt != settle.attempt {
+        if record.instance != settle.instance || record.attempt != settle.attempt {
             base::hit!(foreign_settle);
             return false;
         }
-        if matches!(kept.phase, Phase::Ran(_)) {
+        if matches!(record.phase, Phase::Ran(_)) {
             return true;
         }
         match &settle.fate {
@@ -196,7 +202,7 @@
 
     /// Settles all claims that `instance` has under way: their requests may have run.
     pub(crate) fn lapse(&mut self, at: u64, instance: &InstanceName) {
-        let claimer = |key: &Key| self.keys.get(key).map(|kept| &kept.instance);
+        let claimer = |key: &Key| self.keys.get(key).map(|record| &record.instance);
         let under_way = self.under_way.iter().map(|(_, key)| key);
         let keys = under_way.filter(|key| claimer(key) == Some(instance));
         let keys: Vec<_> = keys.cloned().collect();
@@ -234,20 +240,20 @@
             let Some((since, key)) = self.settled.pop_front() else {
                 return;
             };
-            let settled = self.keys.get(&key).and_then(|kept| kept.settled);
+            let settled = self.keys.get(&key).and_then(|record| record.settled);
             if settled == Some(since) {
-                self.shrink(&key);
+                self.reduce(&key);
             }
         }
     }
 
     /// Returns the key's date, unless it lies too far in the future.
-    fn date(&self, wall: u64, claim: &Claim) -> Option<u64> {
+    fn accepted_date(&self, wall: u64, claim: &Claim) -> Option<u64> {
         let limit = wall.saturating_add(self.limits.ahead_ms);
         claim.dated.filter(|date| *date <= limit)
     }
 
-    fn outside(&self, wall: u64, date: u64) -> bool {
+    fn too_old(&self, wall: u64, date: u64) -> bool {
         date.saturating_add(self.limits.window_ms) < wall
     }
 
@@ -255,32 +261,32 @@
         if self.under_way.len() >= self.limits.full {
             return false;
         }
-        let Some(prints) = self.prints.get(brand) else {
+        let Some(fingerprints) = self.fingerprints.get(brand) else {
             return true;
         };
-        dated.is_some() || prints.undated() < self.limits.undated
+        dated.is_some() || fingerprints.undated() < self.limits.undated
     }
 
     fn free(&mut self, key: &Key) {
-        if let Some(kept) = self.keys.remove(key) {
-            self.under_way.remove(&(kept.since, key.clone()));
-            let prints = self.prints.entry(key.brand.clone()).or_default();
-            prints.release(kept.dated);
+        if let Some(record) = self.keys.remove(key) {
+            self.under_way.remove(&(record.since, key.clone()));
+            let fingerprints = self.fingerprints.entry(key.brand.clone()).or_default();
+            fingerprints.release(record.dated);
         }
     }
 
     fn finish(&mut self, at: u64, key: &Key, phase: Phase, answer: Option<Answer>) {
-        let Some(kept) = self.keys.get_mut(key) else {
+        let Some(record) = self.keys.get_mut(key) else {
             return;
         };
-        kept.phase = phase;
-        kept.settled = Some(at);
-        self.under_way.remove(&(kept.since, key.clone()));
+        record.phase = phase;
+        record.settled = Some(at);
+        self.under_way.remove(&(record.since, key.clone()));
         self.settled.push_back((at, key.clone()));
         let small = answer.filter(|a| size_of(a) <= self.limits.answer);
         if let Some(answer) = small {
             self.answer_bytes += size_of(&answer);
-            kept.phase = Phase::Ran(Some(answer));
+            record.phase = Phase::Ran(Some(answer));
             self.answers.push_back(key.clone());
         }
         while self.answer_bytes > self.limits.answers {
@@ -292,26 +298,26 @@
     }
 
     fn drop_answer(&mut self, key: &Key) {
-        let Some(kept) = self.keys.get_mut(key) else {
+        let Some(record) = self.keys.get_mut(key) else {
             return;
         };
-        if let Phase::Ran(answer) = &mut kept.phase
+        if let Phase::Ran(answer) = &mut record.phase
             && let Some(answer) = answer.take()
         {
             self.answer_bytes -= size_of(&answer);
         }
     }
 
-    fn shrink(&mut self, key: &Key) {
+    fn reduce(&mut self, key: &Key) {
         self.drop_answer(key);
-        let Some(kept) = self.keys.remove(key) else {
+        let Some(record) = self.keys.remove(key) else {
             return;
         };
-        let ran = matches!(kept.phase, Phase::Ran(_));
-        let prints = self.prints.entry(key.brand.clone()).or_default();
-        prints.release(kept.dated);
-        prints.add(kept.dated, print_of(key), ran);
-        prints.trim(self.limits.dated);
+        let ran = matches!(record.phase, Phase::Ran(_));
+        let fingerprints = self.fingerprints.entry(key.brand.clone()).or_default();
+        fingerprints.release(record.dated);
+        fingerprints.add(record.dated, fingerprint_of(key), ran);
+        fingerprints.trim(self.limits.dated);
         while self
             .answers
             .front()
@@ -322,9 +328,9 @@
     }
 }
 
-/// Returns the fingerprint of a key. Its lowest bit is zero, as [`Prints`] stores a flag
-/// there.
-fn print_of(key: &Key) -> u64 {
+/// Returns the fingerprint of a key. Its lowest bit is zero, as [`Fingerprints`]
+/// stores a flag there.
+fn fingerprint_of(key: &Key) -> u64 {
     stable_hash(&[&key.hash]) & !1
 }
 
--- a/crates/control/src/claims/fingerprints.rs
+++ b/crates/control/src/claims/fingerprints.rs
@@ -7,17 +7,19 @@
 /// Keys with a date are kept in buckets of one minute and forgotten by bucket.
 const BUCKET_MS: u64 = 60_000;
 /// Number of new fingerprints that are merged into the sorted set at once.
-const FRESH_MAX: usize = 4_096;
+const UNSORTED_MAX: usize = 4_096;
 
 record! {
     /// The fingerprints of one brand. The lowest bit of a fingerprint tells whether the
     /// request certainly ran.
     #[derive(Default)]
-    pub(crate) struct Prints {
+    pub(crate) struct Fingerprints {
+        /// Fingerprints of keys without date.
         undated: Set,
         /// Number of keys without date that are remembered in full, and will each need a
         /// fingerprint in `undated`.
         reserved: usize,
+        /// Fingerprints of keys with date, by bucket.
         dated: BTreeMap<u64, Set>,
         /// Total size of the sets in `dated`, which would take too long to add up for
         /// each key.
@@ -31,11 +33,11 @@
     #[derive(Default)]
     struct Set {
         sorted: Vec<u64>,
-        fresh: BTreeSet<u64>,
+        unsorted: BTreeSet<u64>,
     }
 }
 
-impl Prints {
+impl Fingerprints {
     pub(crate) fn len(&self) -> usize {
         self.undated.len() + self.dated_len
     }
@@ -46,10 +48,10 @@
     }
 
     /// Returns whether the request of a key certainly ran; none for an unknown key.
-    pub(crate) fn find(&self, dated: Option<u64>, print: u64) -> Option<bool> {
+    pub(crate) fn find(&self, dated: Option<u64>, fingerprint: u64) -> Option<bool> {
         let minute = dated.and_then(|date| self.dated.get(&(date / BUCKET_MS)));
-        let by_date = minute.and_then(|set| set.find(print));
-        by_date.or_else(|| self.undated.find(print))
+        let by_date = minute.and_then(|set| set.find(fingerprint));
+        by_date.or_else(|| self.undated.find(fingerprint))
     }
 
     /// Returns whether keys of this date may have been forgotten.
@@ -65,17 +67,17 @@
         self.reserved -= usize::from(dated.is_none()).min(self.reserved);
     }
 
-    pub(crate) fn add(&mut self, dated: Option<u64>, print: u64, ran: bool) {
-        let print = print | u64::from(ran);
+    pub(crate) fn add(&mut self, dated: Option<u64>, fingerprint: u64, ran: bool) {
+        let fingerprint = fingerprint | u64::from(ran);
         let date = match dated {
-            None => return self.undated.add(print),
+            None => return self.undated.add(fingerprint),
             // The bucket was forgotten while this key was remembered in full.
             Some(date) if self.forgot(date) => return,
             Some(date) => date,
         };
         let set = self.dated.entry(date / BUCKET_MS).or_default();
         let before = set.len();
-        set.add(print);
+        set.add(fingerprint);
         self.dated_len += set.len() - before;
     }
 
@@ -94,26 +96,26 @@
 
 impl Set {
     fn len(&self) -> usize {
-        self.sorted.len() + self.fresh.len()
+        self.sorted.len() + self.unsorted.len()
     }
 
-    fn find(&self, print: u64) -> Option<bool> {
-        let at = self.sorted.partition_point(|p| *p < print);
+    fn find(&self, fingerprint: u64) -> Option<bool> {
+        let at = self.sorted.partition_point(|p| *p < fingerprint);
         let sorted = self.sorted.get(at).copied();
-        let fresh = self.fresh.range(print..).next().copied();
-        let hit = [sorted, fresh]
+        let unsorted = self.unsorted.range(fingerprint..).next().copied();
+        let hit = [sorted, unsorted]
             .into_iter()
             .flatten()
-            .find(|p| p & !1 == print)?;
+            .find(|p| p & !1 == fingerprint)?;
         Some(hit & 1 == 1)
     }
 
-    fn add(&mut self, print: u64) {
-        self.fresh.insert(print);
-        if self.fresh.len() >= FRESH_MAX {
-            let fresh = std::mem::take(&mut self.fresh);
-            self.sorted.reserve_exact(fresh.len());
-            self.sorted.extend(fresh);
+    fn add(&mut self, fingerprint: u64) {
+        self.unsorted.insert(fingerprint);
+        if self.unsorted.len() >= UNSORTED_MAX {
+            let unsorted = std::mem::take(&mut self.unsorted);
+            self.sorted.reserve_exact(unsorted.len());
+            self.sorted.extend(unsorted);
             self.sorted.sort_unstable();
         }
     }
--- a/crates/control/src/claims/record.rs
+++ b/crates/control/src/claims/record.rs
@@ -15,10 +15,13 @@
     }
 
     /// What is known of a key.
-    pub(crate) struct Kept {
+    pub(crate) struct KeyRecord {
+        /// Hash of method, path and body of the request.
         #[serde(with = "sixteen")]
         body: [u8; 16],
+        /// The entry instance that claimed the key.
         pub(crate) instance: InstanceName,
+        /// Distinguishes the attempts of that instance.
         pub(crate) attempt: u64,
         /// The key's date in milliseconds since 1970, unless it has none or one too far
         /// in the future.
@@ -57,9 +60,9 @@
     }
 }
 
-impl Kept {
+impl KeyRecord {
     pub(crate) fn running(claim: &Claim, dated: Option<u64>, at: u64) -> Self {
-        Kept {
+        KeyRecord {
             body: claim.body,
             instance: claim.instance.clone(),
             attempt: claim.attempt,
@@ -81,7 +84,7 @@
             Phase::MayHaveRun => ClaimReply::MayHaveRun,
             // The reply to the first claim was lost and the instance retries. It has not
             // sent the request, as it does so only after a reply.
-            Phase::Running if self.same_try(claim) => ClaimReply::Yours,
+            Phase::Running if self.same_attempt(claim) => ClaimReply::Yours,
             Phase::Running => {
                 base::hit!(claimed_by_other);
                 ClaimReply::Running
@@ -89,7 +92,7 @@
         }
     }
 
-    fn same_try(&self, claim: &Claim) -> bool {
+    fn same_attempt(&self, claim: &Claim) -> bool {
         self.instance == claim.instance && self.attempt == claim.attempt
     }
 }
--- a/crates/control/src/control.rs
+++ b/crates/control/src/control.rs
@@ -15,20 +15,20 @@
 use wire::call::{Reply, Share};
 
 pub use self::io::{Event, Input, Output, Unnamed};
-use self::{answer::Waiting, io::Asker};
+use self::{answer::Waiting, io::Requester};
 use crate::{Command, Item, Limits, Outcome, State, What};
 
 /// Number of claims that may wait for the log at once; further requesters are told to
 /// retry later.
-const QUEUE_MAX: usize = 4_096;
+const CLAIM_QUEUE_MAX: usize = 4_096;
 /// Number of claims in one command of the log.
-const BATCH_MAX: usize = 256;
+const CLAIM_BATCH_MAX: usize = 256;
 /// An entry instance not heard from for this long is taken for dead: its claims may have
 /// run.
-const CLAIMER_SILENT: Duration = Duration::from_secs(10);
+const CLAIMER_TIMEOUT: Duration = Duration::from_secs(10);
 /// Interval between two checks for unresponsive claimers. Each check goes through all
 /// claims under way, so it runs less often than the other checks.
-const CLAIMERS_EVERY: Duration = Duration::from_secs(1);
+const CLAIMER_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 /// Retry delay where no leader is known; an election takes about this long.
 const RETRY_MS: u64 = 1_000;
 
@@ -74,32 +74,39 @@
     /// The shares of brands that each entry instance last reported.
     shares: BTreeMap<InstanceName, Vec<Share>>,
     /// The term in which this instance leads and may act as the leader.
-    leads: Option<Term>,
+    leading: Option<Term>,
     /// When this instance began to lead, and the time on the state clock then.
-    began: (Time, u64),
+    leading_since: (Time, u64),
     /// Local time of the last reading of the wall clock, and that reading in milliseconds
     /// since 1970.
     wall: (Time, u64),
-    next: u64,
+    /// Ticket of the last proposal.
+    last_ticket: u64,
+    /// Who waits for each proposal, by its ticket.
     waiting: BTreeMap<u64, Waiting>,
     /// Proposals with a known index whose command is not applied yet.
-    acked: BTreeMap<Index, u64>,
+    acknowledged: BTreeMap<Index, u64>,
     /// Outcomes of commands whose proposal is not acknowledged yet.
-    done: BTreeMap<Index, Outcome>,
-    queue: VecDeque<(Option<Ticket>, Item)>,
+    outcomes: BTreeMap<Index, Outcome>,
+    /// Claims and outcomes that wait for the next command with claims.
+    claim_queue: VecDeque<(Option<Ticket>, Item)>,
+    /// Whether a command with claims is under way.
     claiming: bool,
     /// When the leader next checks for changes to propose.
-    tick: Time,
-    looked: Time,
+    next_check: Time,
+    /// When the leader last checked for unresponsive claimers.
+    claimers_checked: Time,
+    /// When the replica has to be woken.
     replica_wake: Option<Time>,
-    told_wake: Option<Time>,
+    /// The time of the last [`Output::Wake`].
+    requested_wake: Option<Time>,
 }
 
 impl std::fmt::Debug for Control {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.debug_struct("Control")
             .field("id", self.replica.id())
-            .field("leads", &self.leads)
+            .field("leads", &self.leading)
             .finish_non_exhaustive()
     }
 }
@@ -115,30 +122,30 @@
             config,
             check,
             replica,
-            leads: None,
-            began: (Time::ZERO, 0),
+            leading: None,
+            leading_since: (Time::ZERO, 0),
             wall: (Time::ZERO, 0),
-            next: 0,
+            last_ticket: 0,
             waiting: BTreeMap::new(),
-            acked: BTreeMap::new(),
-            done: BTreeMap::new(),
-            queue: VecDeque::new(),
+            acknowledged: BTreeMap::new(),
+            outcomes: BTreeMap::new(),
+            claim_queue: VecDeque::new(),
             claiming: false,
-            tick: Time::ZERO,
-            looked: Time::ZERO,
+            next_check: Time::ZERO,
+            claimers_checked: Time::ZERO,
             replica_wake: None,
-            told_wake: None,
+            requested_wake: None,
         }
     }
 
     /// Handles one input and appends the resulting outputs to `out`, in order.
     pub fn handle(&mut self, now: Time, input: Input, out: &mut Vec<Output>) {
-        self.follow_role(now, out);
+        self.update_role(now, out);
         self.dispatch(now, input, out);
-        self.follow_role(now, out);
-        self.look(now, out);
+        self.update_role(now, out);
+        self.propose_due(now, out);
         self.flush_claims(now, out);
-        self.set_wake(out);
+        self.request_wake(out);
     }
 
     /// Returns the replicated state as far as it has been applied here.
@@ -163,7 +170,7 @@
         match input {
             Input::Call { ticket, call } => self.on_call(now, ticket, call, out),
             Input::Apply { ticket, apply } => {
-                self.on_apply(now, Asker::Operator(ticket), apply, out)
+                self.on_apply(now, Requester::Operator(ticket), apply, out)
             }
             Input::Passed { ticket, reply } => self.on_passed(ticket, reply, out),
             Input::Synced { upto } => self.drive(now, replog::Input::Synced { upto }, out),
@@ -174,11 +181,11 @@
             Input::List { instances } => self.grantor.set_list(instances),
             Input::Wall { ms } => self.wall = (now, ms),
             Input::AddReplica { ticket, id } => {
-                let ticket = self.wait(Waiting::Members(ticket));
+                let ticket = self.register(Waiting::Members(ticket));
                 self.drive(now, replog::Input::AddReplica { ticket, id }, out);
             }
             Input::RemoveReplica { ticket, id } => {
-                let ticket = self.wait(Waiting::Members(ticket));
+                let ticket = self.register(Waiting::Members(ticket));
                 self.drive(now, replog::Input::RemoveReplica { ticket, id }, out);
             }
             Input::HandOver => self.drive(now, replog::Input::HandOver, out),
@@ -192,15 +199,15 @@
     /// Another leader may have granted leases meanwhile, so what this instance remembers
     /// of granted leases is discarded: each leadership starts without it and waits until
     /// older leases have ended.
-    fn follow_role(&mut self, now: Time, out: &mut Vec<Output>) {
+    fn update_role(&mut self, now: Time, out: &mut Vec<Output>) {
         let leads = self.replica.leads(now).then(|| self.replica.term());
-        if leads == self.leads {
+        if leads == self.leading {
             return;
         }
-        self.leads = leads;
+        self.leading = leads;
         if let Some(term) = leads {
             base::hit!(leadership_begins);
-            self.began = (now, self.state.at());
+            self.leading_since = (now, self.state.at());
             self.grantor.lead(now);
             out.push(Output::Event(Event::Leads { term }));
             return;
@@ -208,7 +215,7 @@
         self.grantor.follow();
         out.push(Output::Event(Event::Follows));
         let leader = self.other_leader();
-        for (ticket, _) in std::mem::take(&mut self.queue) {
+        for (ticket, _) in std::mem::take(&mut self.claim_queue) {
             if let Some(ticket) = ticket {
                 let leader = leader.clone();
                 let reply = Reply::Elsewhere { leader };
@@ -218,30 +225,30 @@
     }
 
     /// Proposes the changes that are due, if this instance leads.
-    fn look(&mut self, now: Time, out: &mut Vec<Output>) {
-        if self.leads.is_none() {
+    fn propose_due(&mut self, now: Time, out: &mut Vec<Output>) {
+        if self.leading.is_none() {
             return;
         }
-        if now >= self.tick {
-            self.tick = now + self.config.tick;
+        if now >= self.next_check {
+            self.next_check = now + self.config.tick;
             let mut changes = Vec::new();
             self.grantor.wake(now, self.state.table(), &mut changes);
             self.propose_changes(now, changes, out);
         }
-        if now.since(self.looked) < CLAIMERS_EVERY {
+        if now.since(self.claimers_checked) < CLAIMER_CHECK_INTERVAL {
             return;
         }
-        self.looked = now;
-        for id in self.silent_claimers(now) {
+        self.claimers_checked = now;
+        for id in self.unresponsive_claimers(now) {
             self.propose(now, What::Lapse(id), Waiting::Nobody, out);
         }
     }
 
-    fn silent_claimers(&self, now: Time) -> Vec<InstanceId> {
+    fn unresponsive_claimers(&self, now: Time) -> Vec<InstanceId> {
         let members = self.state.table().members();
         let claimers = self.state.claims().claimers().into_iter();
-        let silent = claimers.filter(|name| self.grantor.silence(now, name) > CLAIMER_SILENT);
-        let ids = silent.filter_map(|name| {
+        let unresponsive = claimers.filter(|name| self.grantor.silence(now, name) > CLAIMER_TIMEOUT);
+        let ids = unresponsive.filter_map(|name| {
             let incarnation = members.get(name)?.incarnation;
             let instance = name.clone();
             Some(InstanceId {
@@ -260,45 +267,45 @@
 
     fn propose(&mut self, now: Time, what: What, waiting: Waiting, out: &mut Vec<Output>) {
         let command = Command {
-            at: self.began.1 + millis(now.since(self.began.0)),
+            at: self.leading_since.1 + millis(now.since(self.leading_since.0)),
             wall: self.wall.1 + millis(now.since(self.wall.0)),
             what,
         };
-        let ticket = self.wait(waiting);
+        let ticket = self.register(waiting);
         let command = command.encode().into();
         self.drive(now, replog::Input::Propose { ticket, command }, out);
     }
 
-    fn wait(&mut self, waiting: Waiting) -> u64 {
-        self.next += 1;
-        self.waiting.insert(self.next, waiting);
-        self.next
+    fn register(&mut self, waiting: Waiting) -> u64 {
+        self.last_ticket += 1;
+        self.waiting.insert(self.last_ticket, waiting);
+        self.last_ticket
     }
 
     /// Adds a claim or an outcome to the next command with claims.
     fn enqueue(&mut self, ticket: Ticket, item: Item) {
-        self.queue.push_back((Some(ticket), item));
+        self.claim_queue.push_back((Some(ticket), item));
     }
 
     /// Proposes the waiting claims, unless a command with claims is under way: all claims
     /// that arrive until it is applied share the next one.
     fn flush_claims(&mut self, now: Time, out: &mut Vec<Output>) {
-        if self.claiming || self.queue.is_empty() || self.leads.is_none() {
+        if self.claiming || self.claim_queue.is_empty() || self.leading.is_none() {
             return;
         }
         self.claiming = true;
-        let count = self.queue.len().min(BATCH_MAX);
-        let (tickets, items) = self.queue.drain(..count).unzip();
+        let count = self.claim_queue.len().min(CLAIM_BATCH_MAX);
+        let (tickets, items) = self.claim_queue.drain(..count).unzip();
         self.propose(now, What::Claims(items), Waiting::Claims(tickets), out);
     }
 
-    fn set_wake(&mut self, out: &mut Vec<Output>) {
-        let tick = self.leads.map(|_| self.tick);
+    fn request_wake(&mut self, out: &mut Vec<Output>) {
+        let tick = self.leading.map(|_| self.next_check);
         let wake = [self.replica_wake, tick].into_iter().flatten().min();
         if let Some(at) = wake
-            && self.told_wake != wake
+            && self.requested_wake != wake
         {
-            self.told_wake = wake;
+            self.requested_wake = wake;
             out.push(Output::Wake(at));
         }
     }
--- a/crates/control/src/control/answer.rs
+++ b/crates/control/src/control/answer.rs
@@ -7,7 +7,7 @@
     operator::{Applied, Why},
 };
 
-use super::{Control, Outcome, Output, RETRY_MS, io::Asker};
+use super::{Control, Outcome, Output, RETRY_MS, io::Requester};
 use crate::Unnamed;
 
 /// Who waits for the outcome of a proposal.
@@ -16,7 +16,7 @@
     /// Nobody.
     Nobody,
     /// The requester of a change of the configuration text.
-    Text(Asker),
+    Text(Requester),
     /// The requesters of claims, one per item of the command.
     Claims(Vec<Option<Ticket>>),
     /// The operator that publishes an edition or an adapter's version.
@@ -45,31 +45,31 @@
                 return;
             }
         };
-        match self.done.remove(&index) {
+        match self.outcomes.remove(&index) {
             Some(outcome) => self.finish(ticket, outcome, out),
             None => {
-                self.acked.insert(index, ticket);
+                self.acknowledged.insert(index, ticket);
             }
         }
     }
 
     /// Handles the outcome of an applied command.
     pub(super) fn on_outcome(&mut self, index: Index, outcome: Outcome, out: &mut Vec<Output>) {
-        if let Some(ticket) = self.acked.remove(&index) {
+        if let Some(ticket) = self.acknowledged.remove(&index) {
             self.finish(ticket, outcome, out);
         } else if self.waiting.is_empty() {
-            self.done.clear();
+            self.outcomes.clear();
         } else {
-            self.done.insert(index, outcome);
+            self.outcomes.insert(index, outcome);
         }
     }
 
     /// Answers the proposals whose commands are contained in a restored snapshot. The
     /// snapshot doesn't tell the outcome of single commands, so it is unknown.
     pub(super) fn give_up_before(&mut self, index: Index, out: &mut Vec<Output>) {
-        let later = self.acked.split_off(&index.next());
-        let skipped = std::mem::replace(&mut self.acked, later);
-        self.done = self.done.split_off(&index.next());
+        let later = self.acknowledged.split_off(&index.next());
+        let skipped = std::mem::replace(&mut self.acknowledged, later);
+        self.outcomes = self.outcomes.split_off(&index.next());
         let leader = None;
         for ticket in skipped.into_values() {
             let rejected = Rejected::Unknown {
@@ -81,7 +81,7 @@
 
     fn finish(&mut self, ticket: u64, outcome: Outcome, out: &mut Vec<Output>) {
         match (self.waiting.remove(&ticket), outcome) {
-            (Some(Waiting::Text(asker)), Outcome::Text(applied)) => out.push(asker.answer(applied)),
+            (Some(Waiting::Text(requester)), Outcome::Text(applied)) => out.push(requester.answer(applied)),
             (Some(Waiting::Named(ticket)), Outcome::Named(taken)) => {
                 let result = Ok(taken);
                 out.push(Output::Named { ticket, result });
@@ -102,7 +102,7 @@
 
     fn reject(&mut self, ticket: u64, rejected: &Rejected, out: &mut Vec<Output>) {
         match self.waiting.remove(&ticket) {
-            Some(Waiting::Text(asker)) => out.push(asker.answer(applied_of(rejected))),
+            Some(Waiting::Text(requester)) => out.push(requester.answer(applied_reply(rejected))),
             Some(Waiting::Named(ticket)) => {
                 let result = Err(unnamed_of(rejected, self.other_leader()));
                 out.push(Output::Named { ticket, result });
@@ -143,7 +143,7 @@
 /// Guard: a change is reported as refused only if it certainly is in no replica's log.
 /// Otherwise the operator would send it again under another id, and it would be applied
 /// twice.
-fn applied_of(rejected: &Rejected) -> Applied {
+fn applied_reply(rejected: &Rejected) -> Applied {
     let why = match rejected {
         Rejected::Unknown { .. } => {
             base::hit!(may_have_been_accepted);
--- a/crates/control/src/control/calls.rs
+++ b/crates/control/src/control/calls.rs
@@ -9,7 +9,7 @@
     operator::{Applied, Apply, Why},
 };
 
-use super::{Control, Item, Output, QUEUE_MAX, RETRY_MS, What, answer::Waiting, io::Asker};
+use super::{Control, Item, Output, CLAIM_QUEUE_MAX, RETRY_MS, What, answer::Waiting, io::Requester};
 use crate::{Given, Patch, Texts, Unnamed};
 
 impl Control {
@@ -19,7 +19,7 @@
             Call::Version => Reply::Version(self.state.texts().version()),
             Call::Text { have } => self.newer_text(have),
             Call::Apply(apply) => {
-                self.on_apply(now, Asker::Control(ticket), apply, out);
+                self.on_apply(now, Requester::Control(ticket), apply, out);
                 return;
             }
             // Guard: a former leader that was partitioned or frozen would renew leases
@@ -69,12 +69,12 @@
     pub(super) fn on_apply(
         &mut self,
         now: Time,
-        asker: Asker,
+        requester: Requester,
         apply: Apply,
         out: &mut Vec<Output>,
     ) {
         if !self.replica.leads(now) {
-            out.push(self.pass(asker, apply));
+            out.push(self.pass(requester, apply));
             return;
         }
         let given = Given {
@@ -84,12 +84,12 @@
             digest: Texts::digest(&apply.text),
         };
         if let Some(known) = self.state.texts().known(given) {
-            out.push(asker.answer(known));
+            out.push(requester.answer(known));
             return;
         }
         if let Err(errors) = (self.check)(&apply.text) {
             let why = Why::BadText { errors };
-            out.push(asker.answer(Applied::Refused { why }));
+            out.push(requester.answer(Applied::Refused { why }));
             return;
         }
         let digest = given.digest;
@@ -101,7 +101,7 @@
             patch,
             digest,
         };
-        self.propose(now, what, Waiting::Text(asker), out);
+        self.propose(now, what, Waiting::Text(requester), out);
     }
 
     /// Handles the leader's answer to a change that was forwarded to it.
@@ -129,15 +129,15 @@
         (leader != self.replica.id()).then(|| leader.instance.clone())
     }
 
-    fn pass(&self, asker: Asker, apply: Apply) -> Output {
-        match (asker, self.other_leader()) {
-            (Asker::Operator(ticket), Some(to)) => Output::Pass { ticket, to, apply },
-            (Asker::Operator(_), None) => {
+    fn pass(&self, requester: Requester, apply: Apply) -> Output {
+        match (requester, self.other_leader()) {
+            (Requester::Operator(ticket), Some(to)) => Output::Pass { ticket, to, apply },
+            (Requester::Operator(_), None) => {
                 let retry_ms = RETRY_MS;
                 let why = Why::NoQuorum { retry_ms };
-                asker.answer(Applied::Refused { why })
+                requester.answer(Applied::Refused { why })
             }
-            (Asker::Control(ticket), leader) => {
+            (Requester::Control(ticket), leader) => {
                 let reply = Reply::Elsewhere { leader };
                 Output::Reply { ticket, reply }
             }
@@ -185,7 +185,7 @@
     }
 
     fn on_item(&mut self, ticket: Ticket, item: Item, out: &mut Vec<Output>) {
-        if self.queue.len() < QUEUE_MAX {
+        if self.claim_queue.len() < CLAIM_QUEUE_MAX {
             self.enqueue(ticket, item);
             return;
         }
--- a/crates/control/src/control/drive.rs
+++ b/crates/control/src/control/drive.rs
@@ -67,7 +67,7 @@
             return;
         };
         let outcome = self.state.apply(index.get(), &command);
-        self.tell(index, &command, &outcome, out);
+        self.report(index, &command, &outcome, out);
         self.on_outcome(index, outcome, out);
     }
 
@@ -81,7 +81,7 @@
         out.push(Output::Event(Event::Named));
     }
 
-    fn tell(&mut self, index: Index, command: &Command, outcome: &Outcome, out: &mut Vec<Output>) {
+    fn report(&mut self, index: Index, command: &Command, outcome: &Outcome, out: &mut Vec<Output>) {
         match (&command.what, outcome) {
             (What::Text { .. }, Outcome::Text(wire::operator::Applied::Accepted { version }))
                 if *version == self.state.texts().version() =>
--- a/crates/control/src/control/io.rs
+++ b/crates/control/src/control/io.rs
@@ -236,18 +236,18 @@
 
 /// The requester of a change of the configuration text.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Asker {
+pub(super) enum Requester {
     /// An operator connected to this instance.
     Operator(Ticket),
     /// Another control instance, on behalf of an operator connected to it.
     Control(Ticket),
 }
 
-impl Asker {
+impl Requester {
     pub(super) fn answer(self, applied: Applied) -> Output {
         match self {
-            Asker::Operator(ticket) => Output::Applied { ticket, applied },
-            Asker::Control(ticket) => {
+            Requester::Operator(ticket) => Output::Applied { ticket, applied },
+            Requester::Control(ticket) => {
                 let reply = Reply::Applied(applied);
                 Output::Reply { ticket, reply }
             }
--- a/crates/control/src/control/query.rs
+++ b/crates/control/src/control/query.rs
@@ -41,9 +41,9 @@
     /// from.
     fn brands(&self) -> Vec<BrandStatus> {
         let heard = self.grantor.instances().map(|(name, ..)| name);
-        let said = heard.filter_map(|name| self.shares.get(name)).flatten();
+        let reported = heard.filter_map(|name| self.shares.get(name)).flatten();
         let mut sums: BTreeMap<&BrandName, (BrandStatus, u64, u64)> = BTreeMap::new();
-        for share in said {
+        for share in reported {
             let fresh = || (BrandStatus::none(&share.brand), 0, 0);
             let (sum, sent, waited) = sums.entry(&share.brand).or_insert_with(fresh);
             sum.tokens += share.tokens;
--- a/crates/control/src/state.rs
+++ b/crates/control/src/state.rs
@@ -12,7 +12,7 @@
 
 /// Retry delay for a claim of an instance that is not in the table yet: the change that
 /// its first heartbeat causes has not been applied.
-const UNKNOWN_RETRY: std::time::Duration = std::time::Duration::from_secs(1);
+const UNKNOWN_CLAIMER_RETRY: std::time::Duration = std::time::Duration::from_secs(1);
 
 record! {
     /// The outcome of one command.
@@ -32,6 +32,7 @@
     /// The replicated state.
     #[derive(Default)]
     pub struct State {
+        /// Time on the state clock, in milliseconds.
         at: u64,
         texts: Texts,
         editions: Editions,
@@ -84,7 +85,7 @@
                 self.zones.own(index, zone, instance);
                 Outcome::Named(Taken::InForce)
             }
-            What::Owner(change) => Outcome::Owner(self.own(index, change)),
+            What::Owner(change) => Outcome::Owner(self.change_owners(index, change)),
             What::Lapse(id) => {
                 if self.table.knows(id) {
                     self.claims.lapse(self.at, &id.instance);
@@ -164,13 +165,13 @@
         // other instance would stay under way forever if that instance died.
         if !self.table.members().contains_key(&claim.instance) {
             base::hit!(unknown_claimer);
-            let retry = UNKNOWN_RETRY;
+            let retry = UNKNOWN_CLAIMER_RETRY;
             return Some(ClaimReply::NotNow { retry });
         }
         Some(self.claims.claim(self.at, wall, claim))
     }
 
-    fn own(&mut self, index: u64, change: &Change) -> bool {
+    fn change_owners(&mut self, index: u64, change: &Change) -> bool {
         let done = self.table.apply(index, change);
         if let (true, Change::Join { id, .. } | Change::Dismiss { id }) = (done, change) {
             self.claims.lapse(self.at, &id.instance);
--- a/crates/control/src/state/saved.rs
+++ b/crates/control/src/state/saved.rs
@@ -58,7 +58,7 @@
             return Err(BadState::Format(saved.format));
         }
         let mut texts = saved.texts.into_owned();
-        texts.index();
+        texts.rebuild_index();
         Ok(State {
             at: saved.at,
             texts,
--- a/crates/control/src/texts.rs
+++ b/crates/control/src/texts.rs
@@ -10,14 +10,14 @@
 
 /// Number of accepted changes that are remembered, for the history and to answer a resent
 /// change.
-const CHANGES_MAX: usize = 20_000;
+const HISTORY_MAX: usize = 20_000;
 
 /// Number of changes kept as patches. An instance that missed more gets the full text.
-const RECENT_MAX: usize = 64;
+const PATCHES_MAX: usize = 64;
 
 /// Lines added or removed beyond which a patch is not kept, because sending the full text
 /// costs no more.
-const RECENT_LINES: u32 = 2_000;
+const PATCH_LINES_MAX: u32 = 2_000;
 
 /// Retry delay in replies about a change whose outcome is forgotten: zero, since no retry can
 /// tell more.
@@ -30,14 +30,16 @@
         version: TextVersion,
         text: String,
         /// Patches of the latest changes, for instances that are a few versions behind.
-        recent: VecDeque<Patch>,
-        history: VecDeque<Won>,
+        patches: VecDeque<Patch>,
+        /// The latest accepted changes, oldest first.
+        history: VecDeque<AcceptedChange>,
+        /// The version that each change in `history` created; derived from it.
         #[serde(skip)]
         by_id: BTreeMap<ChangeId, TextVersion>,
     }
 
     /// An accepted change.
-    struct Won {
+    struct AcceptedChange {
         entry: Entry,
         digest: [u8; 16],
     }
@@ -80,7 +82,7 @@
 
     /// Returns the accepted changes after version `from`, oldest first.
     pub fn history(&self, from: TextVersion) -> impl Iterator<Item = &Entry> {
-        let entries = self.history.iter().map(|won| &won.entry);
+        let entries = self.history.iter().map(|accepted| &accepted.entry);
         entries.filter(move |entry| entry.version > from)
     }
 
@@ -93,14 +95,14 @@
         // neither be applied twice nor be reported as conflicting with itself. Outcomes
         // are part of the replicated state, so they survive changes of leader, snapshots
         // and restarts.
-        if let Some(won) = self.by_id.get(given.change).and_then(|v| self.won(*v)) {
+        if let Some(accepted) = self.by_id.get(given.change).and_then(|v| self.accepted(*v)) {
             base::hit!(resent_change);
-            if won.digest != given.digest {
+            if accepted.digest != given.digest {
                 return Some(Applied::Refused {
                     why: Why::ChangeReused,
                 });
             }
-            let version = won.entry.version;
+            let version = accepted.entry.version;
             return Some(Applied::Accepted { version });
         }
         if given.base == self.version {
@@ -111,17 +113,17 @@
         // first.
         base::hit!(lost_race);
         let next = given.base.next();
-        let winner = self.won(next).or_else(|| self.history.back());
+        let winner = self.accepted(next).or_else(|| self.history.back());
         let forgotten = self
             .history
             .front()
-            .is_some_and(|won| won.entry.version > next);
+            .is_some_and(|accepted| accepted.entry.version > next);
         Some(match winner {
-            Some(won) if !forgotten => Applied::Refused {
+            Some(accepted) if !forgotten => Applied::Refused {
                 why: Why::Conflict {
                     version: self.version,
-                    winner: won.entry.change.clone(),
-                    by: won.entry.by.clone(),
+                    winner: accepted.entry.change.clone(),
+                    by: accepted.entry.by.clone(),
                 },
             },
             Some(_) => Applied::Unknown {
@@ -150,7 +152,7 @@
         };
         self.version = self.version.next();
         self.text = text;
-        self.keep(patch);
+        self.keep_patch(patch);
         let entry = Entry {
             version: self.version,
             change: given.change.clone(),
@@ -160,8 +162,8 @@
         };
         let digest = given.digest;
         self.by_id.insert(given.change.clone(), self.version);
-        self.history.push_back(Won { entry, digest });
-        if self.history.len() > CHANGES_MAX
+        self.history.push_back(AcceptedChange { entry, digest });
+        if self.history.len() > HISTORY_MAX
             && let Some(old) = self.history.pop_front()
         {
             self.by_id.remove(&old.entry.change);
@@ -177,28 +179,28 @@
     pub fn since(&self, have: TextVersion) -> Option<Vec<Patch>> {
         let missed = self.version.get().checked_sub(have.get())?;
         let missed = usize::try_from(missed).ok()?;
-        let first = self.recent.len().checked_sub(missed)?;
-        (have > TextVersion(0)).then(|| self.recent.range(first..).cloned().collect())
+        let first = self.patches.len().checked_sub(missed)?;
+        (have > TextVersion(0)).then(|| self.patches.range(first..).cloned().collect())
     }
 
-    fn keep(&mut self, patch: &Patch) {
-        if patch.added().max(patch.removed()) > RECENT_LINES {
-            self.recent.clear();
+    fn keep_patch(&mut self, patch: &Patch) {
+        if patch.added().max(patch.removed()) > PATCH_LINES_MAX {
+            self.patches.clear();
             return;
         }
-        self.recent.push_back(patch.clone());
-        if self.recent.len() > RECENT_MAX {
-            self.recent.pop_front();
+        self.patches.push_back(patch.clone());
+        if self.patches.len() > PATCHES_MAX {
+            self.patches.pop_front();
         }
     }
 
     /// Rebuilds the fields that are not stored, after decoding.
-    pub(crate) fn index(&mut self) {
-        let all = self.history.iter().map(|won| &won.entry);
+    pub(crate) fn rebuild_index(&mut self) {
+        let all = self.history.iter().map(|accepted| &accepted.entry);
         self.by_id = all.map(|e| (e.change.clone(), e.version)).collect();
     }
 
-    fn won(&self, version: TextVersion) -> Option<&Won> {
+    fn accepted(&self, version: TextVersion) -> Option<&AcceptedChange> {
         let first = self.history.front()?.entry.version;
         let at = version.get().checked_sub(first.get())?;
         self.history.get(usize::try_from(at).ok()?)
