--- a/crates/control/src/control.rs
+++ b/crates/control/src/control.rs
@@ -14,7 +14,7 @@
 use replog::{Index, Replica, Term};
 use wire::call::{Reply, Share};
 
-pub use self::io::{Event, Input, Output, Unnamed};
+pub use self::io::{Event, Input, Output, NotPublished};
 use self::{answer::Waiting, io::Requester};
 use crate::{Command, Item, Limits, Outcome, State, What};
 
@@ -41,7 +41,7 @@
     /// instance; read only while the log is empty.
     pub limits: Limits,
     /// Interval at which the leader checks for changes to propose.
-    pub tick: Duration,
+    pub check_interval: Duration,
 }
 
 impl Default for Config {
@@ -49,7 +49,7 @@
         Config {
             owner: owner::Config::default(),
             limits: Limits::default(),
-            tick: Duration::from_millis(200),
+            check_interval: Duration::from_millis(200),
         }
     }
 }
@@ -172,11 +172,11 @@
             Input::Apply { ticket, apply } => {
                 self.on_apply(now, Requester::Operator(ticket), apply, out)
             }
-            Input::Passed { ticket, reply } => self.on_passed(ticket, reply, out),
+            Input::Forwarded { ticket, reply } => self.on_forwarded(ticket, reply, out),
             Input::Synced { upto } => self.drive(now, replog::Input::Synced { upto }, out),
             Input::WriteFailed { no } => self.drive(now, replog::Input::WriteFailed { no }, out),
             Input::Space { full } => self.drive(now, replog::Input::Space { full }, out),
-            Input::Name { ticket, what } => self.on_named(now, ticket, what, out),
+            Input::Publish { ticket, what } => self.on_publish(now, ticket, what, out),
             Input::Peers { peers } => self.drive(now, replog::Input::Peers { peers }, out),
             Input::List { instances } => self.grantor.set_list(instances),
             Input::Wall { ms } => self.wall = (now, ms),
@@ -230,7 +230,7 @@
             return;
         }
         if now >= self.next_check {
-            self.next_check = now + self.config.tick;
+            self.next_check = now + self.config.check_interval;
             let mut changes = Vec::new();
             self.grantor.wake(now, self.state.table(), &mut changes);
             self.propose_changes(now, changes, out);
--- a/crates/control/src/control/answer.rs
+++ b/crates/control/src/control/answer.rs
@@ -8,7 +8,7 @@
 };
 
 use super::{Control, Outcome, Output, RETRY_MS, io::Requester};
-use crate::Unnamed;
+use crate::NotPublished;
 
 /// Who waits for the outcome of a proposal.
 #[derive(Clone, Debug)]
@@ -20,7 +20,7 @@
     /// The requesters of claims, one per item of the command.
     Claims(Vec<Option<Ticket>>),
     /// The operator that publishes an edition or an adapter's version.
-    Named(Ticket),
+    Published(Ticket),
     /// The caller that adds or removes a replica.
     Members(Ticket),
 }
@@ -82,9 +82,9 @@
     fn finish(&mut self, ticket: u64, outcome: Outcome, out: &mut Vec<Output>) {
         match (self.waiting.remove(&ticket), outcome) {
             (Some(Waiting::Text(requester)), Outcome::Text(applied)) => out.push(requester.answer(applied)),
-            (Some(Waiting::Named(ticket)), Outcome::Named(taken)) => {
-                let result = Ok(taken);
-                out.push(Output::Named { ticket, result });
+            (Some(Waiting::Published(ticket)), Outcome::Published(outcome)) => {
+                let result = Ok(outcome);
+                out.push(Output::Published { ticket, result });
             }
             (Some(Waiting::Claims(tickets)), Outcome::Claims(answers)) => {
                 self.claiming = false;
@@ -103,9 +103,9 @@
     fn reject(&mut self, ticket: u64, rejected: &Rejected, out: &mut Vec<Output>) {
         match self.waiting.remove(&ticket) {
             Some(Waiting::Text(requester)) => out.push(requester.answer(applied_reply(rejected))),
-            Some(Waiting::Named(ticket)) => {
-                let result = Err(unnamed_of(rejected, self.other_leader()));
-                out.push(Output::Named { ticket, result });
+            Some(Waiting::Published(ticket)) => {
+                let result = Err(not_published(rejected, self.other_leader()));
+                out.push(Output::Published { ticket, result });
             }
             Some(Waiting::Claims(tickets)) => {
                 self.claiming = false;
@@ -128,12 +128,12 @@
     }
 }
 
-fn unnamed_of(rejected: &Rejected, leader: Option<base::InstanceName>) -> Unnamed {
+fn not_published(rejected: &Rejected, leader: Option<base::InstanceName>) -> NotPublished {
     match rejected {
-        Rejected::Unknown { .. } => Unnamed::Unknown,
+        Rejected::Unknown { .. } => NotPublished::Unknown,
         Rejected::NotAccepted { why, .. } => match why {
-            WhyNot::NotLeader => Unnamed::Elsewhere { leader },
-            _ => Unnamed::Busy,
+            WhyNot::NotLeader => NotPublished::Elsewhere { leader },
+            _ => NotPublished::Busy,
         },
     }
 }
--- a/crates/control/src/control/calls.rs
+++ b/crates/control/src/control/calls.rs
@@ -10,7 +10,7 @@
 };
 
 use super::{Control, Item, Output, CLAIM_QUEUE_MAX, RETRY_MS, What, answer::Waiting, io::Requester};
-use crate::{Given, Patch, Texts, Unnamed};
+use crate::{TextChange, Patch, Texts, NotPublished};
 
 impl Control {
     pub(super) fn on_call(&mut self, now: Time, ticket: Ticket, call: Call, out: &mut Vec<Output>) {
@@ -49,7 +49,7 @@
 
     /// Handles an edition or an adapter's version published by an operator; only the
     /// leader accepts it.
-    pub(super) fn on_named(
+    pub(super) fn on_publish(
         &mut self,
         now: Time,
         ticket: Ticket,
@@ -57,13 +57,13 @@
         out: &mut Vec<Output>,
     ) {
         if !self.replica.leads(now) {
-            let result = Err(Unnamed::Elsewhere {
+            let result = Err(NotPublished::Elsewhere {
                 leader: self.other_leader(),
             });
-            out.push(Output::Named { ticket, result });
+            out.push(Output::Published { ticket, result });
             return;
         }
-        self.propose(now, what, Waiting::Named(ticket), out);
+        self.propose(now, what, Waiting::Published(ticket), out);
     }
 
     pub(super) fn on_apply(
@@ -74,10 +74,10 @@
         out: &mut Vec<Output>,
     ) {
         if !self.replica.leads(now) {
-            out.push(self.pass(requester, apply));
+            out.push(self.forward(requester, apply));
             return;
         }
-        let given = Given {
+        let given = TextChange {
             change: &apply.change,
             base: apply.base,
             by: &apply.by,
@@ -105,7 +105,7 @@
     }
 
     /// Handles the leader's answer to a change that was forwarded to it.
-    pub(super) fn on_passed(
+    pub(super) fn on_forwarded(
         &mut self,
         ticket: Ticket,
         reply: Option<Reply>,
@@ -129,9 +129,9 @@
         (leader != self.replica.id()).then(|| leader.instance.clone())
     }
 
-    fn pass(&self, requester: Requester, apply: Apply) -> Output {
+    fn forward(&self, requester: Requester, apply: Apply) -> Output {
         match (requester, self.other_leader()) {
-            (Requester::Operator(ticket), Some(to)) => Output::Pass { ticket, to, apply },
+            (Requester::Operator(ticket), Some(to)) => Output::Forward { ticket, to, apply },
             (Requester::Operator(_), None) => {
                 let retry_ms = RETRY_MS;
                 let why = Why::NoQuorum { retry_ms };
--- a/crates/control/src/control/drive.rs
+++ b/crates/control/src/control/drive.rs
@@ -8,7 +8,7 @@
 use wire::call::Call;
 
 use super::{Control, Event, Output};
-use crate::{Command, Outcome, State, Taken, What};
+use crate::{Command, Outcome, State, PublishOutcome, What};
 
 impl Control {
     /// Hands one input to the replica and carries out the resulting outputs.
@@ -78,7 +78,7 @@
         }
         self.give_up_before(index, out);
         self.text_changed(out);
-        out.push(Output::Event(Event::Named));
+        out.push(Output::Event(Event::Published));
     }
 
     fn report(&mut self, index: Index, command: &Command, outcome: &Outcome, out: &mut Vec<Output>) {
@@ -88,7 +88,7 @@
             {
                 self.text_changed(out);
             }
-            (_, Outcome::Named(Taken::InForce)) => out.push(Output::Event(Event::Named)),
+            (_, Outcome::Published(PublishOutcome::InForce)) => out.push(Output::Event(Event::Published)),
             (What::Owner(change), Outcome::Owner(true)) => {
                 let event = event_of(index, change);
                 out.extend(event.map(Output::Event));
--- a/crates/control/src/control/io.rs
+++ b/crates/control/src/control/io.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use crate::{Taken, What};
+use crate::{PublishOutcome, What};
 use base::{Fence, InstanceName, TargetName, TextVersion, Ticket, Time};
 use replog::{HaltReason, Index, Record, Rejected, ReplicaId, Snapshot, Term, WriteNo};
 
@@ -30,8 +30,8 @@
         apply: Apply,
     },
     /// An operator publishes an edition or an adapter's version; answered by
-    /// [`Output::Named`].
-    Name {
+    /// [`Output::Published`].
+    Publish {
         /// Identifies the request in its answer.
         ticket: Ticket,
         /// [`What::Publish`] or [`What::Revise`].
@@ -42,8 +42,8 @@
         /// Their names.
         peers: Vec<InstanceName>,
     },
-    /// The result of an [`Output::Pass`].
-    Passed {
+    /// The result of an [`Output::Forward`].
+    Forwarded {
         /// The ticket of the change.
         ticket: Ticket,
         /// The leader's reply; none if it was lost.
@@ -97,7 +97,7 @@
 
 /// Why an edition or an adapter's version was not published.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Unnamed {
+pub enum NotPublished {
     /// This instance doesn't lead; another one may accept it.
     Elsewhere {
         /// The leader, as far as known.
@@ -128,15 +128,15 @@
         applied: Applied,
     },
     /// Answer an operator that publishes an edition or an adapter's version.
-    Named {
+    Published {
         /// The request's ticket.
         ticket: Ticket,
         /// Its outcome, or why it was not published.
-        result: Result<Taken, Unnamed>,
+        result: Result<PublishOutcome, NotPublished>,
     },
     /// Forward a change to the leader by [`Call::Apply`], and hand in the reply as
-    /// [`Input::Passed`].
-    Pass {
+    /// [`Input::Forwarded`].
+    Forward {
         /// The change's ticket.
         ticket: Ticket,
         /// The leader.
@@ -205,7 +205,7 @@
         fence: Fence,
     },
     /// An edition, an adapter's version or a zone owner has changed.
-    Named,
+    Published,
     /// An entry instance joined the table.
     Joined {
         /// Its name.
--- a/crates/control/src/editions.rs
+++ b/crates/control/src/editions.rs
@@ -20,7 +20,7 @@
     }
 
     /// The outcome of publishing an edition or an adapter's version.
-    pub enum Taken {
+    pub enum PublishOutcome {
         /// It is in force.
         InForce,
         /// Its number is not higher than the one in force; nothing changed.
@@ -47,23 +47,23 @@
     /// is resent after its reply was lost. If either were accepted, clients would see one
     /// configuration, then another one, then the first again. So only a higher number has
     /// an effect, in the order of the log.
-    pub(crate) fn publish(&mut self, edition: &Edition) -> Taken {
+    pub(crate) fn publish(&mut self, edition: &Edition) -> PublishOutcome {
         let held = self.newest.as_ref().map_or(0, |held| held.number);
         if self.newest.is_some() && edition.number <= held {
             base::hit!(edition_not_higher);
-            return Taken::Before;
+            return PublishOutcome::Before;
         }
         self.newest = Some(edition.clone());
-        Taken::InForce
+        PublishOutcome::InForce
     }
 
     /// Accepts an adapter's version if it is higher than the newest so far.
-    pub(crate) fn revise(&mut self, adapter: &str, version: u32) -> Taken {
+    pub(crate) fn revise(&mut self, adapter: &str, version: u32) -> PublishOutcome {
         let held = self.versions.entry(adapter.to_owned()).or_default();
         if version <= *held {
-            return Taken::Before;
+            return PublishOutcome::Before;
         }
         *held = version;
-        Taken::InForce
+        PublishOutcome::InForce
     }
 }
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -18,11 +18,11 @@
 pub use crate::{
     claims::{Claims, Limits},
     command::{BadCommand, Command, Item, What},
-    control::{Check, Checked, Config, Control, Event, Input, Output, Unnamed},
-    editions::{Editions, Taken},
+    control::{Check, Checked, Config, Control, Event, Input, Output, NotPublished},
+    editions::{Editions, PublishOutcome},
     state::{BadState, Outcome, State},
-    texts::{Given, Texts},
-    zones::{ZoneOwner, ZoneOwners},
+    texts::{TextChange, Texts},
+    zones::{ZoneGrant, ZoneGrants},
 };
 
 pub use wire::patch::{BadPatch, Patch};
--- a/crates/control/src/state.rs
+++ b/crates/control/src/state.rs
@@ -8,7 +8,7 @@
 
 pub use self::saved::BadState;
 use self::saved::Saved;
-use crate::{Claims, Command, Editions, Given, Item, Limits, Taken, Texts, What, ZoneOwners};
+use crate::{Claims, Command, Editions, TextChange, Item, Limits, PublishOutcome, Texts, What, ZoneGrants};
 
 /// Retry delay for a claim of an instance that is not in the table yet: the change that
 /// its first heartbeat causes has not been applied.
@@ -24,7 +24,7 @@
         /// Of a change of entry instances or engine owners: whether it had an effect.
         Owner(bool),
         /// Of a published edition or adapter version.
-        Named(Taken),
+        Published(PublishOutcome),
         /// Of a command without result.
         Done,
     }
@@ -36,7 +36,7 @@
         at: u64,
         texts: Texts,
         editions: Editions,
-        zones: ZoneOwners,
+        zones: ZoneGrants,
         table: Table,
         claims: Claims,
     }
@@ -65,7 +65,7 @@
                 patch,
                 digest,
             } => {
-                let given = Given {
+                let given = TextChange {
                     change,
                     base: *base,
                     by,
@@ -77,13 +77,13 @@
                 let answers = items.iter().map(|item| self.claim(command.wall, item));
                 Outcome::Claims(answers.collect())
             }
-            What::Publish(edition) => Outcome::Named(self.editions.publish(edition)),
+            What::Publish(edition) => Outcome::Published(self.editions.publish(edition)),
             What::Revise { adapter, version } => {
-                Outcome::Named(self.editions.revise(adapter, *version))
+                Outcome::Published(self.editions.revise(adapter, *version))
             }
             What::OwnZone { zone, instance } => {
-                self.zones.own(index, zone, instance);
-                Outcome::Named(Taken::InForce)
+                self.zones.grant(index, zone, instance);
+                Outcome::Published(PublishOutcome::InForce)
             }
             What::Owner(change) => Outcome::Owner(self.change_owners(index, change)),
             What::Lapse(id) => {
@@ -117,7 +117,7 @@
 
     /// Returns the zone owner of each zone.
     #[must_use]
-    pub fn zones(&self) -> &ZoneOwners {
+    pub fn zones(&self) -> &ZoneGrants {
         &self.zones
     }
 
--- a/crates/control/src/state/saved.rs
+++ b/crates/control/src/state/saved.rs
@@ -7,7 +7,7 @@
 use thiserror::Error;
 
 use super::State;
-use crate::{Claims, Editions, Texts, ZoneOwners};
+use crate::{Claims, Editions, Texts, ZoneGrants};
 
 /// Number of the format written here. Snapshots in any other format are refused, as their
 /// fields might be misread.
@@ -31,7 +31,7 @@
     at: u64,
     texts: Cow<'a, Texts>,
     editions: Cow<'a, Editions>,
-    zones: Cow<'a, ZoneOwners>,
+    zones: Cow<'a, ZoneGrants>,
     table: Cow<'a, Table>,
     claims: Cow<'a, Claims>,
 }
--- a/crates/control/src/texts.rs
+++ b/crates/control/src/texts.rs
@@ -47,7 +47,7 @@
 
 /// A change of the text as given in a command or a request.
 #[derive(Clone, Copy, Debug)]
-pub struct Given<'a> {
+pub struct TextChange<'a> {
     /// Its id.
     pub change: &'a ChangeId,
     /// The version to which it applies.
@@ -90,7 +90,7 @@
     /// resend, or its base version is outdated. Returns none if the change may be
     /// accepted.
     #[must_use]
-    pub fn known(&self, given: Given<'_>) -> Option<Applied> {
+    pub fn known(&self, given: TextChange<'_>) -> Option<Applied> {
         // Guard: an operator that gets no reply sends the change again. The change must
         // neither be applied twice nor be reported as conflicting with itself. Outcomes
         // are part of the replicated state, so they survive changes of leader, snapshots
@@ -138,7 +138,7 @@
     }
 
     /// Applies a change from the log and returns its outcome.
-    pub(crate) fn apply(&mut self, given: Given<'_>, patch: &Patch) -> Applied {
+    pub(crate) fn apply(&mut self, given: TextChange<'_>, patch: &Patch) -> Applied {
         if let Some(applied) = self.known(given) {
             return applied;
         }
--- a/crates/control/src/zones.rs
+++ b/crates/control/src/zones.rs
@@ -7,7 +7,7 @@
 
 record! {
     /// Records which control instance owns a zone.
-    pub struct ZoneOwner {
+    pub struct ZoneGrant {
         /// The control instance.
         pub instance: InstanceName,
         /// Its fencing number: the index of the log entry that made it the zone owner.
@@ -16,31 +16,31 @@
 
     /// The zone owners, by zone.
     #[derive(Default)]
-    pub struct ZoneOwners {
-        owners: BTreeMap<String, ZoneOwner>,
+    pub struct ZoneGrants {
+        grants: BTreeMap<String, ZoneGrant>,
     }
 }
 
-impl ZoneOwners {
+impl ZoneGrants {
     /// Returns the zone owners, by zone.
     #[must_use]
-    pub fn all(&self) -> &BTreeMap<String, ZoneOwner> {
-        &self.owners
+    pub fn all(&self) -> &BTreeMap<String, ZoneGrant> {
+        &self.grants
     }
 
     /// Returns the zones that `instance` owns, each with its fencing number.
     pub fn of(&self, instance: &InstanceName) -> impl Iterator<Item = (&str, u64)> {
-        let all = self.owners.iter();
-        let own = all.filter(move |(_, owner)| owner.instance == *instance);
-        own.map(|(zone, owner)| (zone.as_str(), owner.fence))
+        let all = self.grants.iter();
+        let own = all.filter(move |(_, grant)| grant.instance == *instance);
+        own.map(|(zone, grant)| (zone.as_str(), grant.fence))
     }
 
     /// Makes `instance` the owner of `zone` by the log entry at `index`.
-    pub(crate) fn own(&mut self, index: u64, zone: &str, instance: &InstanceName) {
-        let owner = ZoneOwner {
+    pub(crate) fn grant(&mut self, index: u64, zone: &str, instance: &InstanceName) {
+        let grant = ZoneGrant {
             instance: instance.clone(),
             fence: index,
         };
-        self.owners.insert(zone.to_owned(), owner);
+        self.grants.insert(zone.to_owned(), grant);
     }
 }
--- a/crates/control/tests/editions.rs
+++ b/crates/control/tests/editions.rs
@@ -1,6 +1,6 @@
 //! Editions, versions of adapters and zone owners, on the state machine alone.
 
-use control::{Command, Outcome, State, Taken, What};
+use control::{Command, Outcome, State, PublishOutcome, What};
 use googletest::prelude::*;
 use wire::fleet::Edition;
 
@@ -36,19 +36,19 @@
     let _mark = base::ExpectedMark::new("edition_not_higher");
     assert_that!(
         publish(&mut state, 3, "a"),
-        eq(&Outcome::Named(Taken::InForce))
+        eq(&Outcome::Published(PublishOutcome::InForce))
     );
     assert_that!(
         publish(&mut state, 7, "b"),
-        eq(&Outcome::Named(Taken::InForce))
+        eq(&Outcome::Published(PublishOutcome::InForce))
     );
     assert_that!(
         publish(&mut state, 7, "c"),
-        eq(&Outcome::Named(Taken::Before))
+        eq(&Outcome::Published(PublishOutcome::Before))
     );
     assert_that!(
         publish(&mut state, 3, "a"),
-        eq(&Outcome::Named(Taken::Before))
+        eq(&Outcome::Published(PublishOutcome::Before))
     );
     assert_that!(body(&state), some(eq("b")));
 }
@@ -56,8 +56,8 @@
 #[gtest]
 fn a_version_of_an_adapter_never_goes_back() {
     let mut state = State::default();
-    assert_that!(revise(&mut state, 2), eq(&Outcome::Named(Taken::InForce)));
-    assert_that!(revise(&mut state, 1), eq(&Outcome::Named(Taken::Before)));
+    assert_that!(revise(&mut state, 2), eq(&Outcome::Published(PublishOutcome::InForce)));
+    assert_that!(revise(&mut state, 1), eq(&Outcome::Published(PublishOutcome::Before)));
     assert_that!(state.editions().versions().get("m/a"), some(eq(&2)));
 }
 
--- a/crates/controld/src/peers.rs
+++ b/crates/controld/src/peers.rs
@@ -58,7 +58,7 @@
             Some(address) => passed(&state, address, apply).await,
             None => Some(Reply::Elsewhere { leader: None }),
         };
-        state.tell(Input::Passed { ticket, reply });
+        state.tell(Input::Forwarded { ticket, reply });
     });
 }
 
--- a/crates/controld/src/shell.rs
+++ b/crates/controld/src/shell.rs
@@ -228,7 +228,7 @@
         match output {
             Output::Reply { ticket, reply } => state.reply(ticket, reply),
             Output::Applied { ticket, applied } => state.answer(ticket, applied),
-            Output::Pass { ticket, to, apply } => peers::pass(state, ticket, &to, apply),
+            Output::Forward { ticket, to, apply } => peers::pass(state, ticket, &to, apply),
             Output::Send { to, call } => peers::send(state, &to, call),
             Output::Write { no, records } => {
                 self.write(replog::Output::Write { no, records });
@@ -243,7 +243,7 @@
                 records,
             }),
             // Nobody here changes replicas, or names editions and versions.
-            Output::Members { .. } | Output::Named { .. } => {}
+            Output::Members { .. } | Output::Published { .. } => {}
             Output::Wake(at) => self.wake = at,
             Output::Event(report) => write_event(report),
         }
@@ -298,7 +298,7 @@
             owner = instance,
             fence = fence
         ),
-        Event::Named => {}
+        Event::Published => {}
         Event::Joined { instance } => event!(Line::PeerBack, instance = instance),
         Event::Admitted { instance } => event!(Line::PeerBack, instance = instance),
         Event::Dismissed { instance } => event!(Line::PeerSilent, instance = instance),
--- a/crates/frontd/src/control/shell.rs
+++ b/crates/frontd/src/control/shell.rs
@@ -13,7 +13,7 @@
 };
 
 use base::{InstanceName, Ticket, Time};
-use control::{Control, Event, Input, Output, Unnamed, What};
+use control::{Control, Event, Input, Output, NotPublished, What};
 use daemon::{Clock, Links};
 use disk::Writer;
 use gateway::{
@@ -295,7 +295,7 @@
             Job::Renewed { asked, zones } => self.renewed(asked, zones),
             Job::Name { what, to } => {
                 let ticket = self.wait(Waiter::Name(to));
-                self.input(Input::Name { ticket, what });
+                self.input(Input::Publish { ticket, what });
             }
             Job::Newest(to) => {
                 to.send(self.newest()).ok();
@@ -366,7 +366,7 @@
                     to.send(reply).ok();
                 }
             }
-            Output::Named { ticket, result } => match self.waiters.remove(&ticket) {
+            Output::Published { ticket, result } => match self.waiters.remove(&ticket) {
                 Some(Waiter::Name(to)) => {
                     to.send(self.named(result)).ok();
                 }
@@ -391,19 +391,19 @@
             Output::Event(report) => self.report(report),
             // Texts of brands and hand-made changes of replicas play no part
             // here: nothing asks for them.
-            Output::Applied { .. } | Output::Pass { .. } | Output::Members { .. } => {}
+            Output::Applied { .. } | Output::Forward { .. } | Output::Members { .. } => {}
         }
     }
 
-    fn named(&self, result: Result<control::Taken, Unnamed>) -> Named {
+    fn named(&self, result: Result<control::PublishOutcome, NotPublished>) -> Named {
         match result {
             Ok(_) => Named::Done,
-            Err(Unnamed::Elsewhere { leader }) => {
+            Err(NotPublished::Elsewhere { leader }) => {
                 let address = leader.and_then(|name| names::address(&name, self.port));
                 Named::Elsewhere(address.map(|a| a.ip()))
             }
-            Err(Unnamed::Busy) => Named::Busy,
-            Err(Unnamed::Unknown) => Named::Unknown,
+            Err(NotPublished::Busy) => Named::Busy,
+            Err(NotPublished::Unknown) => Named::Unknown,
         }
     }
 
@@ -435,7 +435,7 @@
                 event!(Line::LeaderLost);
                 self.granter.follow();
             }
-            Event::Named => self.named_changed(),
+            Event::Published => self.named_changed(),
             Event::Halted { reason } => {
                 event!(Line::DiskFailed, why = reason.to_string());
                 self.end = Some(match reason {
--- a/crates/frontd/src/control/shell/zones.rs
+++ b/crates/frontd/src/control/shell/zones.rs
@@ -81,7 +81,7 @@
             }
             let ticket = self.wait(Waiter::Zone(zone.clone()));
             let what = What::OwnZone { zone, instance };
-            self.input(Input::Name { ticket, what });
+            self.input(Input::Publish { ticket, what });
         }
     }
 
--- a/crates/scenarios/src/world.rs
+++ b/crates/scenarios/src/world.rs
@@ -383,7 +383,7 @@
             Output::Applied { ticket, applied } => {
                 self.answer(name, ticket, |id| Msg::Applied(id, applied));
             }
-            Output::Pass { ticket, to, apply } => {
+            Output::Forward { ticket, to, apply } => {
                 let call = Call::Apply(apply);
                 self.ask(name, to.as_str(), Pending::Pass(ticket), |id| {
                     Msg::Call(id, call)
@@ -404,7 +404,7 @@
                 self.wake(name, wait);
             }
             // Scenarios change replicas and name editions by other means.
-            Output::Members { .. } | Output::Named { .. } => {}
+            Output::Members { .. } | Output::Published { .. } => {}
             Output::Event(event) => self.log(|| format!("{name} {event:?}")),
         }
     }
--- a/crates/scenarios/src/world/act.rs
+++ b/crates/scenarios/src/world/act.rs
@@ -57,7 +57,7 @@
                     .keeper(name)
                     .is_some_and(|k| k.callers.contains_key(&ticket));
                 if open {
-                    self.drive_keeper(name, Input::Passed { ticket, reply });
+                    self.drive_keeper(name, Input::Forwarded { ticket, reply });
                 }
             }
             Step::EndRequest(id) => self.end_request(name, id),
--- a/crates/scenarios/src/world/deliver.rs
+++ b/crates/scenarios/src/world/deliver.rs
@@ -177,7 +177,7 @@
             .is_some_and(|k| k.callers.contains_key(&ticket));
         if open {
             let reply = Some(reply);
-            self.drive_keeper(name, Input::Passed { ticket, reply });
+            self.drive_keeper(name, Input::Forwarded { ticket, reply });
         }
     }
 
