--- a/crates/member/src/instances.rs
+++ b/crates/member/src/instances.rs
@@ -21,25 +21,30 @@
 struct Instance {
     zone: ZoneName,
     peer: String,
+    /// Its state in the platform's list; none if it is not listed.
     listed: Option<State>,
+    /// When it was last heard from.
     heard: Option<Time>,
+    /// Whether it announced that it is shutting down.
     leaving: bool,
 }
 
 /// The entry instances as one process sees them.
 #[derive(Debug)]
 pub struct Instances {
-    silence: Duration,
+    /// An instance not heard from for this time is suspect.
+    timeout: Duration,
+    /// Serial of the newest list.
     serial: u64,
     all: BTreeMap<InstanceName, Instance>,
 }
 
 impl Instances {
-    /// Creates an empty view. An instance not heard from for `silence` is suspect.
+    /// Creates an empty view. An instance not heard from for `timeout` is suspect.
     #[must_use]
-    pub fn new(silence: Duration) -> Self {
+    pub fn new(timeout: Duration) -> Self {
         Instances {
-            silence,
+            timeout,
             serial: 0,
             all: BTreeMap::new(),
         }
@@ -55,11 +60,11 @@
             instance.listed = None;
         }
         for entry in &list.instances {
-            self.note(&entry.name, &entry.zone, &entry.peer).listed = Some(entry.state);
+            self.entry(&entry.name, &entry.zone, &entry.peer).listed = Some(entry.state);
         }
-        let silence = self.silence;
+        let timeout = self.timeout;
         self.all
-            .retain(|_, i| i.listed.is_some() || i.fresh(now, silence));
+            .retain(|_, i| i.listed.is_some() || i.is_recent(now, timeout));
     }
 
     /// Records that an instance was heard from, by a heartbeat, a call or the leader's
@@ -72,7 +77,7 @@
         peer: &str,
         leaving: bool,
     ) {
-        let instance = self.note(name, zone, peer);
+        let instance = self.entry(name, zone, peer);
         instance.heard = Some(now);
         instance.leaving = leaving;
     }
@@ -83,8 +88,8 @@
     pub fn standing(&self, now: Time, name: &InstanceName) -> Option<Standing> {
         let instance = self.all.get(name)?;
         let leaving = instance.leaving || instance.listed == Some(State::Leaving);
-        let fresh = instance.fresh(now, self.silence);
-        match (leaving, fresh) {
+        let recent = instance.is_recent(now, self.timeout);
+        match (leaving, recent) {
             (true, _) => Some(Standing::Leaving),
             (false, true) => Some(Standing::Live),
             (false, false) if instance.listed.is_some() => Some(Standing::Suspect),
@@ -98,15 +103,15 @@
         all.map(|(name, i)| (name, &i.zone, i.peer.as_str()))
     }
 
-    fn note(&mut self, name: &InstanceName, zone: &ZoneName, peer: &str) -> &mut Instance {
-        let fresh = || Instance {
+    fn entry(&mut self, name: &InstanceName, zone: &ZoneName, peer: &str) -> &mut Instance {
+        let new = || Instance {
             zone: zone.clone(),
             peer: peer.to_owned(),
             listed: None,
             heard: None,
             leaving: false,
         };
-        let instance = self.all.entry(name.clone()).or_insert_with(fresh);
+        let instance = self.all.entry(name.clone()).or_insert_with(new);
         if instance.peer != peer {
             peer.clone_into(&mut instance.peer);
             instance.leaving = false;
@@ -116,7 +121,7 @@
 }
 
 impl Instance {
-    fn fresh(&self, now: Time, silence: Duration) -> bool {
-        self.heard.is_some_and(|at| now.since(at) < silence)
+    fn is_recent(&self, now: Time, timeout: Duration) -> bool {
+        self.heard.is_some_and(|at| now.since(at) < timeout)
     }
 }
--- a/crates/member/src/targets.rs
+++ b/crates/member/src/targets.rs
@@ -69,14 +69,18 @@
     /// When the newest accepted observation began.
     pub seen: Option<Time>,
     epoch: Epoch,
+    /// Observations that began before this serial are outdated.
     accepted: u64,
 }
 
 /// The targets as one process sees them.
 #[derive(Debug, Default)]
 pub struct Targets {
+    /// Serial of the newest list.
     list: u64,
+    /// The last epoch given to a target.
     epochs: u64,
+    /// The last serial given to an observation.
     serials: u64,
     all: BTreeMap<TargetName, Target>,
 }
@@ -94,7 +98,7 @@
         self.list = list.serial;
         let mut changed = self.drop_unlisted(list);
         for entry in &list.targets {
-            if self.take(entry) {
+            if self.update(entry) {
                 changed.push(entry.name.clone());
             }
         }
@@ -112,7 +116,7 @@
         })
     }
 
-    /// Ends the observation `watch`, which began at `began` and found the target's
+    /// Ends the observation `observation`, which began at `began` and found the target's
     /// `incarnation`, if the target reports it.
     ///
     /// # Errors
@@ -122,7 +126,7 @@
     pub fn finish(
         &mut self,
         name: &TargetName,
-        watch: Watch,
+        observation: Watch,
         began: Time,
         incarnation: Option<Incarnation>,
     ) -> Result<Look, Overtaken> {
@@ -131,15 +135,15 @@
         // drain, may arrive after that change. It would show adapters that are gone, or
         // mark a drained target as usable. Its epoch is outdated, so it is discarded
         // here.
-        if watch.epoch != target.epoch {
+        if observation.epoch != target.epoch {
             base::hit!(overtaken_by_change);
             return Err(Overtaken::Changed);
         }
-        if watch.serial < target.accepted {
+        if observation.serial < target.accepted {
             base::hit!(overtaken_by_newer);
             return Err(Overtaken::Newer);
         }
-        target.accepted = watch.serial;
+        target.accepted = observation.serial;
         target.seen = Some(began);
         let old = target.incarnation;
         target.incarnation = incarnation.or(old);
@@ -151,16 +155,16 @@
         Ok(Look::Restarted)
     }
 
-    /// Ends the order `watch`, a load or an unload, that was answered.
+    /// Ends the order `observation`, a load or an unload, that was answered.
     ///
     /// # Errors
     ///
     /// Fails if the target restarted, was drained or came back meanwhile: the effect of
     /// the order is lost.
-    pub fn ordered(&mut self, name: &TargetName, watch: Watch) -> Result<(), Overtaken> {
+    pub fn ordered(&mut self, name: &TargetName, observation: Watch) -> Result<(), Overtaken> {
         let serial = self.serials;
         let target = self.all.get_mut(name).ok_or(Overtaken::Gone)?;
-        if watch.epoch != target.epoch {
+        if observation.epoch != target.epoch {
             return Err(Overtaken::Changed);
         }
         // Guard: a report that began before the order was answered may show the engine's
@@ -172,21 +176,21 @@
         Ok(())
     }
 
-    /// Ends the observation `watch`, which failed. A failure counts under the same
+    /// Ends the observation `observation`, which failed. A failure counts under the same
     /// conditions as a success.
     ///
     /// # Errors
     ///
     /// Fails if the observation is outdated.
-    pub fn failed(&mut self, name: &TargetName, watch: Watch) -> Result<(), Overtaken> {
+    pub fn failed(&mut self, name: &TargetName, observation: Watch) -> Result<(), Overtaken> {
         let target = self.all.get_mut(name).ok_or(Overtaken::Gone)?;
-        if watch.epoch != target.epoch {
+        if observation.epoch != target.epoch {
             return Err(Overtaken::Changed);
         }
-        if watch.serial < target.accepted {
+        if observation.serial < target.accepted {
             return Err(Overtaken::Newer);
         }
-        target.accepted = watch.serial;
+        target.accepted = observation.serial;
         Ok(())
     }
 
@@ -217,7 +221,7 @@
         gone
     }
 
-    fn take(&mut self, entry: &wire::platform::Target) -> bool {
+    fn update(&mut self, entry: &wire::platform::Target) -> bool {
         let phase = match entry.state {
             State::Live => Phase::Live,
             State::Leaving => Phase::Leaving,
