--- a/crates/member/src/instances.rs
+++ b/crates/member/src/instances.rs
@@ -8,7 +8,7 @@
 
 /// Whether an instance is running, as far as known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum Liveness {
     /// Heard from recently and not shutting down.
     Live,
     /// Shutting down soon: gets no new work.
@@ -51,7 +51,7 @@
     }
 
     /// Takes in the platform's list; one older than the last is ignored.
-    pub fn list(&mut self, now: Time, list: &List) {
+    pub fn apply_list(&mut self, now: Time, list: &List) {
         if list.serial < self.serial {
             return;
         }
@@ -85,14 +85,14 @@
     /// Returns the liveness of `name`; none if it is neither listed nor recently heard
     /// from.
     #[must_use]
-    pub fn standing(&self, now: Time, name: &InstanceName) -> Option<Standing> {
+    pub fn liveness(&self, now: Time, name: &InstanceName) -> Option<Liveness> {
         let instance = self.all.get(name)?;
         let leaving = instance.leaving || instance.listed == Some(State::Leaving);
         let recent = instance.is_recent(now, self.timeout);
         match (leaving, recent) {
-            (true, _) => Some(Standing::Leaving),
-            (false, true) => Some(Standing::Live),
-            (false, false) if instance.listed.is_some() => Some(Standing::Suspect),
+            (true, _) => Some(Liveness::Leaving),
+            (false, true) => Some(Liveness::Live),
+            (false, false) if instance.listed.is_some() => Some(Liveness::Suspect),
             (false, false) => None,
         }
     }
--- a/crates/member/src/lib.rs
+++ b/crates/member/src/lib.rs
@@ -4,12 +4,12 @@
 //! No source suffices alone. The list tells what has been removed but lags behind what
 //! has started; a heartbeat doesn't announce a planned shutdown before it begins. An
 //! observation of a target counts only if the target did not change after the observation
-//! began; see [`Watch`].
+//! began; see [`Observation`].
 
 mod instances;
 mod targets;
 
 pub use crate::{
-    instances::{Instances, Standing},
-    targets::{Epoch, Look, Overtaken, Phase, Target, Targets, Watch},
+    instances::{Instances, Liveness},
+    targets::{Epoch, Observed, Outdated, Phase, Target, Targets, Observation},
 };
--- a/crates/member/src/targets.rs
+++ b/crates/member/src/targets.rs
@@ -22,7 +22,7 @@
 
     /// Identifies an observation that is under way. Returned by [`Targets::begin`] and
     /// handed back when the observation ends.
-    pub struct Watch {
+    pub struct Observation {
         /// The target's epoch when it began.
         epoch: Epoch,
         /// Its number, in the order in which observations of all targets began.
@@ -32,7 +32,7 @@
 
 /// Why an observation was discarded.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
-pub enum Overtaken {
+pub enum Outdated {
     /// The target restarted, was drained or came back after it began.
     #[error("the target changed while it was observed")]
     Changed,
@@ -46,7 +46,7 @@
 
 /// Whether an accepted observation found a new incarnation of the target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Look {
+pub enum Observed {
     /// The same incarnation as before, or the first one seen.
     Same,
     /// A new incarnation: all adapters loaded before are gone.
@@ -91,7 +91,7 @@
     ///
     /// A target that the list calls leaving gets no new work from this call on, whatever
     /// observations of it say.
-    pub fn list(&mut self, list: &List) -> Vec<TargetName> {
+    pub fn apply_list(&mut self, list: &List) -> Vec<TargetName> {
         if list.serial < self.list {
             return Vec::new();
         }
@@ -107,16 +107,16 @@
 
     /// Begins an observation, such as a report, a probe or a load. Returns none for an
     /// unknown target.
-    pub fn begin(&mut self, name: &TargetName) -> Option<Watch> {
+    pub fn begin(&mut self, name: &TargetName) -> Option<Observation> {
         let epoch = self.all.get(name)?.epoch;
         self.serials += 1;
-        Some(Watch {
+        Some(Observation {
             epoch,
             serial: self.serials,
         })
     }
 
-    /// Ends the observation `observation`, which began at `began` and found the target's
+    /// Ends `observation`, which began at `began` and found the target's
     /// `incarnation`, if the target reports it.
     ///
     /// # Errors
@@ -126,46 +126,46 @@
     pub fn finish(
         &mut self,
         name: &TargetName,
-        observation: Watch,
+        observation: Observation,
         began: Time,
         incarnation: Option<Incarnation>,
-    ) -> Result<Look, Overtaken> {
-        let target = self.all.get_mut(name).ok_or(Overtaken::Gone)?;
+    ) -> Result<Observed, Outdated> {
+        let target = self.all.get_mut(name).ok_or(Outdated::Gone)?;
         // Guard: a slow report from an engine's former incarnation, or one begun before a
         // drain, may arrive after that change. It would show adapters that are gone, or
         // mark a drained target as usable. Its epoch is outdated, so it is discarded
         // here.
         if observation.epoch != target.epoch {
-            base::hit!(overtaken_by_change);
-            return Err(Overtaken::Changed);
+            base::hit!(outdated_by_change);
+            return Err(Outdated::Changed);
         }
         if observation.serial < target.accepted {
-            base::hit!(overtaken_by_newer);
-            return Err(Overtaken::Newer);
+            base::hit!(outdated_by_newer);
+            return Err(Outdated::Newer);
         }
         target.accepted = observation.serial;
         target.seen = Some(began);
         let old = target.incarnation;
         target.incarnation = incarnation.or(old);
         if old.is_none() || target.incarnation == old {
-            return Ok(Look::Same);
+            return Ok(Observed::Same);
         }
         self.epochs += 1;
         target.epoch = Epoch(self.epochs);
-        Ok(Look::Restarted)
+        Ok(Observed::Restarted)
     }
 
-    /// Ends the order `observation`, a load or an unload, that was answered.
+    /// Ends the order that `observation` stands for, a load or an unload that was answered.
     ///
     /// # Errors
     ///
     /// Fails if the target restarted, was drained or came back meanwhile: the effect of
     /// the order is lost.
-    pub fn ordered(&mut self, name: &TargetName, observation: Watch) -> Result<(), Overtaken> {
+    pub fn finish_order(&mut self, name: &TargetName, observation: Observation) -> Result<(), Outdated> {
         let serial = self.serials;
-        let target = self.all.get_mut(name).ok_or(Overtaken::Gone)?;
+        let target = self.all.get_mut(name).ok_or(Outdated::Gone)?;
         if observation.epoch != target.epoch {
-            return Err(Overtaken::Changed);
+            return Err(Outdated::Changed);
         }
         // Guard: a report that began before the order was answered may show the engine's
         // state from before the order. If it were accepted after an unload, requests
@@ -176,19 +176,19 @@
         Ok(())
     }
 
-    /// Ends the observation `observation`, which failed. A failure counts under the same
+    /// Ends `observation`, which failed. A failure counts under the same
     /// conditions as a success.
     ///
     /// # Errors
     ///
     /// Fails if the observation is outdated.
-    pub fn failed(&mut self, name: &TargetName, observation: Watch) -> Result<(), Overtaken> {
-        let target = self.all.get_mut(name).ok_or(Overtaken::Gone)?;
+    pub fn fail(&mut self, name: &TargetName, observation: Observation) -> Result<(), Outdated> {
+        let target = self.all.get_mut(name).ok_or(Outdated::Gone)?;
         if observation.epoch != target.epoch {
-            return Err(Overtaken::Changed);
+            return Err(Outdated::Changed);
         }
         if observation.serial < target.accepted {
-            return Err(Overtaken::Newer);
+            return Err(Outdated::Newer);
         }
         target.accepted = observation.serial;
         Ok(())
--- a/crates/member/tests/member.rs
+++ b/crates/member/tests/member.rs
@@ -4,7 +4,7 @@
 
 use base::{Incarnation, Time};
 use googletest::prelude::*;
-use member::{Instances, Look, Overtaken, Standing, Targets};
+use member::{Instances, Observed, Outdated, Liveness, Targets};
 use wire::platform::{Instance, List, State, Target};
 
 fn list(serial: u64, targets: &[(&str, State)]) -> List {
@@ -24,7 +24,7 @@
 
 fn targets() -> Targets {
     let mut targets = Targets::default();
-    targets.list(&list(1, &[("t", State::Live)]));
+    targets.apply_list(&list(1, &[("t", State::Live)]));
     targets
 }
 
@@ -35,21 +35,21 @@
 /// for them would fail.
 #[test]
 fn a_report_of_a_former_life_is_dropped() {
-    base::covers!(overtaken_by_change);
+    base::covers!(outdated_by_change);
     let (mut targets, t) = (targets(), "t".parse().unwrap());
     let first = targets.begin(&t).unwrap();
     let slow = targets.begin(&t).unwrap();
     let fresh = targets.begin(&t).unwrap();
     assert_that!(
         targets.finish(&t, first, T, Some(Incarnation(1))),
-        ok(eq(Look::Same))
+        ok(eq(Observed::Same))
     );
     assert_that!(
         targets.finish(&t, fresh, T, Some(Incarnation(2))),
-        ok(eq(Look::Restarted))
+        ok(eq(Observed::Restarted))
     );
     let late = targets.finish(&t, slow, T, Some(Incarnation(1)));
-    assert_that!(late, err(eq(Overtaken::Changed)));
+    assert_that!(late, err(eq(Outdated::Changed)));
     assert_that!(
         targets.get(&t).unwrap().incarnation,
         some(eq(Incarnation(2)))
@@ -62,45 +62,45 @@
 #[test]
 fn an_observation_that_crosses_a_drain_is_dropped() {
     let (mut targets, t) = (targets(), "t".parse().unwrap());
-    let watch = targets.begin(&t).unwrap();
-    let changed = targets.list(&list(2, &[("t", State::Leaving)]));
+    let observation = targets.begin(&t).unwrap();
+    let changed = targets.apply_list(&list(2, &[("t", State::Leaving)]));
     assert_that!(changed, len(eq(1)));
     assert_that!(targets.takes_work(&t), eq(false));
     assert_that!(
-        targets.finish(&t, watch, T, None),
-        err(eq(Overtaken::Changed))
+        targets.finish(&t, observation, T, None),
+        err(eq(Outdated::Changed))
     );
-    let watch = targets.begin(&t).unwrap();
-    targets.list(&list(3, &[]));
-    assert_that!(targets.finish(&t, watch, T, None), err(eq(Overtaken::Gone)));
-    targets.list(&list(4, &[("t", State::Live)]));
-    assert_that!(targets.failed(&t, watch), err(eq(Overtaken::Changed)));
-    assert_that!(targets.list(&list(1, &[])), is_empty());
+    let observation = targets.begin(&t).unwrap();
+    targets.apply_list(&list(3, &[]));
+    assert_that!(targets.finish(&t, observation, T, None), err(eq(Outdated::Gone)));
+    targets.apply_list(&list(4, &[("t", State::Live)]));
+    assert_that!(targets.fail(&t, observation), err(eq(Outdated::Changed)));
+    assert_that!(targets.apply_list(&list(1, &[])), is_empty());
     assert_that!(targets.takes_work(&t), eq(true));
 }
 
 /// Two observations end in reverse order: the one that began first is discarded.
 #[test]
 fn an_older_observation_never_wins() {
-    base::covers!(overtaken_by_newer);
+    base::covers!(outdated_by_newer);
     let (mut targets, t) = (targets(), "t".parse().unwrap());
     let old = targets.begin(&t).unwrap();
     let new = targets.begin(&t).unwrap();
-    assert_that!(targets.failed(&t, new), ok(eq(())));
-    assert_that!(targets.finish(&t, old, T, None), err(eq(Overtaken::Newer)));
+    assert_that!(targets.fail(&t, new), ok(eq(())));
+    assert_that!(targets.finish(&t, old, T, None), err(eq(Outdated::Newer)));
 }
 
 /// A report reads the engine's state before an unload and arrives after the unload was
 /// answered: it shows an adapter that is gone.
 #[test]
 fn a_report_that_crosses_an_order_is_dropped() {
-    base::covers!(overtaken_by_newer);
+    base::covers!(outdated_by_newer);
     let (mut targets, t) = (targets(), "t".parse().unwrap());
     let unload = targets.begin(&t).unwrap();
     let report = targets.begin(&t).unwrap();
-    assert_that!(targets.ordered(&t, unload), ok(eq(())));
+    assert_that!(targets.finish_order(&t, unload), ok(eq(())));
     let late = targets.finish(&t, report, T, None);
-    assert_that!(late, err(eq(Overtaken::Newer)));
+    assert_that!(late, err(eq(Outdated::Newer)));
     let fresh = targets.begin(&t).unwrap();
     assert_that!(targets.finish(&t, fresh, T, None), ok(anything()));
 }
@@ -109,7 +109,7 @@
 fn an_instance_stands_by_list_and_heartbeat() {
     let mut instances = Instances::new(Duration::from_secs(3));
     let (n, zone) = ("n".parse().unwrap(), "za".parse().unwrap());
-    assert_that!(instances.standing(T, &n), none());
+    assert_that!(instances.liveness(T, &n), none());
     let listed = |serial, states: &[State]| List {
         serial,
         instances: states
@@ -123,14 +123,14 @@
             .collect(),
         targets: Vec::new(),
     };
-    instances.list(T, &listed(1, &[State::Live]));
-    assert_that!(instances.standing(T, &n), some(eq(Standing::Suspect)));
+    instances.apply_list(T, &listed(1, &[State::Live]));
+    assert_that!(instances.liveness(T, &n), some(eq(Liveness::Suspect)));
     instances.heard(T, &n, &zone, "1:1", false);
-    assert_that!(instances.standing(T, &n), some(eq(Standing::Live)));
-    instances.list(T, &listed(2, &[]));
-    assert_that!(instances.standing(T, &n), some(eq(Standing::Live)));
-    instances.list(T, &listed(3, &[State::Leaving]));
-    assert_that!(instances.standing(T, &n), some(eq(Standing::Leaving)));
-    instances.list(T + Duration::from_secs(9), &listed(4, &[]));
-    assert_that!(instances.standing(T, &n), none());
+    assert_that!(instances.liveness(T, &n), some(eq(Liveness::Live)));
+    instances.apply_list(T, &listed(2, &[]));
+    assert_that!(instances.liveness(T, &n), some(eq(Liveness::Live)));
+    instances.apply_list(T, &listed(3, &[State::Leaving]));
+    assert_that!(instances.liveness(T, &n), some(eq(Liveness::Leaving)));
+    instances.apply_list(T + Duration::from_secs(9), &listed(4, &[]));
+    assert_that!(instances.liveness(T, &n), none());
 }
--- a/crates/node/src/engines.rs
+++ b/crates/node/src/engines.rs
@@ -21,7 +21,7 @@
     AdapterKey, AdapterNo, Failure, Incarnation, Refusal, TargetName, TargetNo, Ticket, Time,
     Version,
 };
-use member::Watch;
+use member::Observation;
 use owner::Lessee;
 use route::{Input as SchedulerInput, News, Output as SchedulerOutput, Scheduler};
 use wire::platform::State;
@@ -63,7 +63,7 @@
     holder: Lessee,
     scheduler: Scheduler,
     engines: BTreeMap<TargetNo, Engine>,
-    orders: BTreeMap<u64, (Sent, Watch)>,
+    orders: BTreeMap<u64, (Sent, Observation)>,
     next_order: u64,
     polls: BTreeMap<u64, Poll>,
     next_poll: u64,
--- a/crates/node/src/engines/orders.rs
+++ b/crates/node/src/engines/orders.rs
@@ -143,7 +143,7 @@
         };
         let name = shared.names.target_name(sent.target()).clone();
         // What an order did to an engine that has restarted since is gone.
-        let stands = shared.watched.ordered(&name, watch).is_ok();
+        let stands = shared.watched.finish_order(&name, watch).is_ok();
         if end == OrderEnd::Fenced {
             let fence = sent.fence();
             out.emit(Output::Event(Event::Fenced(name.clone(), fence)));
--- a/crates/node/src/engines/reports.rs
+++ b/crates/node/src/engines/reports.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use base::{AdapterKey, TargetName, TargetNo, Time};
-use member::{Look, Watch};
+use member::{Observed, Observation};
 use owner::Ownership;
 use route::{Input as SchedulerInput, News, Report};
 use wire::engine;
@@ -23,7 +23,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Poll {
     target: TargetNo,
-    watch: Watch,
+    watch: Observation,
     begun: Time,
 }
 
@@ -42,7 +42,7 @@
         let target = poll.target;
         let name = shared.names.target_name(target).clone();
         let Some(report) = report else {
-            if shared.watched.failed(&name, poll.watch).is_ok() {
+            if shared.watched.fail(&name, poll.watch).is_ok() {
                 self.note_silent(target, &name, true, out);
                 out.tell(ENTRY, Msg::News(News::Reachable(target, false)));
             }
@@ -57,7 +57,7 @@
         };
         self.note_silent(target, &name, false, out);
         out.tell(ENTRY, Msg::News(News::Reachable(target, true)));
-        if look == Look::Restarted {
+        if look == Observed::Restarted {
             let input = owner::Input::Restarted {
                 target: name.clone(),
             };
--- a/crates/node/src/fleet.rs
+++ b/crates/node/src/fleet.rs
@@ -62,7 +62,7 @@
         if same && !first {
             return;
         }
-        shared.watched.list(&list);
+        shared.watched.apply_list(&list);
         let model = shared.model.clone();
         self.drop_missing(shared, &list, out);
         for target in list.targets {
--- a/crates/scenarios/src/world.rs
+++ b/crates/scenarios/src/world.rs
@@ -11,7 +11,7 @@
 
 use base::{Incarnation, TargetName, Ticket, Time};
 use control::{Input, Output};
-use member::Watch;
+use member::Observation;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use wire::{
@@ -69,9 +69,9 @@
     Confirm(String, TargetName, u64),
     Claim(u64),
     Execute(u64),
-    Order(TargetName, Order, Checked, Option<Watch>),
+    Order(TargetName, Order, Checked, Option<Observation>),
     Request(TargetName, u64),
-    Report(TargetName, Watch, Time),
+    Report(TargetName, Observation, Time),
     Pass(Ticket),
     Change(Apply),
     Other,
@@ -243,7 +243,7 @@
                 entry.slots = fake.slots;
             }
         }
-        entry.targets.list(&self.platform_list());
+        entry.targets.apply_list(&self.platform_list());
         self.nodes.get_mut(name).unwrap().proc = Proc::Entry(Box::new(entry));
         self.listed.insert(name.to_owned());
         self.step(name, 5, Step::Beat { again: true });
--- a/crates/scenarios/src/world/deliver.rs
+++ b/crates/scenarios/src/world/deliver.rs
@@ -4,7 +4,7 @@
 
 use base::{Fence, Incarnation, TargetName, Ticket, Time};
 use control::Input;
-use member::Watch;
+use member::Observation;
 use owner::{Input as Holding, Ownership};
 use wire::{
     call::{BeatReply, Call, ClaimReply, Fate, Reply},
@@ -240,7 +240,7 @@
                 let Some(entry) = self.entry(name) else {
                     return;
                 };
-                let known = watch.map(|w| entry.targets.ordered(&target, w));
+                let known = watch.map(|w| entry.targets.finish_order(&target, w));
                 entry.view(&target).orders.remove(&id);
                 let known = known.is_some_and(|known| known.is_ok());
                 self.on_ordered(name, target, &order, checked.fence, answer, known);
@@ -312,7 +312,7 @@
         &mut self,
         name: &str,
         target: TargetName,
-        watch: Watch,
+        watch: Observation,
         began: Time,
         life: Incarnation,
         resident: BTreeSet<String>,
@@ -326,7 +326,7 @@
         if look.is_err() || !full {
             return;
         }
-        let restarted = look == Ok(member::Look::Restarted);
+        let restarted = look == Ok(member::Observed::Restarted);
         let view = entry.view(&target);
         let leaving = &view.unloading;
         let stay = resident.into_iter().filter(|a| !leaving.contains_key(a));
