--- a/crates/control/tests/control.rs
+++ b/crates/control/tests/control.rs
@@ -12,16 +12,16 @@
 };
 
 /// A control instance that is the only replica of its log. Its writes can be held back.
-struct Alone {
+struct SingleInstance {
     control: Control,
     now: Time,
     disk: Vec<Record>,
-    hold: bool,
-    held: Vec<replog::WriteNo>,
+    hold_writes: bool,
+    held_writes: Vec<replog::WriteNo>,
     tickets: u64,
 }
 
-impl Alone {
+impl SingleInstance {
     fn new(disk: Vec<Record>, backlog: u64) -> Self {
         let instance = "k1".parse().unwrap();
         let life = Incarnation(1);
@@ -34,25 +34,25 @@
             true => Err(vec!["it is bad".to_owned()]),
             false => Ok(Checked { rate: PerSecond(4) }),
         };
-        Alone {
+        SingleInstance {
             control: Control::new(Config::default(), replica, Box::new(check)),
             now: Time::from_millis(5),
             disk,
-            hold: false,
-            held: Vec::new(),
+            hold_writes: false,
+            held_writes: Vec::new(),
             tickets: 0,
         }
     }
 
     /// Returns an instance that leads.
     fn leading() -> Self {
-        let mut alone = Alone::new(Vec::new(), 8 << 20);
-        alone.pass(5_000);
-        assert_that!(alone.control.leads(alone.now), eq(true));
-        alone
+        let mut single = SingleInstance::new(Vec::new(), 8 << 20);
+        single.advance(5_000);
+        assert_that!(single.control.leads(single.now), eq(true));
+        single
     }
 
-    fn give(&mut self, input: Input) -> Vec<Output> {
+    fn input(&mut self, input: Input) -> Vec<Output> {
         let mut all = Vec::new();
         let mut inputs = vec![input];
         while let Some(input) = inputs.pop() {
@@ -61,11 +61,11 @@
             for output in &out {
                 if let Output::Write { no, records } = output {
                     self.disk.extend(records.clone());
-                    self.held.push(*no);
+                    self.held_writes.push(*no);
                 }
             }
-            if !self.hold {
-                inputs.extend(self.held.drain(..).map(|upto| Input::Synced { upto }));
+            if !self.hold_writes {
+                inputs.extend(self.held_writes.drain(..).map(|upto| Input::Synced { upto }));
             }
             all.extend(out);
         }
@@ -73,11 +73,11 @@
     }
 
     /// Advances the time, with a wake-up every 50 ms.
-    fn pass(&mut self, ms: u64) -> Vec<Output> {
+    fn advance(&mut self, ms: u64) -> Vec<Output> {
         let mut all = Vec::new();
         for _ in 0..ms.div_ceil(50) {
             self.now = self.now + Duration::from_millis(50);
-            all.extend(self.give(Input::Wake));
+            all.extend(self.input(Input::Wake));
         }
         all
     }
@@ -85,7 +85,7 @@
     fn call(&mut self, call: Call) -> (Ticket, Vec<Output>) {
         self.tickets += 1;
         let ticket = Ticket(self.tickets);
-        (ticket, self.give(Input::Call { ticket, call }))
+        (ticket, self.input(Input::Call { ticket, call }))
     }
 
     fn apply(&mut self, change: &str, base: u64, text: &str) -> Vec<Output> {
@@ -96,7 +96,7 @@
             text: text.to_owned(),
         };
         let ticket = Ticket(99);
-        self.give(Input::Apply { ticket, apply })
+        self.input(Input::Apply { ticket, apply })
     }
 }
 
@@ -148,15 +148,15 @@
 /// If it answered a heartbeat, the sender would rely on a lease for an engine that a
 /// newer leader has given to another instance.
 #[test]
-fn who_does_not_lead_grants_nothing() {
+fn an_instance_that_does_not_lead_grants_nothing() {
     base::covers!(not_leading);
-    let mut alone = Alone::new(Vec::new(), 8 << 20);
+    let mut single = SingleInstance::new(Vec::new(), 8 << 20);
     let elsewhere = Reply::Elsewhere { leader: None };
     for call in [beat(1, 0), claim(1)] {
-        let (_, out) = alone.call(call);
+        let (_, out) = single.call(call);
         assert_that!(replies(&out), elements_are![eq(&&elsewhere)]);
     }
-    let out = alone.apply("one", 0, "a\n");
+    let out = single.apply("one", 0, "a\n");
     let why = Why::NoQuorum { retry_ms: 1_000 };
     assert_that!(applied(&out), some(eq(&Applied::Refused { why })));
 }
@@ -164,16 +164,16 @@
 /// An entry instance starts: it joins, is admitted, is assigned an engine, and gets the
 /// lease with a later heartbeat.
 #[test]
-fn an_instance_that_beats_gets_an_engine() {
+fn an_instance_with_heartbeats_gets_an_engine() {
     base::covers!(leadership_begins);
-    let mut alone = Alone::leading();
-    alone.apply("one", 0, "a\n");
+    let mut single = SingleInstance::leading();
+    single.apply("one", 0, "a\n");
     let mut roster = 0;
     let mut got = None;
     for serial in 1..6 {
-        let (_, out) = alone.call(beat(serial, roster));
+        let (_, out) = single.call(beat(serial, roster));
         let [Reply::Beat(reply)] = replies(&out)[..] else {
-            panic!("no answer to a beat: {out:?}");
+            panic!("no reply to a heartbeat: {out:?}");
         };
         assert_that!(reply.text, eq(TextVersion(1)));
         roster = reply.roster;
@@ -182,10 +182,10 @@
             .first()
             .map(|l| (l.fence, l.former.len()))
             .or(got);
-        alone.pass(1_000);
+        single.advance(1_000);
     }
     assert_that!(got, some((gt(Fence(0)), eq(0))));
-    let status = alone.control.status(alone.now);
+    let status = single.control.status(single.now);
     assert_that!(status.engines[0].owner.as_ref().unwrap().as_str(), eq("n1"));
     assert_that!(status.instances, len(eq(1)));
 }
@@ -194,24 +194,24 @@
 /// one.
 #[test]
 fn claims_share_a_write() {
-    let mut alone = Alone::leading();
-    alone.call(beat(1, 0));
-    alone.pass(500);
-    alone.hold = true;
-    let before = alone.disk.len();
+    let mut single = SingleInstance::leading();
+    single.call(beat(1, 0));
+    single.advance(500);
+    single.hold_writes = true;
+    let before = single.disk.len();
     for key in 0..40 {
-        let (_, out) = alone.call(claim(key));
+        let (_, out) = single.call(claim(key));
         assert_that!(replies(&out), is_empty());
     }
-    alone.hold = false;
-    let out = alone.give(Input::Wake);
+    single.hold_writes = false;
+    let out = single.input(Input::Wake);
     let yours = Reply::Claim(ClaimReply::Yours);
     let count = replies(&out)
         .iter()
         .filter(|reply| ***reply == yours)
         .count();
     assert_that!(count, eq(40));
-    let commands = alone.disk[before..]
+    let commands = single.disk[before..]
         .iter()
         .filter(|r| matches!(r, Record::Entry(_)));
     assert_that!(commands.count(), le(3));
@@ -220,19 +220,19 @@
 /// An invalid text and a full disk: each change is refused with its reason, and neither
 /// is in the log.
 #[test]
-fn a_refused_change_is_told_why() {
-    let mut alone = Alone::leading();
-    let out = alone.apply("one", 0, "bad\n");
+fn a_refused_change_gets_a_reason() {
+    let mut single = SingleInstance::leading();
+    let out = single.apply("one", 0, "bad\n");
     let why = Why::BadText {
         errors: vec!["it is bad".to_owned()],
     };
     assert_that!(applied(&out), some(eq(&Applied::Refused { why })));
-    alone.give(Input::Space { full: true });
-    let out = alone.apply("one", 0, "a\n");
+    single.input(Input::Space { full: true });
+    let out = single.apply("one", 0, "a\n");
     let why = Why::NoDisk;
     assert_that!(applied(&out), some(eq(&Applied::Refused { why })));
-    alone.give(Input::Space { full: false });
-    let out = alone.apply("one", 0, "a\n");
+    single.input(Input::Space { full: false });
+    let out = single.apply("one", 0, "a\n");
     let version = TextVersion(1);
     assert_that!(applied(&out), some(eq(&Applied::Accepted { version })));
     assert_that!(out, contains(eq(&Output::Event(Event::Text { version }))));
@@ -243,11 +243,11 @@
 #[test]
 fn a_change_lost_with_the_disk_may_have_been_accepted() {
     base::covers!(may_have_been_accepted);
-    let mut alone = Alone::leading();
-    alone.hold = true;
-    alone.apply("one", 0, "a\n");
-    let no = alone.held.pop().unwrap();
-    let out = alone.give(Input::WriteFailed { no });
+    let mut single = SingleInstance::leading();
+    single.hold_writes = true;
+    single.apply("one", 0, "a\n");
+    let no = single.held_writes.pop().unwrap();
+    let out = single.input(Input::WriteFailed { no });
     assert_that!(
         applied(&out),
         some(eq(&Applied::Unknown { retry_ms: 1_000 }))
@@ -255,17 +255,17 @@
 }
 
 /// A change is accepted, the process restarts from its disk, and the operator sends the
-/// change again: it gets the first outcome.
+/// change restarted: it gets the first outcome.
 #[test]
 fn a_restart_keeps_the_outcome() {
-    let mut alone = Alone::leading();
-    alone.apply("one", 0, "a\n");
-    let mut again = Alone::new(alone.disk.clone(), 8 << 20);
-    again.pass(5_000);
-    let out = again.apply("one", 0, "a\n");
+    let mut single = SingleInstance::leading();
+    single.apply("one", 0, "a\n");
+    let mut restarted = SingleInstance::new(single.disk.clone(), 8 << 20);
+    restarted.advance(5_000);
+    let out = restarted.apply("one", 0, "a\n");
     let version = TextVersion(1);
     assert_that!(applied(&out), some(eq(&Applied::Accepted { version })));
-    let (_, out) = again.call(Call::Text {
+    let (_, out) = restarted.call(Call::Text {
         have: TextVersion(0),
     });
     let text = "a\n".to_owned();
@@ -273,5 +273,5 @@
         replies(&out),
         elements_are![eq(&&Reply::Text { version, text })]
     );
-    assert_that!(again.control.history(TextVersion(0)), len(eq(1)));
+    assert_that!(restarted.control.history(TextVersion(0)), len(eq(1)));
 }
--- a/crates/control/tests/cost.rs
+++ b/crates/control/tests/cost.rs
@@ -91,7 +91,7 @@
 /// Control traffic of one instance must not grow with the system: without changes, a
 /// heartbeat and its reply contain only the instance's own data.
 #[test]
-fn a_steady_beat_does_not_grow_with_the_system() {
+fn a_heartbeat_does_not_grow_with_the_system() {
     let (_, few) = exchange(7, 12);
     let (_, many) = exchange(380, 600);
     assert_that!(many.0 + many.1, le(few.0 + few.1 + 10));
@@ -120,7 +120,7 @@
 #[test]
 #[ignore = "prints figures; run in release"]
 fn cost() {
-    println!("instances engines | first beat, reply | steady beat, reply (bytes)");
+    println!("instances engines | first heartbeat, reply | later heartbeat, reply (bytes)");
     for (instances, engines) in [(7, 16), (48, 75), (100, 160), (380, 600)] {
         let (first, steady) = exchange(instances, engines);
         println!("{instances:9} {engines:7} | {first:?} | {steady:?}");
@@ -147,7 +147,7 @@
         }
     }
     let each = began.elapsed().as_micros() / 3_800;
-    println!("leader: {each} us for a beat at 380 instances and 600 engines");
+    println!("leader: {each} us per heartbeat with 380 instances and 600 engines");
     claims();
 }
 
@@ -185,14 +185,14 @@
             state.apply(n + 2, &command);
             if n == 65_535 {
                 let used = (resident_kb() - before) * 1_024 / 65_536;
-                println!("{label}: {used} bytes of memory a key in full");
+                println!("{label}: {used} bytes of memory per key in full");
             }
         }
         let each = began.elapsed().as_nanos() / 500_000;
         let (full, prints) = state.claims().counts();
-        println!("{label}: {full} in full, {prints} fingerprints; {each} ns a claim with outcome");
+        println!("{label}: {full} in full, {prints} fingerprints; {each} ns per claim with outcome");
         println!(
-            "{label}: snapshot {} bytes; log {} bytes a key",
+            "{label}: snapshot {} bytes; log {} bytes per key",
             state.save().len(),
             log / 1_000
         );
--- a/crates/control/tests/editions.rs
+++ b/crates/control/tests/editions.rs
@@ -62,7 +62,7 @@
 }
 
 #[gtest]
-fn a_snapshot_keeps_all_of_it() {
+fn a_snapshot_keeps_editions_versions_and_zone_owners() {
     let mut state = State::default();
     publish(&mut state, 7, "b");
     revise(&mut state, 2);
--- a/crates/control/tests/state.rs
+++ b/crates/control/tests/state.rs
@@ -241,7 +241,7 @@
 /// Memory is bounded. Keys with a date are forgotten by date and refused from then on;
 /// new keys without date are refused when there is no room left. No key runs twice.
 #[test]
-fn beyond_its_memory_nothing_runs_twice() {
+fn no_key_runs_twice_when_memory_is_full() {
     base::covers!(key_too_old);
     base::covers!(no_room_for_keys);
     const HOUR: u64 = 3_600_000;
@@ -295,7 +295,7 @@
 /// The leaders' wall clocks differ, so a key's date is accepted for the first claim and
 /// not for the second, or the other way round. The key is found in both cases.
 #[test]
-fn a_date_believed_once_only_is_no_second_run() {
+fn a_key_whose_date_is_accepted_once_runs_once() {
     for (first, then) in [(50_001_000_000, 1_000_000), (1_000_000, 50_001_000_000)] {
         let mut log = Log::new(small());
         let dated = Some(50_000_000_000);
--- a/crates/member/tests/member.rs
+++ b/crates/member/tests/member.rs
@@ -34,7 +34,7 @@
 /// way. If the report were accepted, it would show adapters that are gone, and requests
 /// for them would fail.
 #[test]
-fn a_report_of_a_former_life_is_dropped() {
+fn a_report_of_a_former_incarnation_is_dropped() {
     base::covers!(outdated_by_change);
     let (mut targets, t) = (targets(), "t".parse().unwrap());
     let first = targets.begin(&t).unwrap();
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn an_instance_stands_by_list_and_heartbeat() {
+fn liveness_follows_list_and_heartbeat() {
     let mut instances = Instances::new(Duration::from_secs(3));
     let (n, zone) = ("n".parse().unwrap(), "za".parse().unwrap());
     assert_that!(instances.liveness(T, &n), none());
--- a/crates/owner/src/lessee/held.rs
+++ b/crates/owner/src/lessee/held.rs
@@ -236,7 +236,7 @@
         true
     }
 
-    /// Gives up an engine to which the requester has a newer fencing number.
+    /// Gives up an engine for which the requester has a newer fencing number.
     pub(super) fn drop_older(&mut self, ask: &Confirm) {
         let held = self.held.get(&ask.target).map(|h| h.fence);
         if held.is_some_and(|fence| fence < ask.fence) {
--- a/crates/owner/tests/grantor.rs
+++ b/crates/owner/tests/grantor.rs
@@ -114,7 +114,7 @@
 /// in the zone. The owner goes on without leader, so the new instance gets no engine for
 /// ten minutes.
 #[test]
-fn a_newcomer_waits_until_every_owner_knows_it() {
+fn a_new_instance_waits_until_every_owner_knows_it() {
     base::covers!(unacknowledged_instance);
     let mut leader = Leader::new();
     leader.heartbeats(0..10_000, &["a"], &["e"]);
@@ -126,7 +126,7 @@
 
 /// An owner that is shutting down has given up its engines, so they are assigned at once.
 #[test]
-fn a_leaving_owner_is_relieved_at_once() {
+fn engines_of_a_leaving_owner_are_assigned_at_once() {
     let mut leader = Leader::new();
     leader.heartbeats(0..10_000, &["a"], &["e"]);
     leader.heartbeats(10_000..20_000, &["a", "b"], &["e"]);
@@ -219,7 +219,7 @@
 }
 
 #[test]
-fn a_cut_zone_uses_its_fixed_share() {
+fn a_partitioned_zone_uses_its_fixed_share() {
     assert_that!(fixed_share(PerSecond(4), 4, 2), eq(500));
     assert_that!(fixed_share(PerSecond(4), 0, 0), eq(4_000));
 }
--- a/crates/owner/tests/lessee.rs
+++ b/crates/owner/tests/lessee.rs
@@ -84,7 +84,7 @@
 /// about to send an unload, while another instance owns the engine. No timer fires in a
 /// stopped process, so the lease has to be checked at the time of sending.
 #[test]
-fn a_thawed_owner_finds_its_lease_lapsed() {
+fn a_resumed_owner_finds_that_its_lease_has_ended() {
     base::covers!(engine_lease_lapsed);
     base::covers!(restricted_unload);
     let mut lessee = lessee();
@@ -102,7 +102,7 @@
 /// while the confirmation is valid, counted from when it was requested. It stops at the
 /// time after which the leader admits an instance that the owner doesn't know.
 #[test]
-fn an_owner_goes_on_by_its_zones_word() {
+fn an_owner_goes_on_with_confirmations_of_its_zone_peers() {
     base::covers!(leaderless_too_long);
     let mut lessee = lessee();
     heartbeat(&mut lessee, START, reply(1, &[("e", 7, &[])]));
@@ -176,7 +176,7 @@
 /// Replies arrive out of order: a lease that the leader has withdrawn must not come back
 /// with an older reply, nor with a reply to an unknown heartbeat.
 #[test]
-fn an_older_reply_brings_nothing_back() {
+fn an_older_reply_restores_no_lease() {
     base::covers!(stale_reply);
     base::covers!(unknown_reply);
     let mut lessee = lessee();
@@ -204,7 +204,7 @@
 /// it may use is not unloaded until it reports which ones it uses or is known to be gone;
 /// adapters that the new owner itself made resident may be unloaded.
 #[test]
-fn what_an_earlier_owner_may_use_stays() {
+fn adapters_that_a_former_owner_may_use_stay() {
     base::covers!(inherited_adapter);
     base::covers!(loaded_by_other);
     base::covers!(unfenced_engine);
@@ -251,7 +251,7 @@
 /// adapters that the new owner loads again for resident, so they may not be unloaded
 /// either.
 #[test]
-fn a_restart_makes_nothing_ones_own() {
+fn adapters_loaded_after_a_restart_stay() {
     base::covers!(restarted_under_former);
     let mut lessee = lessee();
     heartbeat(&mut lessee, START, reply(1, &[("e", 9, &[7])]));
@@ -273,7 +273,7 @@
 /// A planned shutdown: no more orders are sent, heartbeats announce it, and the new owner
 /// is told which adapters are in use until none is.
 #[test]
-fn a_leaving_owner_names_what_it_uses() {
+fn a_leaving_owner_reports_adapters_in_use() {
     let mut lessee = lessee();
     heartbeat(&mut lessee, START, reply(1, &[("e", 7, &[])]));
     let out = step(&mut lessee, START + 10, Input::Renounce);
