--- a/crates/control/src/claims/fingerprints.rs
+++ b/crates/control/src/claims/fingerprints.rs
@@ -6,8 +6,8 @@
 
 /// Keys with a date are kept in buckets of one minute and forgotten by bucket.
 const BUCKET_MS: u64 = 60_000;
-/// Number of new fingerprints that are merged into the sorted set at once.
-const UNSORTED_MAX: usize = 4_096;
+/// Number of new fingerprints that are merged into the sorted list at once.
+const UNMERGED_MAX: usize = 4_096;
 
 record! {
     /// The fingerprints of one brand. The lowest bit of a fingerprint tells whether the
@@ -28,12 +28,12 @@
         floor: u64,
     }
 
-    /// A set of fingerprints of 8 bytes each: most of them sorted, the newest in a small
-    /// tree until they are merged.
+    /// A set of fingerprints of 8 bytes each: most of them in a sorted list, the newest in
+    /// a small tree until they are merged into it.
     #[derive(Default)]
     struct Set {
         sorted: Vec<u64>,
-        unsorted: BTreeSet<u64>,
+        unmerged: BTreeSet<u64>,
     }
 }
 
@@ -96,14 +96,14 @@
 
 impl Set {
     fn len(&self) -> usize {
-        self.sorted.len() + self.unsorted.len()
+        self.sorted.len() + self.unmerged.len()
     }
 
     fn find(&self, fingerprint: u64) -> Option<bool> {
         let at = self.sorted.partition_point(|p| *p < fingerprint);
         let sorted = self.sorted.get(at).copied();
-        let unsorted = self.unsorted.range(fingerprint..).next().copied();
-        let hit = [sorted, unsorted]
+        let unmerged = self.unmerged.range(fingerprint..).next().copied();
+        let hit = [sorted, unmerged]
             .into_iter()
             .flatten()
             .find(|p| p & !1 == fingerprint)?;
@@ -111,11 +111,11 @@
     }
 
     fn add(&mut self, fingerprint: u64) {
-        self.unsorted.insert(fingerprint);
-        if self.unsorted.len() >= UNSORTED_MAX {
-            let unsorted = std::mem::take(&mut self.unsorted);
-            self.sorted.reserve_exact(unsorted.len());
-            self.sorted.extend(unsorted);
+        self.unmerged.insert(fingerprint);
+        if self.unmerged.len() >= UNMERGED_MAX {
+            let unmerged = std::mem::take(&mut self.unmerged);
+            self.sorted.reserve_exact(unmerged.len());
+            self.sorted.extend(unmerged);
             self.sorted.sort_unstable();
         }
     }
--- a/crates/control/src/control.rs
+++ b/crates/control/src/control.rs
@@ -29,7 +29,7 @@
 /// Interval between two checks for unresponsive claimers. Each check goes through all
 /// claims under way, so it runs less often than the other checks.
 const CLAIMER_CHECK_INTERVAL: Duration = Duration::from_secs(1);
-/// Retry delay where no leader is known; an election takes about this long.
+/// Retry delay given to requesters: about the duration of an election.
 const RETRY_MS: u64 = 1_000;
 
 /// Settings of a control instance, besides those of its replica.
@@ -300,8 +300,8 @@
     }
 
     fn request_wake(&mut self, out: &mut Vec<Output>) {
-        let tick = self.leading.map(|_| self.next_check);
-        let wake = [self.replica_wake, tick].into_iter().flatten().min();
+        let check = self.leading.map(|_| self.next_check);
+        let wake = [self.replica_wake, check].into_iter().flatten().min();
         if let Some(at) = wake
             && self.requested_wake != wake
         {
--- a/crates/owner/src/grantor/plan.rs
+++ b/crates/owner/src/grantor/plan.rs
@@ -57,11 +57,11 @@
     ) -> bool {
         let engines = table.engines().values();
         let engines = engines.filter(|engine| engine.zone == member.zone);
-        let holders = engines.flat_map(|engine| {
+        let owners = engines.flat_map(|engine| {
             let former = engine.former.iter().map(|f| (&f.id, f.peer.as_str()));
             former.chain([(&engine.owner, engine.peer.as_str())])
         });
-        let mut others = holders
+        let mut others = owners
             .filter(|(id, _)| id.instance != *name || id.incarnation != member.incarnation);
         let known = others.all(|(id, peer)| {
             self.acknowledged(id, member.joined)
--- a/crates/owner/src/lessee.rs
+++ b/crates/owner/src/lessee.rs
@@ -32,7 +32,7 @@
     },
     /// The lease has ended, and another owner may have been assigned. Requests for
     /// resident adapters go on. An engine that checks fencing numbers may still get any
-    /// order, another engine only loads into a free slot.
+    /// order, any other engine only loads into a free slot.
     Restricted {
         /// The fencing number for orders.
         fence: Fence,
@@ -263,7 +263,7 @@
     /// whether it is confirmed, which is a promise not to take over the engine for the
     /// requested time.
     pub fn confirm(&mut self, now: Time, ask: &Confirm, out: &mut Vec<Output>) -> bool {
-        let granted = self.grants(ask);
+        let granted = self.may_confirm(ask);
         if granted {
             let until = now + self.config.margin.stretch(ask.lasts);
             let fence = ask.fence;
--- a/crates/owner/src/lessee/held.rs
+++ b/crates/owner/src/lessee/held.rs
@@ -133,7 +133,7 @@
             return;
         }
         for lease in reply.leases {
-            self.offer(now, sent, lease);
+            self.on_lease(now, sent, lease);
         }
     }
 
@@ -153,7 +153,7 @@
         self.roster = reply.roster;
     }
 
-    fn offer(&mut self, now: Time, sent: Time, lease: Lease) {
+    fn on_lease(&mut self, now: Time, sent: Time, lease: Lease) {
         self.offered.insert(lease.target.clone(), lease.fence);
         let held = self.held.get(&lease.target).map(|h| h.fence);
         if held.is_none() && !self.may_accept(now, &lease.target) {
@@ -215,7 +215,7 @@
         confirm_time(&self.config, 2 * self.zone_peers().count())
     }
 
-    pub(super) fn grants(&self, ask: &Confirm) -> bool {
+    pub(super) fn may_confirm(&self, ask: &Confirm) -> bool {
         // Guard: a restarted process waits only this long before it accepts an engine; a
         // longer promise would be broken by a restart.
         if ask.lasts > self.longest_promise() {
--- a/crates/owner/src/store.rs
+++ b/crates/owner/src/store.rs
@@ -10,6 +10,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Demand {
     pub(crate) zone: ZoneName,
+    /// Number of loads that it waits to make.
     pub(crate) loads: u32,
 }
 
