--- a/crates/control/src/texts.rs
+++ b/crates/control/src/texts.rs
@@ -19,8 +19,8 @@
 /// costs no more.
 const PATCH_LINES_MAX: u32 = 2_000;
 
-/// Retry delay in replies about a change whose outcome is forgotten: zero, since no retry can
-/// tell more.
+/// Retry delay in replies about a change whose outcome is forgotten: zero, since no retry
+/// can tell more.
 const NO_RETRY_MS: u64 = 0;
 
 record! {
