--- a/crates/control/src/claims.rs
+++ b/crates/control/src/claims.rs
@@ -20,7 +20,7 @@
 
 use self::{
     fingerprints::Fingerprints,
-    record::{KeyRecord, Key, Phase},
+    record::{Key, KeyRecord, Phase},
 };
 
 record! {
--- a/crates/control/src/control.rs
+++ b/crates/control/src/control.rs
@@ -14,7 +14,7 @@
 use replog::{Index, Replica, Term};
 use wire::call::{Reply, Share};
 
-pub use self::io::{Event, Input, Output, NotPublished};
+pub use self::io::{Event, Input, NotPublished, Output};
 use self::{answer::Waiting, io::Requester};
 use crate::{Command, Item, Limits, Outcome, State, What};
 
@@ -247,7 +247,8 @@
     fn unresponsive_claimers(&self, now: Time) -> Vec<InstanceId> {
         let members = self.state.table().members();
         let claimers = self.state.claims().claimers().into_iter();
-        let unresponsive = claimers.filter(|name| self.grantor.silence(now, name) > CLAIMER_TIMEOUT);
+        let unresponsive =
+            claimers.filter(|name| self.grantor.silence(now, name) > CLAIMER_TIMEOUT);
         let ids = unresponsive.filter_map(|name| {
             let incarnation = members.get(name)?.incarnation;
             let instance = name.clone();
--- a/crates/control/src/control/answer.rs
+++ b/crates/control/src/control/answer.rs
@@ -81,7 +81,9 @@
 
     fn finish(&mut self, ticket: u64, outcome: Outcome, out: &mut Vec<Output>) {
         match (self.waiting.remove(&ticket), outcome) {
-            (Some(Waiting::Text(requester)), Outcome::Text(applied)) => out.push(requester.answer(applied)),
+            (Some(Waiting::Text(requester)), Outcome::Text(applied)) => {
+                out.push(requester.answer(applied))
+            }
             (Some(Waiting::Published(ticket)), Outcome::Published(outcome)) => {
                 let result = Ok(outcome);
                 out.push(Output::Published { ticket, result });
--- a/crates/control/src/control/calls.rs
+++ b/crates/control/src/control/calls.rs
@@ -9,8 +9,10 @@
     operator::{Applied, Apply, Why},
 };
 
-use super::{Control, Item, Output, CLAIM_QUEUE_MAX, RETRY_MS, What, answer::Waiting, io::Requester};
-use crate::{TextChange, Patch, Texts, NotPublished};
+use super::{
+    CLAIM_QUEUE_MAX, Control, Item, Output, RETRY_MS, What, answer::Waiting, io::Requester,
+};
+use crate::{NotPublished, Patch, TextChange, Texts};
 
 impl Control {
     pub(super) fn on_call(&mut self, now: Time, ticket: Ticket, call: Call, out: &mut Vec<Output>) {
--- a/crates/control/src/control/drive.rs
+++ b/crates/control/src/control/drive.rs
@@ -8,7 +8,7 @@
 use wire::call::Call;
 
 use super::{Control, Event, Output};
-use crate::{Command, Outcome, State, PublishOutcome, What};
+use crate::{Command, Outcome, PublishOutcome, State, What};
 
 impl Control {
     /// Hands one input to the replica and carries out the resulting outputs.
@@ -81,14 +81,22 @@
         out.push(Output::Event(Event::Published));
     }
 
-    fn report(&mut self, index: Index, command: &Command, outcome: &Outcome, out: &mut Vec<Output>) {
+    fn report(
+        &mut self,
+        index: Index,
+        command: &Command,
+        outcome: &Outcome,
+        out: &mut Vec<Output>,
+    ) {
         match (&command.what, outcome) {
             (What::Text { .. }, Outcome::Text(wire::operator::Applied::Accepted { version }))
                 if *version == self.state.texts().version() =>
             {
                 self.text_changed(out);
             }
-            (_, Outcome::Published(PublishOutcome::InForce)) => out.push(Output::Event(Event::Published)),
+            (_, Outcome::Published(PublishOutcome::InForce)) => {
+                out.push(Output::Event(Event::Published))
+            }
             (What::Owner(change), Outcome::Owner(true)) => {
                 let event = event_of(index, change);
                 out.extend(event.map(Output::Event));
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -18,7 +18,7 @@
 pub use crate::{
     claims::{Claims, Limits},
     command::{BadCommand, Command, Item, What},
-    control::{Check, Checked, Config, Control, Event, Input, Output, NotPublished},
+    control::{Check, Checked, Config, Control, Event, Input, NotPublished, Output},
     editions::{Editions, PublishOutcome},
     state::{BadState, Outcome, State},
     texts::{TextChange, Texts},
--- a/crates/control/src/state.rs
+++ b/crates/control/src/state.rs
@@ -8,7 +8,9 @@
 
 pub use self::saved::BadState;
 use self::saved::Saved;
-use crate::{Claims, Command, Editions, TextChange, Item, Limits, PublishOutcome, Texts, What, ZoneGrants};
+use crate::{
+    Claims, Command, Editions, Item, Limits, PublishOutcome, TextChange, Texts, What, ZoneGrants,
+};
 
 /// Retry delay for a claim of an instance that is not in the table yet: the change that
 /// its first heartbeat causes has not been applied.
--- a/crates/control/src/texts.rs
+++ b/crates/control/src/texts.rs
@@ -131,7 +131,9 @@
             },
             None => Applied::Refused {
                 why: Why::BadText {
-                    errors: vec!["no text has been accepted yet: the base version must be 0".to_owned()],
+                    errors: vec![
+                        "no text has been accepted yet: the base version must be 0".to_owned(),
+                    ],
                 },
             },
         })
--- a/crates/control/tests/control.rs
+++ b/crates/control/tests/control.rs
@@ -65,7 +65,11 @@
                 }
             }
             if !self.hold_writes {
-                inputs.extend(self.held_writes.drain(..).map(|upto| Input::Synced { upto }));
+                inputs.extend(
+                    self.held_writes
+                        .drain(..)
+                        .map(|upto| Input::Synced { upto }),
+                );
             }
             all.extend(out);
         }
--- a/crates/control/tests/cost.rs
+++ b/crates/control/tests/cost.rs
@@ -190,7 +190,9 @@
         }
         let each = began.elapsed().as_nanos() / 500_000;
         let (full, prints) = state.claims().counts();
-        println!("{label}: {full} in full, {prints} fingerprints; {each} ns per claim with outcome");
+        println!(
+            "{label}: {full} in full, {prints} fingerprints; {each} ns per claim with outcome"
+        );
         println!(
             "{label}: snapshot {} bytes; log {} bytes per key",
             state.save().len(),
--- a/crates/control/tests/editions.rs
+++ b/crates/control/tests/editions.rs
@@ -1,6 +1,6 @@
 //! Editions, versions of adapters and zone owners, on the state machine alone.
 
-use control::{Command, Outcome, State, PublishOutcome, What};
+use control::{Command, Outcome, PublishOutcome, State, What};
 use googletest::prelude::*;
 use wire::fleet::Edition;
 
@@ -56,8 +56,14 @@
 #[gtest]
 fn a_version_of_an_adapter_never_goes_back() {
     let mut state = State::default();
-    assert_that!(revise(&mut state, 2), eq(&Outcome::Published(PublishOutcome::InForce)));
-    assert_that!(revise(&mut state, 1), eq(&Outcome::Published(PublishOutcome::Before)));
+    assert_that!(
+        revise(&mut state, 2),
+        eq(&Outcome::Published(PublishOutcome::InForce))
+    );
+    assert_that!(
+        revise(&mut state, 1),
+        eq(&Outcome::Published(PublishOutcome::Before))
+    );
     assert_that!(state.editions().versions().get("m/a"), some(eq(&2)));
 }
 
--- a/crates/frontd/src/control/shell.rs
+++ b/crates/frontd/src/control/shell.rs
@@ -13,7 +13,7 @@
 };
 
 use base::{InstanceName, Ticket, Time};
-use control::{Control, Event, Input, Output, NotPublished, What};
+use control::{Control, Event, Input, NotPublished, Output, What};
 use daemon::{Clock, Links};
 use disk::Writer;
 use gateway::{
--- a/crates/member/src/lib.rs
+++ b/crates/member/src/lib.rs
@@ -11,5 +11,5 @@
 
 pub use crate::{
     instances::{Instances, Liveness},
-    targets::{Epoch, Observed, Outdated, Phase, Target, Targets, Observation},
+    targets::{Epoch, Observation, Observed, Outdated, Phase, Target, Targets},
 };
--- a/crates/member/src/targets.rs
+++ b/crates/member/src/targets.rs
@@ -161,7 +161,11 @@
     ///
     /// Fails if the target restarted, was drained or came back meanwhile: the effect of
     /// the order is lost.
-    pub fn finish_order(&mut self, name: &TargetName, observation: Observation) -> Result<(), Outdated> {
+    pub fn finish_order(
+        &mut self,
+        name: &TargetName,
+        observation: Observation,
+    ) -> Result<(), Outdated> {
         let serial = self.serials;
         let target = self.all.get_mut(name).ok_or(Outdated::Gone)?;
         if observation.epoch != target.epoch {
--- a/crates/member/tests/member.rs
+++ b/crates/member/tests/member.rs
@@ -4,7 +4,7 @@
 
 use base::{Incarnation, Time};
 use googletest::prelude::*;
-use member::{Instances, Observed, Outdated, Liveness, Targets};
+use member::{Instances, Liveness, Observed, Outdated, Targets};
 use wire::platform::{Instance, List, State, Target};
 
 fn list(serial: u64, targets: &[(&str, State)]) -> List {
@@ -72,7 +72,10 @@
     );
     let observation = targets.begin(&t).unwrap();
     targets.apply_list(&list(3, &[]));
-    assert_that!(targets.finish(&t, observation, T, None), err(eq(Outdated::Gone)));
+    assert_that!(
+        targets.finish(&t, observation, T, None),
+        err(eq(Outdated::Gone))
+    );
     targets.apply_list(&list(4, &[("t", State::Live)]));
     assert_that!(targets.fail(&t, observation), err(eq(Outdated::Changed)));
     assert_that!(targets.apply_list(&list(1, &[])), is_empty());
--- a/crates/node/src/engines/reports.rs
+++ b/crates/node/src/engines/reports.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use base::{AdapterKey, TargetName, TargetNo, Time};
-use member::{Observed, Observation};
+use member::{Observation, Observed};
 use owner::Ownership;
 use route::{Input as SchedulerInput, News, Report};
 use wire::engine;
--- a/crates/owner/src/grantor.rs
+++ b/crates/owner/src/grantor.rs
@@ -167,7 +167,13 @@
     /// Handles a heartbeat and returns the grantor's contribution to the reply; changes
     /// to propose are appended to `out`. May be called only while the leader's own lease
     /// is valid.
-    pub fn heartbeat(&mut self, now: Time, beat: &Beat, table: &Table, out: &mut Vec<Change>) -> Grant {
+    pub fn heartbeat(
+        &mut self,
+        now: Time,
+        beat: &Beat,
+        table: &Table,
+        out: &mut Vec<Change>,
+    ) -> Grant {
         let (id, urgent) = self.note(now, beat);
         if !table.knows(&id) {
             let change = Change::Join {
--- a/crates/owner/src/grantor/plan.rs
+++ b/crates/owner/src/grantor/plan.rs
@@ -61,8 +61,8 @@
             let former = engine.former.iter().map(|f| (&f.id, f.peer.as_str()));
             former.chain([(&engine.owner, engine.peer.as_str())])
         });
-        let mut others = owners
-            .filter(|(id, _)| id.instance != *name || id.incarnation != member.incarnation);
+        let mut others =
+            owners.filter(|(id, _)| id.instance != *name || id.incarnation != member.incarnation);
         let known = others.all(|(id, peer)| {
             self.acknowledged(id, member.joined)
                 || replaced(table, id, peer)
@@ -162,11 +162,7 @@
             };
             *counts.entry(name.clone()).or_default() += 1;
             let id = candidates[&name].clone();
-            due.push(Change::Assign {
-                target,
-                id,
-                expect,
-            });
+            due.push(Change::Assign { target, id, expect });
         }
         self.forget(now, table, zone, due);
         if all_assigned {
@@ -183,7 +179,8 @@
     ) -> BTreeMap<InstanceName, InstanceId> {
         let members = table.members().iter();
         let admitted = members.filter(|(_, m)| m.zone == *zone && m.admitted);
-        admitted.filter(|(name, m)| self.present(now, name, m).is_some_and(|s| !s.leaving))
+        admitted
+            .filter(|(name, m)| self.present(now, name, m).is_some_and(|s| !s.leaving))
             .map(|(name, m)| (name.clone(), id_of(name, m)))
             .collect()
     }
@@ -205,7 +202,10 @@
     ) -> Vec<(TargetName, Fence)> {
         let instances = self.seen.values();
         let instances = instances.filter(|seen| seen.zone == *zone && self.live(now, seen));
-        let reach: BTreeSet<_> = instances.filter_map(|s| s.engines.as_ref()).flatten().collect();
+        let reach: BTreeSet<_> = instances
+            .filter_map(|s| s.engines.as_ref())
+            .flatten()
+            .collect();
         let mut assignable = Vec::new();
         for target in reach {
             match table.engines().get(target) {
--- a/crates/owner/src/lessee.rs
+++ b/crates/owner/src/lessee.rs
@@ -339,8 +339,12 @@
         };
         // Guard: an order sent at the very end of a lease arrives when the next owner has
         // taken over. So an unload is sent only if it can arrive before the lease ends.
-        let full =
-            full && held.is_valid(now + self.config.delivery, self.zone_peers(), self.config.leaderless);
+        let full = full
+            && held.is_valid(
+                now + self.config.delivery,
+                self.zone_peers(),
+                self.config.leaderless,
+            );
         // Guard: an instance that was replaced without knowing it would unload adapters
         // that the new owner's requests use. An engine that checks fencing numbers
         // refuses that order; any other engine is not sent it.
@@ -438,7 +442,9 @@
 /// Returns how long a confirmation is valid in a zone with `zone_peers` zone peers.
 fn confirm_time(config: &Config, zone_peers: usize) -> Duration {
     let zone_peers = u32::try_from(zone_peers).unwrap_or(u32::MAX);
-    config.lease.max(CONFIRM_PER_PEER.saturating_mul(zone_peers))
+    config
+        .lease
+        .max(CONFIRM_PER_PEER.saturating_mul(zone_peers))
 }
 
 fn fence_of(peer: &Peer, target: &TargetName) -> Option<Fence> {
--- a/crates/owner/src/lessee/held.rs
+++ b/crates/owner/src/lessee/held.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use super::{
-    SENT_MAX, BeatReply, Confirm, EARLY_HANDOVERS_MAX, Fence, Handover, Lessee, InstanceName, Lease, Lost,
-    Output, Ownership, Resident, TargetName, Time, confirm_time, fence_of,
+    BeatReply, Confirm, EARLY_HANDOVERS_MAX, Fence, Handover, InstanceName, Lease, Lessee, Lost,
+    Output, Ownership, Resident, SENT_MAX, TargetName, Time, confirm_time, fence_of,
 };
 
 /// A lease on one engine.
@@ -166,7 +166,10 @@
             self.held.remove(&lease.target);
         }
         self.lost.remove(&lease.target);
-        let early = self.early_handovers.remove(&lease.target).unwrap_or_default();
+        let early = self
+            .early_handovers
+            .remove(&lease.target)
+            .unwrap_or_default();
         let held = self.held.entry(lease.target).or_insert_with(|| Held {
             fence: lease.fence,
             sent_at: sent,
@@ -186,7 +189,8 @@
         held.ask_at = sent + self.config.heartbeat * 3 / 2;
         held.former = lease.former.into_iter().collect();
         held.handovers.extend(early);
-        held.handovers.retain(|fence, _| held.former.contains(fence));
+        held.handovers
+            .retain(|fence, _| held.former.contains(fence));
     }
 
     /// Returns whether this instance may accept an engine that the leader assigns to it.
@@ -339,7 +343,10 @@
         self.ask_zone_peers(now, out);
         self.report_changes(now, out);
         let leaderless = self.config.leaderless;
-        let times = self.held.values().filter_map(|h| h.next_change(now, leaderless));
+        let times = self
+            .held
+            .values()
+            .filter_map(|h| h.next_change(now, leaderless));
         if let Some(next) = times.min() {
             out.push(Output::Wake(next));
         }
--- a/crates/owner/src/lib.rs
+++ b/crates/owner/src/lib.rs
@@ -17,8 +17,8 @@
 use base::DriftMargin;
 
 pub use crate::{
-    grantor::{Grantor, Grant},
-    lessee::{Lessee, Input, Order, Output, Ownership},
+    grantor::{Grant, Grantor},
+    lessee::{Input, Lessee, Order, Output, Ownership},
     store::{fixed_share, shares},
     table::{Change, Engine, Former, InstanceId, Member, Table},
 };
--- a/crates/owner/src/store.rs
+++ b/crates/owner/src/store.rs
@@ -46,7 +46,9 @@
         let busy = ((open - equal) * u64::from(demand.loads)).checked_div(waiting);
         u32::try_from(equal / count + busy.unwrap_or(0)).unwrap_or(u32::MAX)
     };
-    let parts = demands.iter().map(|(name, demand)| (name.clone(), part(demand)));
+    let parts = demands
+        .iter()
+        .map(|(name, demand)| (name.clone(), part(demand)));
     parts.collect()
 }
 
--- a/crates/owner/src/table.rs
+++ b/crates/owner/src/table.rs
@@ -133,11 +133,7 @@
             Change::Join { id, zone, peer } => self.join(index, id, zone, peer),
             Change::Admit { id } => self.admit(index, id),
             Change::Dismiss { id } => self.dismiss(index, id),
-            Change::Assign {
-                target,
-                id,
-                expect,
-            } => self.assign(index, target, id, *expect),
+            Change::Assign { target, id, expect } => self.assign(index, target, id, *expect),
             Change::Account { target, fence } => self.account(target, *fence),
             Change::Forget { target, expect } => self.forget(index, target, *expect),
         };
@@ -209,10 +205,7 @@
             instance: name.clone(),
             zone: member.zone.clone(),
             address: member.peer.clone(),
-            owns: self
-                .owned(&id)
-                .map(|(t, e)| (t.clone(), e.fence))
-                .collect(),
+            owns: self.owned(&id).map(|(t, e)| (t.clone(), e.fence)).collect(),
         }
     }
 
--- a/crates/owner/tests/grantor.rs
+++ b/crates/owner/tests/grantor.rs
@@ -4,7 +4,7 @@
 
 use base::{Fence, Incarnation, PerSecond, TextVersion, Time};
 use googletest::prelude::*;
-use owner::{Change, Config, Grantor, InstanceId, Grant, Table, fixed_share, shares};
+use owner::{Change, Config, Grant, Grantor, InstanceId, Table, fixed_share, shares};
 use wire::call::Beat;
 
 /// A leader and its log; every proposal is applied at once.
--- a/crates/owner/tests/lessee.rs
+++ b/crates/owner/tests/lessee.rs
@@ -4,7 +4,7 @@
 
 use base::{Fence, Time};
 use googletest::prelude::*;
-use owner::{Config, Lessee, Input, Order, Output, Ownership};
+use owner::{Config, Input, Lessee, Order, Output, Ownership};
 use wire::call::{BeatReply, Confirm, Handover, Lease, Peer};
 
 /// Milliseconds after its start at which a lessee certainly accepts engines; before, it
@@ -90,10 +90,16 @@
     let mut lessee = lessee();
     heartbeat(&mut lessee, START, reply(1, &[("e", 7, &[])]));
     let fence = Fence(7);
-    assert_that!(ownership(&lessee, START + 2_999), eq(Ownership::Full { fence }));
+    assert_that!(
+        ownership(&lessee, START + 2_999),
+        eq(Ownership::Full { fence })
+    );
     assert_that!(unload(&lessee, START + 100, false), eq(true));
     assert_that!(unload(&lessee, START + 2_600, false), eq(false));
-    assert_that!(ownership(&lessee, START + 3_000), eq(Ownership::Restricted { fence }));
+    assert_that!(
+        ownership(&lessee, START + 3_000),
+        eq(Ownership::Restricted { fence })
+    );
     assert_that!(unload(&lessee, START + 3_000, false), eq(false));
     assert_that!(unload(&lessee, START + 3_000, true), eq(true));
 }
@@ -124,7 +130,11 @@
             }
         }
         if (START + 2_000..end - 100).contains(&ms) {
-            assert_that!(ownership(&lessee, ms + 4), eq(Ownership::Full { fence }), "at {ms}");
+            assert_that!(
+                ownership(&lessee, ms + 4),
+                eq(Ownership::Full { fence }),
+                "at {ms}"
+            );
         }
         ms += 500;
     }
