--- a/crates/control/src/claims.rs
+++ b/crates/control/src/claims.rs
@@ -1,12 +1,16 @@
-//! Claims of marked requests: each runs at most once.
+//! Claims of marked requests.
 //!
-//! A key is remembered in full for a while, with its answer where that is
-//! small; then as a fingerprint of 8 bytes. A key that carries its own date is
-//! forgotten in the end, and from then on refused by its date; one without
-//! date keeps its fingerprint, and when there is no room for more, new ones
-//! are refused. In no case does a key run a second time.
+//! A marked request carries an idempotency key and runs at most once. The entry instance
+//! that receives it claims the key in the replicated log before it sends the request to
+//! an engine, and reports the outcome afterwards.
+//!
+//! A key is first remembered in full, together with the answer if that is small, and
+//! later only as a fingerprint of 8 bytes. A key that contains a date is eventually
+//! forgotten; from then on, keys of that date or earlier are refused. A key without date
+//! keeps its fingerprint; when there is no room for more fingerprints, new keys without
+//! date are refused. No key ever runs a second time.
 
-mod prints;
+mod fingerprints;
 mod record;
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -15,54 +19,62 @@
 use wire::call::{Answer, Claim, ClaimReply, Fate, Settle};
 
 use self::{
-    prints::Prints,
-    record::{Kept, Key, Phase},
+    fingerprints::Fingerprints,
+    record::{Key, KeyRecord, Phase},
 };
 
 record! {
-    /// How much of claims is remembered; equal on all replicas, since it is
-    /// part of the state.
+    /// Limits on what is remembered of claims. They are part of the replicated state, so
+    /// that all replicas apply the same ones.
     pub struct Limits {
         /// How long a settled key is remembered in full, in milliseconds.
         pub full_ms: u64,
-        /// How long a claim may be under way, in milliseconds; then it may
-        /// have run.
+        /// How long a claim may be under way, in milliseconds. After that, its outcome is
+        /// unknown: the request may have run.
         pub running_ms: u64,
-        /// Keys remembered in full; beyond, settled ones shrink early.
+        /// Number of keys remembered in full. Beyond it, settled keys are reduced to
+        /// fingerprints before their time.
         pub full: usize,
-        /// The largest answer that is kept, in bytes.
+        /// Size of the largest answer that is kept, in bytes.
         pub answer: usize,
-        /// All kept answers together, in bytes.
+        /// Total size of all kept answers, in bytes.
         pub answers: usize,
-        /// Fingerprints of keys without date, of one brand.
+        /// Number of fingerprints of keys without date, per brand.
         pub undated: usize,
-        /// Fingerprints of keys with date, of one brand.
+        /// Number of fingerprints of keys with date, per brand.
         pub dated: usize,
-        /// How far in the future a key's own date may lie, in milliseconds;
-        /// beyond, the key counts as undated.
+        /// How far a key's date may lie in the future, in milliseconds. A key with a
+        /// later date is treated as one without date.
         pub ahead_ms: u64,
-        /// How old a key's own date may be, in milliseconds; beyond, it is
-        /// refused, so that keys of all times can't fill the memory.
+        /// How old a key's date may be, in milliseconds. Older keys are refused, so that
+        /// keys of arbitrary dates can't fill the memory.
         pub window_ms: u64,
-        /// When to come back after a refusal for lack of room.
+        /// Retry delay after a refusal for lack of room, in milliseconds.
         pub retry_ms: u64,
     }
 
     /// All claims.
     pub struct Claims {
         limits: Limits,
-        keys: BTreeMap<Key, Kept>,
+        /// The keys remembered in full.
+        keys: BTreeMap<Key, KeyRecord>,
+        /// Claims under way, by the time of the claim on the state clock.
         under_way: BTreeSet<(u64, Key)>,
+        /// Settled keys remembered in full, by the time on the state clock when they were
+        /// settled, oldest first.
         settled: VecDeque<(u64, Key)>,
+        /// Keys with a kept answer, oldest first.
         answers: VecDeque<Key>,
+        /// Total size of the kept answers.
         answer_bytes: usize,
-        prints: BTreeMap<BrandName, Prints>,
+        fingerprints: BTreeMap<BrandName, Fingerprints>,
     }
 }
 
 impl Default for Limits {
-    /// The time in full covers a caller's resends; the counts bound what an
-    /// instance keeps in memory and in snapshots (docs/design/claims.md).
+    /// Keys are remembered in full for long enough to answer a caller's retries. The
+    /// counts bound the size of the state in memory and in snapshots
+    /// (docs/design/claims.md).
     fn default() -> Self {
         Limits {
             full_ms: 600_000,
@@ -86,7 +98,7 @@
 }
 
 impl Claims {
-    /// Makes an empty set of claims.
+    /// Creates an empty set of claims.
     #[must_use]
     pub fn new(limits: Limits) -> Self {
         Claims {
@@ -96,40 +108,40 @@
             settled: VecDeque::new(),
             answers: VecDeque::new(),
             answer_bytes: 0,
-            prints: BTreeMap::new(),
+            fingerprints: BTreeMap::new(),
         }
     }
 
-    /// Returns the answer to a claim that is settled already; nothing means
-    /// that the log has to decide.
+    /// Returns the reply to a claim of a key that is already settled; none if the claim
+    /// has to go through the log.
     #[must_use]
     pub fn known(&self, claim: &Claim) -> Option<ClaimReply> {
-        let kept = self.keys.get(&Key::of(claim))?;
-        let reply = kept.reply(claim);
+        let record = self.keys.get(&Key::of(claim))?;
+        let reply = record.reply(claim);
         (!matches!(reply, ClaimReply::Yours | ClaimReply::Running)).then_some(reply)
     }
 
-    /// Returns how many keys are remembered in full, and as fingerprints.
+    /// Returns the number of keys remembered in full and the number of fingerprints.
     #[must_use]
     pub fn counts(&self) -> (usize, usize) {
-        let prints = self.prints.values().map(Prints::len).sum();
-        (self.keys.len(), prints)
+        let fingerprints = self.fingerprints.values().map(Fingerprints::len).sum();
+        (self.keys.len(), fingerprints)
     }
 
-    /// Applies a claim at `at` on the state's clock and `wall` on the
-    /// leader's wall clock.
+    /// Applies a claim at time `at` of the state clock and time `wall` of the leader's
+    /// wall clock.
     pub(crate) fn claim(&mut self, at: u64, wall: u64, claim: &Claim) -> ClaimReply {
         let key = Key::of(claim);
-        if let Some(kept) = self.keys.get(&key) {
-            return kept.reply(claim);
+        if let Some(record) = self.keys.get(&key) {
+            return record.reply(claim);
         }
-        let dated = self.date(wall, claim);
-        let print = print_of(&key);
-        if let Some(prints) = self.prints.get(&claim.brand) {
-            // Guard: the key shrank to a fingerprint, so a resend long after
-            // finds no record. It must not look like a new key, also not when
-            // its date was believed only one of both times.
-            if let Some(ran) = prints.find(claim.dated, print) {
+        let dated = self.accepted_date(wall, claim);
+        let fingerprint = fingerprint_of(&key);
+        if let Some(fingerprints) = self.fingerprints.get(&claim.brand) {
+            // Guard: a key that was reduced to a fingerprint has no record, but a late
+            // retry with it must not be taken for a new key. The fingerprint is also
+            // found if the date was accepted for only one of the two claims.
+            if let Some(ran) = fingerprints.find(claim.dated, fingerprint) {
                 base::hit!(fingerprint_found);
                 return if ran {
                     ClaimReply::Ran(None)
@@ -137,15 +149,15 @@
                     ClaimReply::MayHaveRun
                 };
             }
-            // Guard: keys of this date were forgotten for lack of room, and
-            // this may be one of them. Refusing it costs a resend under a new
-            // key at worst; letting it pass could run it twice.
-            if claim.dated.is_some_and(|date| prints.forgot(date)) {
+            // Guard: keys of this date were forgotten for lack of room, and this may be
+            // one of them. A refusal makes the caller use a new key at worst; accepting
+            // it could run the request twice.
+            if claim.dated.is_some_and(|date| fingerprints.forgot(date)) {
                 base::hit!(key_too_old);
                 return ClaimReply::TooOld;
             }
         }
-        if claim.dated.is_some_and(|date| self.outside(wall, date)) {
+        if claim.dated.is_some_and(|date| self.too_old(wall, date)) {
             base::hit!(key_outside_window);
             return ClaimReply::TooOld;
         }
@@ -154,29 +166,30 @@
             let retry = std::time::Duration::from_millis(self.limits.retry_ms);
             return ClaimReply::NotNow { retry };
         }
-        self.prints
+        self.fingerprints
             .entry(claim.brand.clone())
             .or_default()
             .reserve(dated);
         self.under_way.insert((at, key.clone()));
-        self.keys.insert(key, Kept::running(claim, dated, at));
+        self.keys.insert(key, KeyRecord::running(claim, dated, at));
         ClaimReply::Yours
     }
 
-    /// Applies an outcome at `at`; returns whether it was the claimer's.
+    /// Applies an outcome at time `at` of the state clock; returns whether it comes from
+    /// the instance and attempt that hold the claim.
     pub(crate) fn settle(&mut self, at: u64, settle: &Settle) -> bool {
         let key = Key::of_settle(settle);
-        let Some(kept) = self.keys.get_mut(&key) else {
+        let Some(record) = self.keys.get_mut(&key) else {
             return false;
         };
-        // Guard: a late outcome of an attempt that was given up must not free
-        // a key that somebody else has claimed since, or the request would run
-        // a second time beside it.
-        if kept.instance != settle.instance || kept.attempt != settle.attempt {
+        // Guard: the late outcome of an attempt that was given up must not free a key
+        // that another instance has claimed since, or the request would run a second
+        // time.
+        if record.instance != settle.instance || record.attempt != settle.attempt {
             base::hit!(foreign_settle);
             return false;
         }
-        if matches!(kept.phase, Phase::Ran(_)) {
+        if matches!(record.phase, Phase::Ran(_)) {
             return true;
         }
         match &settle.fate {
@@ -187,15 +200,15 @@
         true
     }
 
-    /// Ends all claims that `instance` has under way: they may have run.
+    /// Settles all claims that `instance` has under way: their requests may have run.
     pub(crate) fn lapse(&mut self, at: u64, instance: &InstanceName) {
-        let claimer = |key: &Key| self.keys.get(key).map(|kept| &kept.instance);
+        let claimer = |key: &Key| self.keys.get(key).map(|record| &record.instance);
         let under_way = self.under_way.iter().map(|(_, key)| key);
         let keys = under_way.filter(|key| claimer(key) == Some(instance));
         let keys: Vec<_> = keys.cloned().collect();
         for key in keys {
-            // Guard: a claimer that died may have sent the request or not.
-            // Freeing its claim would run the request again.
+            // Guard: an instance that died may or may not have sent the request. If the
+            // key were freed, the request could run again.
             base::hit!(claimer_died);
             self.finish(at, &key, Phase::MayHaveRun, None);
         }
@@ -209,7 +222,9 @@
             .collect()
     }
 
-    /// Shrinks settled keys whose time in full is over at `at`.
+    /// Settles claims that are under way for too long at time `at` of the state clock,
+    /// and reduces settled keys to fingerprints once they no longer have to be remembered
+    /// in full.
     pub(crate) fn expire(&mut self, at: u64) {
         while let Some((since, key)) = self.under_way.first().cloned() {
             if at.saturating_sub(since) <= self.limits.running_ms {
@@ -225,20 +240,20 @@
             let Some((since, key)) = self.settled.pop_front() else {
                 return;
             };
-            let settled = self.keys.get(&key).and_then(|kept| kept.settled);
+            let settled = self.keys.get(&key).and_then(|record| record.settled);
             if settled == Some(since) {
-                self.shrink(&key);
+                self.reduce(&key);
             }
         }
     }
 
-    /// Returns the key's own date where it can be believed.
-    fn date(&self, wall: u64, claim: &Claim) -> Option<u64> {
+    /// Returns the key's date, unless it lies too far in the future.
+    fn accepted_date(&self, wall: u64, claim: &Claim) -> Option<u64> {
         let limit = wall.saturating_add(self.limits.ahead_ms);
         claim.dated.filter(|date| *date <= limit)
     }
 
-    fn outside(&self, wall: u64, date: u64) -> bool {
+    fn too_old(&self, wall: u64, date: u64) -> bool {
         date.saturating_add(self.limits.window_ms) < wall
     }
 
@@ -246,32 +261,32 @@
         if self.under_way.len() >= self.limits.full {
             return false;
         }
-        let Some(prints) = self.prints.get(brand) else {
+        let Some(fingerprints) = self.fingerprints.get(brand) else {
             return true;
         };
-        dated.is_some() || prints.undated() < self.limits.undated
+        dated.is_some() || fingerprints.undated() < self.limits.undated
     }
 
     fn free(&mut self, key: &Key) {
-        if let Some(kept) = self.keys.remove(key) {
-            self.under_way.remove(&(kept.since, key.clone()));
-            let prints = self.prints.entry(key.brand.clone()).or_default();
-            prints.release(kept.dated);
+        if let Some(record) = self.keys.remove(key) {
+            self.under_way.remove(&(record.since, key.clone()));
+            let fingerprints = self.fingerprints.entry(key.brand.clone()).or_default();
+            fingerprints.release(record.dated);
         }
     }
 
     fn finish(&mut self, at: u64, key: &Key, phase: Phase, answer: Option<Answer>) {
-        let Some(kept) = self.keys.get_mut(key) else {
+        let Some(record) = self.keys.get_mut(key) else {
             return;
         };
-        kept.phase = phase;
-        kept.settled = Some(at);
-        self.under_way.remove(&(kept.since, key.clone()));
+        record.phase = phase;
+        record.settled = Some(at);
+        self.under_way.remove(&(record.since, key.clone()));
         self.settled.push_back((at, key.clone()));
         let small = answer.filter(|a| size_of(a) <= self.limits.answer);
         if let Some(answer) = small {
             self.answer_bytes += size_of(&answer);
-            kept.phase = Phase::Ran(Some(answer));
+            record.phase = Phase::Ran(Some(answer));
             self.answers.push_back(key.clone());
         }
         while self.answer_bytes > self.limits.answers {
@@ -283,26 +298,26 @@
     }
 
     fn drop_answer(&mut self, key: &Key) {
-        let Some(kept) = self.keys.get_mut(key) else {
+        let Some(record) = self.keys.get_mut(key) else {
             return;
         };
-        if let Phase::Ran(answer) = &mut kept.phase
+        if let Phase::Ran(answer) = &mut record.phase
             && let Some(answer) = answer.take()
         {
             self.answer_bytes -= size_of(&answer);
         }
     }
 
-    fn shrink(&mut self, key: &Key) {
+    fn reduce(&mut self, key: &Key) {
         self.drop_answer(key);
-        let Some(kept) = self.keys.remove(key) else {
+        let Some(record) = self.keys.remove(key) else {
             return;
         };
-        let ran = matches!(kept.phase, Phase::Ran(_));
-        let prints = self.prints.entry(key.brand.clone()).or_default();
-        prints.release(kept.dated);
-        prints.add(kept.dated, print_of(key), ran);
-        prints.trim(self.limits.dated);
+        let ran = matches!(record.phase, Phase::Ran(_));
+        let fingerprints = self.fingerprints.entry(key.brand.clone()).or_default();
+        fingerprints.release(record.dated);
+        fingerprints.add(record.dated, fingerprint_of(key), ran);
+        fingerprints.trim(self.limits.dated);
         while self
             .answers
             .front()
@@ -313,8 +328,9 @@
     }
 }
 
-/// Returns the fingerprint of a key; its lowest bit is free.
-fn print_of(key: &Key) -> u64 {
+/// Returns the fingerprint of a key. Its lowest bit is zero, as [`Fingerprints`]
+/// stores a flag there.
+fn fingerprint_of(key: &Key) -> u64 {
     stable_hash(&[&key.hash]) & !1
 }
 
--- a/crates/control/src/control/answer.rs
+++ b/crates/control/src/control/answer.rs
@@ -1,4 +1,4 @@
-//! Who waits for a proposal, and what each of them is told.
+//! Proposals under way: who waits for them, and how they are answered.
 
 use base::Ticket;
 use replog::{Index, Rejected, WhyNot};
@@ -7,26 +7,26 @@
     operator::{Applied, Why},
 };
 
-use super::{Control, Outcome, Output, RETRY_MS, io::Asker};
-use crate::Unnamed;
+use super::{Control, Outcome, Output, RETRY_MS, io::Requester};
+use crate::NotPublished;
 
-/// Who waits for a proposal.
+/// Who waits for the outcome of a proposal.
 #[derive(Clone, Debug)]
 pub(super) enum Waiting {
     /// Nobody.
     Nobody,
-    /// Whoever changes the text.
-    Text(Asker),
-    /// Callers with claims, one for each.
+    /// The requester of a change of the configuration text.
+    Text(Requester),
+    /// The requesters of claims, one per item of the command.
     Claims(Vec<Option<Ticket>>),
-    /// Whoever names an edition or a version.
-    Named(Ticket),
-    /// Whoever changes the replicas.
+    /// The operator that publishes an edition or an adapter's version.
+    Published(Ticket),
+    /// The caller that adds or removes a replica.
     Members(Ticket),
 }
 
 impl Control {
-    /// Takes the log's answer to a proposal.
+    /// Handles the log's answer to a proposal.
     pub(super) fn on_proposed(
         &mut self,
         ticket: u64,
@@ -45,31 +45,31 @@
                 return;
             }
         };
-        match self.done.remove(&index) {
+        match self.outcomes.remove(&index) {
             Some(outcome) => self.finish(ticket, outcome, out),
             None => {
-                self.acked.insert(index, ticket);
+                self.acknowledged.insert(index, ticket);
             }
         }
     }
 
-    /// Takes the outcome of an applied command.
+    /// Handles the outcome of an applied command.
     pub(super) fn on_outcome(&mut self, index: Index, outcome: Outcome, out: &mut Vec<Output>) {
-        if let Some(ticket) = self.acked.remove(&index) {
+        if let Some(ticket) = self.acknowledged.remove(&index) {
             self.finish(ticket, outcome, out);
         } else if self.waiting.is_empty() {
-            self.done.clear();
+            self.outcomes.clear();
         } else {
-            self.done.insert(index, outcome);
+            self.outcomes.insert(index, outcome);
         }
     }
 
-    /// Gives up on proposals whose commands are inside a snapshot: their
-    /// outcome can't be told from here.
+    /// Answers the proposals whose commands are contained in a restored snapshot. The
+    /// snapshot doesn't tell the outcome of single commands, so it is unknown.
     pub(super) fn give_up_before(&mut self, index: Index, out: &mut Vec<Output>) {
-        let later = self.acked.split_off(&index.next());
-        let skipped = std::mem::replace(&mut self.acked, later);
-        self.done = self.done.split_off(&index.next());
+        let later = self.acknowledged.split_off(&index.next());
+        let skipped = std::mem::replace(&mut self.acknowledged, later);
+        self.outcomes = self.outcomes.split_off(&index.next());
         let leader = None;
         for ticket in skipped.into_values() {
             let rejected = Rejected::Unknown {
@@ -81,10 +81,12 @@
 
     fn finish(&mut self, ticket: u64, outcome: Outcome, out: &mut Vec<Output>) {
         match (self.waiting.remove(&ticket), outcome) {
-            (Some(Waiting::Text(asker)), Outcome::Text(applied)) => out.push(asker.answer(applied)),
-            (Some(Waiting::Named(ticket)), Outcome::Named(taken)) => {
-                let result = Ok(taken);
-                out.push(Output::Named { ticket, result });
+            (Some(Waiting::Text(requester)), Outcome::Text(applied)) => {
+                out.push(requester.answer(applied))
+            }
+            (Some(Waiting::Published(ticket)), Outcome::Published(outcome)) => {
+                let result = Ok(outcome);
+                out.push(Output::Published { ticket, result });
             }
             (Some(Waiting::Claims(tickets)), Outcome::Claims(answers)) => {
                 self.claiming = false;
@@ -102,16 +104,16 @@
 
     fn reject(&mut self, ticket: u64, rejected: &Rejected, out: &mut Vec<Output>) {
         match self.waiting.remove(&ticket) {
-            Some(Waiting::Text(asker)) => out.push(asker.answer(applied_of(rejected))),
-            Some(Waiting::Named(ticket)) => {
-                let result = Err(unnamed_of(rejected, self.other_leader()));
-                out.push(Output::Named { ticket, result });
+            Some(Waiting::Text(requester)) => out.push(requester.answer(applied_reply(rejected))),
+            Some(Waiting::Published(ticket)) => {
+                let result = Err(not_published(rejected, self.other_leader()));
+                out.push(Output::Published { ticket, result });
             }
             Some(Waiting::Claims(tickets)) => {
                 self.claiming = false;
-                // The claim may be in the log or not. The asker hasn't sent
-                // its request; it asks the leader again under the same attempt
-                // and gets the claim if it was the one that made it.
+                // The claims may or may not be in the log. No requester has sent its
+                // request yet; it retries at the leader with the same attempt number, and
+                // gets the claim if the log contains it.
                 let leader = self.other_leader();
                 for ticket in tickets.into_iter().flatten() {
                     let leader = leader.clone();
@@ -128,21 +130,22 @@
     }
 }
 
-fn unnamed_of(rejected: &Rejected, leader: Option<base::InstanceName>) -> Unnamed {
+fn not_published(rejected: &Rejected, leader: Option<base::InstanceName>) -> NotPublished {
     match rejected {
-        Rejected::Unknown { .. } => Unnamed::Unknown,
+        Rejected::Unknown { .. } => NotPublished::Unknown,
         Rejected::NotAccepted { why, .. } => match why {
-            WhyNot::NotLeader => Unnamed::Elsewhere { leader },
-            _ => Unnamed::Busy,
+            WhyNot::NotLeader => NotPublished::Elsewhere { leader },
+            _ => NotPublished::Busy,
         },
     }
 }
 
-/// Returns what an operator is told of a proposal without index.
+/// Returns the reply to an operator whose proposal got no index.
 ///
-/// Guard: "refused" is said only where the change certainly is in nobody's
-/// log; an operator would make it again under another id, and have it twice.
-fn applied_of(rejected: &Rejected) -> Applied {
+/// Guard: a change is reported as refused only if it certainly is in no replica's log.
+/// Otherwise the operator would send it again under another id, and it would be applied
+/// twice.
+fn applied_reply(rejected: &Rejected) -> Applied {
     let why = match rejected {
         Rejected::Unknown { .. } => {
             base::hit!(may_have_been_accepted);
--- a/crates/control/src/control/calls.rs
+++ b/crates/control/src/control/calls.rs
@@ -1,4 +1,4 @@
-//! Calls of other processes, and changes by operators.
+//! Calls from other processes, and changes made by operators.
 
 use std::time::Duration;
 
@@ -9,8 +9,10 @@
     operator::{Applied, Apply, Why},
 };
 
-use super::{Control, Item, Output, QUEUE_MAX, RETRY_MS, What, answer::Waiting, io::Asker};
-use crate::{Given, Patch, Texts, Unnamed};
+use super::{
+    CLAIM_QUEUE_MAX, Control, Item, Output, RETRY_MS, What, answer::Waiting, io::Requester,
+};
+use crate::{NotPublished, Patch, TextChange, Texts};
 
 impl Control {
     pub(super) fn on_call(&mut self, now: Time, ticket: Ticket, call: Call, out: &mut Vec<Output>) {
@@ -19,12 +21,12 @@
             Call::Version => Reply::Version(self.state.texts().version()),
             Call::Text { have } => self.newer_text(have),
             Call::Apply(apply) => {
-                self.on_apply(now, Asker::Control(ticket), apply, out);
+                self.on_apply(now, Requester::Control(ticket), apply, out);
                 return;
             }
-            // Guard: a leader that was cut off or frozen would renew leases
-            // and grant claims that a newer one has given to others. Whoever
-            // can't act as the leader at this very moment answers nothing.
+            // Guard: a former leader that was partitioned or frozen would renew leases
+            // and grant claims that a newer leader has given to others. So these calls
+            // are answered only by an instance that may act as the leader at this moment.
             Call::Beat(_) | Call::Claim(_) | Call::Settle(_) if !self.replica.leads(now) => {
                 base::hit!(not_leading);
                 let leader = self.other_leader();
@@ -37,8 +39,8 @@
             },
             Call::Settle(settle) => return self.on_item(ticket, Item::Settle(settle), out),
             Call::Explain(_) => Reply::Explained(None),
-            // The daemon answers them from what it knows of targets, zones and
-            // editions.
+            // The daemon answers these calls itself, from its own knowledge of targets,
+            // zones and editions.
             Call::Sync(_) | Call::Renew { .. } | Call::Edition { .. } => Reply::Elsewhere {
                 leader: self.other_leader(),
             },
@@ -47,8 +49,9 @@
         out.push(Output::Reply { ticket, reply });
     }
 
-    /// Takes an edition or a version from the operator; only the leader may.
-    pub(super) fn on_named(
+    /// Handles an edition or an adapter's version published by an operator; only the
+    /// leader accepts it.
+    pub(super) fn on_publish(
         &mut self,
         now: Time,
         ticket: Ticket,
@@ -56,39 +59,39 @@
         out: &mut Vec<Output>,
     ) {
         if !self.replica.leads(now) {
-            let result = Err(Unnamed::Elsewhere {
+            let result = Err(NotPublished::Elsewhere {
                 leader: self.other_leader(),
             });
-            out.push(Output::Named { ticket, result });
+            out.push(Output::Published { ticket, result });
             return;
         }
-        self.propose(now, what, Waiting::Named(ticket), out);
+        self.propose(now, what, Waiting::Published(ticket), out);
     }
 
     pub(super) fn on_apply(
         &mut self,
         now: Time,
-        asker: Asker,
+        requester: Requester,
         apply: Apply,
         out: &mut Vec<Output>,
     ) {
         if !self.replica.leads(now) {
-            out.push(self.pass(asker, apply));
+            out.push(self.forward(requester, apply));
             return;
         }
-        let given = Given {
+        let given = TextChange {
             change: &apply.change,
             base: apply.base,
             by: &apply.by,
             digest: Texts::digest(&apply.text),
         };
         if let Some(known) = self.state.texts().known(given) {
-            out.push(asker.answer(known));
+            out.push(requester.answer(known));
             return;
         }
         if let Err(errors) = (self.check)(&apply.text) {
             let why = Why::BadText { errors };
-            out.push(asker.answer(Applied::Refused { why }));
+            out.push(requester.answer(Applied::Refused { why }));
             return;
         }
         let digest = given.digest;
@@ -100,11 +103,11 @@
             patch,
             digest,
         };
-        self.propose(now, what, Waiting::Text(asker), out);
+        self.propose(now, what, Waiting::Text(requester), out);
     }
 
-    /// Takes the leader's answer to a change that was passed on.
-    pub(super) fn on_passed(
+    /// Handles the leader's answer to a change that was forwarded to it.
+    pub(super) fn on_forwarded(
         &mut self,
         ticket: Ticket,
         reply: Option<Reply>,
@@ -113,7 +116,7 @@
         let retry_ms = RETRY_MS;
         let applied = match reply {
             Some(Reply::Applied(applied)) => applied,
-            // The callee didn't lead, so it has proposed nothing.
+            // The called instance doesn't lead, so it has proposed nothing.
             Some(Reply::Elsewhere { .. }) => Applied::Refused {
                 why: Why::NoQuorum { retry_ms },
             },
@@ -122,21 +125,21 @@
         out.push(Output::Applied { ticket, applied });
     }
 
-    /// Returns the leader if it is another instance.
+    /// Returns the leader, if it is another instance.
     pub(super) fn other_leader(&self) -> Option<InstanceName> {
         let leader = self.replica.leader()?;
         (leader != self.replica.id()).then(|| leader.instance.clone())
     }
 
-    fn pass(&self, asker: Asker, apply: Apply) -> Output {
-        match (asker, self.other_leader()) {
-            (Asker::Operator(ticket), Some(to)) => Output::Pass { ticket, to, apply },
-            (Asker::Operator(_), None) => {
+    fn forward(&self, requester: Requester, apply: Apply) -> Output {
+        match (requester, self.other_leader()) {
+            (Requester::Operator(ticket), Some(to)) => Output::Forward { ticket, to, apply },
+            (Requester::Operator(_), None) => {
                 let retry_ms = RETRY_MS;
                 let why = Why::NoQuorum { retry_ms };
-                asker.answer(Applied::Refused { why })
+                requester.answer(Applied::Refused { why })
             }
-            (Asker::Control(ticket), leader) => {
+            (Requester::Control(ticket), leader) => {
                 let reply = Reply::Elsewhere { leader };
                 Output::Reply { ticket, reply }
             }
@@ -178,13 +181,13 @@
         let mut changes = Vec::new();
         let part = self
             .grantor
-            .beat(now, beat, self.state.table(), &mut changes);
+            .heartbeat(now, beat, self.state.table(), &mut changes);
         self.propose_changes(now, changes, out);
         part.reply(beat.serial, self.state.texts().version())
     }
 
     fn on_item(&mut self, ticket: Ticket, item: Item, out: &mut Vec<Output>) {
-        if self.queue.len() < QUEUE_MAX {
+        if self.claim_queue.len() < CLAIM_QUEUE_MAX {
             self.enqueue(ticket, item);
             return;
         }
--- a/crates/control/src/control/drive.rs
+++ b/crates/control/src/control/drive.rs
@@ -1,4 +1,4 @@
-//! The replica of the log: inputs to it, and what its outputs mean here.
+//! Drives the replica of the log: hands in its inputs and carries out its outputs.
 
 use std::collections::VecDeque;
 
@@ -8,10 +8,10 @@
 use wire::call::Call;
 
 use super::{Control, Event, Output};
-use crate::{Command, Outcome, State, Taken, What};
+use crate::{Command, Outcome, PublishOutcome, State, What};
 
 impl Control {
-    /// Hands one input to the replica, and carries out what follows from it.
+    /// Hands one input to the replica and carries out the resulting outputs.
     pub(super) fn drive(&mut self, now: Time, input: replog::Input, out: &mut Vec<Output>) {
         let mut inputs = VecDeque::from([input]);
         while let Some(input) = inputs.pop_front() {
@@ -23,7 +23,7 @@
         }
     }
 
-    /// Carries out one output; returns what the replica has to be told.
+    /// Carries out one output; returns the next input for the replica, if any.
     fn carry_out(
         &mut self,
         output: replog::Output,
@@ -67,7 +67,7 @@
             return;
         };
         let outcome = self.state.apply(index.get(), &command);
-        self.tell(index, &command, &outcome, out);
+        self.report(index, &command, &outcome, out);
         self.on_outcome(index, outcome, out);
     }
 
@@ -78,17 +78,25 @@
         }
         self.give_up_before(index, out);
         self.text_changed(out);
-        out.push(Output::Event(Event::Named));
+        out.push(Output::Event(Event::Published));
     }
 
-    fn tell(&mut self, index: Index, command: &Command, outcome: &Outcome, out: &mut Vec<Output>) {
+    fn report(
+        &mut self,
+        index: Index,
+        command: &Command,
+        outcome: &Outcome,
+        out: &mut Vec<Output>,
+    ) {
         match (&command.what, outcome) {
             (What::Text { .. }, Outcome::Text(wire::operator::Applied::Accepted { version }))
                 if *version == self.state.texts().version() =>
             {
                 self.text_changed(out);
             }
-            (_, Outcome::Named(Taken::InForce)) => out.push(Output::Event(Event::Named)),
+            (_, Outcome::Published(PublishOutcome::InForce)) => {
+                out.push(Output::Event(Event::Published))
+            }
             (What::Owner(change), Outcome::Owner(true)) => {
                 let event = event_of(index, change);
                 out.extend(event.map(Output::Event));
@@ -108,18 +116,18 @@
 
 fn event_of(index: Index, change: &Change) -> Option<Event> {
     let event = match change {
-        Change::Join { life, .. } => Event::Joined {
-            instance: life.instance.clone(),
+        Change::Join { id, .. } => Event::Joined {
+            instance: id.instance.clone(),
         },
-        Change::Admit { life } => Event::Admitted {
-            instance: life.instance.clone(),
+        Change::Admit { id } => Event::Admitted {
+            instance: id.instance.clone(),
         },
-        Change::Dismiss { life } => Event::Dismissed {
-            instance: life.instance.clone(),
+        Change::Dismiss { id } => Event::Dismissed {
+            instance: id.instance.clone(),
         },
-        Change::Assign { target, life, .. } => Event::Owner {
+        Change::Assign { target, id, .. } => Event::Owner {
             target: target.clone(),
-            instance: life.instance.clone(),
+            instance: id.instance.clone(),
             fence: base::Fence(index.get()),
         },
         Change::Account { .. } | Change::Forget { .. } => return None,
--- a/crates/control/src/state.rs
+++ b/crates/control/src/state.rs
@@ -1,4 +1,4 @@
-//! The state machine over the log: the same commands give the same state.
+//! The state machine over the log: a deterministic function of the commands.
 
 mod saved;
 
@@ -8,41 +8,44 @@
 
 pub use self::saved::BadState;
 use self::saved::Saved;
-use crate::{Claims, Command, Editions, Given, Item, Limits, Taken, Texts, What, ZoneOwners};
+use crate::{
+    Claims, Command, Editions, Item, Limits, PublishOutcome, TextChange, Texts, What, ZoneGrants,
+};
 
-/// Time that a claimer unknown to the table should wait: its first beat has
-/// not been through the log yet.
-const UNKNOWN_RETRY: std::time::Duration = std::time::Duration::from_secs(1);
+/// Retry delay for a claim of an instance that is not in the table yet: the change that
+/// its first heartbeat causes has not been applied.
+const UNKNOWN_CLAIMER_RETRY: std::time::Duration = std::time::Duration::from_secs(1);
 
 record! {
-    /// What came of one command.
+    /// The outcome of one command.
     pub enum Outcome {
-        /// Of a change of the text.
+        /// Of a change of the configuration text.
         Text(Applied),
-        /// Of claims and their outcomes, one answer each; none for outcomes.
+        /// Of claims and their outcomes: a reply for each claim, none for an outcome.
         Claims(Vec<Option<ClaimReply>>),
-        /// Of a change of instances or owners: whether it had an effect.
+        /// Of a change of entry instances or engine owners: whether it had an effect.
         Owner(bool),
-        /// Of an edition or a version.
-        Named(Taken),
-        /// Of a command that has nothing to say.
+        /// Of a published edition or adapter version.
+        Published(PublishOutcome),
+        /// Of a command without result.
         Done,
     }
 
     /// The replicated state.
     #[derive(Default)]
     pub struct State {
+        /// Time on the state clock, in milliseconds.
         at: u64,
         texts: Texts,
         editions: Editions,
-        zones: ZoneOwners,
+        zones: ZoneGrants,
         table: Table,
         claims: Claims,
     }
 }
 
 impl State {
-    /// Makes an empty state with other limits of claims than the usual.
+    /// Creates an empty state with the given limits for claims.
     #[must_use]
     pub fn with_limits(limits: Limits) -> Self {
         State {
@@ -53,8 +56,8 @@
 
     /// Applies the command at `index` of the log.
     pub fn apply(&mut self, index: u64, command: &Command) -> Outcome {
-        // Guard: a new leader's clock started elsewhere. Time here never goes
-        // back, or keys would be forgotten early or never.
+        // Guard: the command of a new leader may carry an earlier time than the last one.
+        // The state clock never goes back, or keys would be forgotten too early or never.
         self.at = self.at.max(command.at);
         let outcome = match &command.what {
             What::Text {
@@ -64,7 +67,7 @@
                 patch,
                 digest,
             } => {
-                let given = Given {
+                let given = TextChange {
                     change,
                     base: *base,
                     by,
@@ -76,18 +79,18 @@
                 let answers = items.iter().map(|item| self.claim(command.wall, item));
                 Outcome::Claims(answers.collect())
             }
-            What::Publish(edition) => Outcome::Named(self.editions.publish(edition)),
+            What::Publish(edition) => Outcome::Published(self.editions.publish(edition)),
             What::Revise { adapter, version } => {
-                Outcome::Named(self.editions.revise(adapter, *version))
+                Outcome::Published(self.editions.revise(adapter, *version))
             }
             What::OwnZone { zone, instance } => {
-                self.zones.own(index, zone, instance);
-                Outcome::Named(Taken::InForce)
+                self.zones.grant(index, zone, instance);
+                Outcome::Published(PublishOutcome::InForce)
             }
-            What::Owner(change) => Outcome::Owner(self.own(index, change)),
-            What::Lapse(life) => {
-                if self.table.knows(life) {
-                    self.claims.lapse(self.at, &life.instance);
+            What::Owner(change) => Outcome::Owner(self.change_owners(index, change)),
+            What::Lapse(id) => {
+                if self.table.knows(id) {
+                    self.claims.lapse(self.at, &id.instance);
                 }
                 Outcome::Done
             }
@@ -96,13 +99,13 @@
         outcome
     }
 
-    /// Returns the state's own clock, in milliseconds.
+    /// Returns the time on the state clock, in milliseconds.
     #[must_use]
     pub fn at(&self) -> u64 {
         self.at
     }
 
-    /// Returns the text and its history.
+    /// Returns the configuration text and its history.
     #[must_use]
     pub fn texts(&self) -> &Texts {
         &self.texts
@@ -114,13 +117,13 @@
         &self.editions
     }
 
-    /// Returns who gives the orders in each zone.
+    /// Returns the zone owner of each zone.
     #[must_use]
-    pub fn zones(&self) -> &ZoneOwners {
+    pub fn zones(&self) -> &ZoneGrants {
         &self.zones
     }
 
-    /// Returns instances and owners.
+    /// Returns the table of entry instances and engine owners.
     #[must_use]
     pub fn table(&self) -> &Table {
         &self.table
@@ -132,7 +135,7 @@
         &self.claims
     }
 
-    /// Returns the state as bytes, for a snapshot.
+    /// Encodes the state for a snapshot.
     ///
     /// # Panics
     ///
@@ -142,11 +145,11 @@
         rmp_serde::to_vec(&Saved::from(self)).expect("a state has only encodable fields")
     }
 
-    /// Returns the state that [`State::save`] made these bytes of.
+    /// Decodes a state that was encoded by [`State::save`].
     ///
     /// # Errors
     ///
-    /// Fails when the bytes are no state, or one of an unknown format.
+    /// Fails if the bytes are not a valid state or have an unknown format.
     pub fn restore(raw: &[u8]) -> Result<Self, BadState> {
         let saved: Saved<'_> = rmp_serde::from_slice(raw)?;
         State::try_from(saved)
@@ -160,21 +163,20 @@
                 return None;
             }
         };
-        // Guard: a claim of an instance that the table doesn't name would
-        // stay under way for ever when its claimer dies, because nobody would
-        // notice.
+        // Guard: only instances in the table are watched for heartbeats. A claim of any
+        // other instance would stay under way forever if that instance died.
         if !self.table.members().contains_key(&claim.instance) {
             base::hit!(unknown_claimer);
-            let retry = UNKNOWN_RETRY;
+            let retry = UNKNOWN_CLAIMER_RETRY;
             return Some(ClaimReply::NotNow { retry });
         }
         Some(self.claims.claim(self.at, wall, claim))
     }
 
-    fn own(&mut self, index: u64, change: &Change) -> bool {
+    fn change_owners(&mut self, index: u64, change: &Change) -> bool {
         let done = self.table.apply(index, change);
-        if let (true, Change::Join { life, .. } | Change::Dismiss { life }) = (done, change) {
-            self.claims.lapse(self.at, &life.instance);
+        if let (true, Change::Join { id, .. } | Change::Dismiss { id }) = (done, change) {
+            self.claims.lapse(self.at, &id.instance);
         }
         done
     }
--- a/crates/control/tests/cost.rs
+++ b/crates/control/tests/cost.rs
@@ -1,30 +1,30 @@
-//! What control costs in bytes and memory, from real messages.
+//! Sizes of control messages and memory use of the replicated state.
 //!
-//! `cargo test --release -p control --test cost -- --ignored --nocapture`
-//! prints the tables of the design notes.
+//! `cargo test --release -p control --test cost -- --ignored --nocapture` prints the
+//! tables of the design documents.
 
 use std::time::Instant;
 
 use base::{Fence, Incarnation, TextVersion, Time};
 use control::{Command, Item, State, What};
 use googletest::prelude::*;
-use owner::{Change, Config, Grantor, Life, Table};
+use owner::{Change, Config, Grantor, InstanceId, Table};
 use wire::call::{Beat, Call, Claim, Confirm, Fate, Reply, Settle};
 
-fn life(i: usize) -> Life {
-    Life {
+fn instance_id(i: usize) -> InstanceId {
+    InstanceId {
         instance: format!("instance-{i:04}").parse().unwrap(),
         incarnation: Incarnation(1_700_000_000_000 + i as u64),
     }
 }
 
 fn beat(i: usize, serial: u64, roster: u64, engines: Option<usize>) -> Beat {
-    let life = life(i);
+    let id = instance_id(i);
     let names = |count| (0..count).map(|e| format!("engine-{e:04}").parse().unwrap());
     Beat {
-        instance: life.instance,
+        instance: id.instance,
         zone: "zone-0".parse().unwrap(),
-        incarnation: life.incarnation,
+        incarnation: id.incarnation,
         peer: format!("10.0.{}.{}:7100", i / 250, i % 250),
         text: TextVersion(1_000),
         leaving: false,
@@ -38,7 +38,8 @@
     }
 }
 
-/// A leader with so many instances and engines, in one zone.
+/// Returns a leader with the given numbers of instances and engines, all in one zone, and
+/// the index of the last log entry.
 fn leader(instances: usize, engines: usize) -> (Grantor, Table, u64) {
     let mut table = Table::default();
     let mut index = 0;
@@ -50,16 +51,16 @@
         let peer = format!("10.0.{}.{}:7100", i / 250, i % 250);
         let zone = "zone-0".parse().unwrap();
         put(Change::Join {
-            life: life(i),
+            id: instance_id(i),
             zone,
             peer,
         });
-        put(Change::Admit { life: life(i) });
+        put(Change::Admit { id: instance_id(i) });
     }
     for e in 0..engines {
         put(Change::Assign {
             target: format!("engine-{e:04}").parse().unwrap(),
-            life: life(e % instances),
+            id: instance_id(e % instances),
             expect: Fence(0),
         });
     }
@@ -72,14 +73,14 @@
     rmp_serde::to_vec(value).unwrap().len()
 }
 
-/// Returns the bytes of a beat and its answer: at the start and in steady
-/// state.
+/// Returns the bytes of a heartbeat and its reply: first for the first heartbeat, then
+/// for a later one without changes.
 fn exchange(instances: usize, engines: usize) -> ((usize, usize), (usize, usize)) {
     let (mut grantor, table, index) = leader(instances, engines);
     let mut size = |serial, roster, engines| {
         let beat = beat(0, serial, roster, engines);
         let now = Time::from_millis(serial * 1_000);
-        let part = grantor.beat(now, &beat, &table, &mut Vec::new());
+        let part = grantor.heartbeat(now, &beat, &table, &mut Vec::new());
         let reply = Reply::Beat(part.reply(serial, beat.text));
         (bytes(&Call::Beat(beat)), bytes(&reply))
     };
@@ -87,10 +88,10 @@
     (first, size(2, index, None))
 }
 
-/// Control traffic of an instance must not grow with the system: beats and
-/// answers in steady state carry only what is the instance's own.
+/// Control traffic of one instance must not grow with the system: without changes, a
+/// heartbeat and its reply contain only the instance's own data.
 #[test]
-fn a_steady_beat_does_not_grow_with_the_system() {
+fn a_heartbeat_does_not_grow_with_the_system() {
     let (_, few) = exchange(7, 12);
     let (_, many) = exchange(380, 600);
     assert_that!(many.0 + many.1, le(few.0 + few.1 + 10));
@@ -104,7 +105,7 @@
         brand: "brand".parse().unwrap(),
         key,
         body: key,
-        instance: life(0).instance,
+        instance: instance_id(0).instance,
         attempt: n,
         dated,
     }
@@ -119,13 +120,13 @@
 #[test]
 #[ignore = "prints figures; run in release"]
 fn cost() {
-    println!("instances engines | first beat, reply | steady beat, reply (bytes)");
+    println!("instances engines | first heartbeat, reply | later heartbeat, reply (bytes)");
     for (instances, engines) in [(7, 16), (48, 75), (100, 160), (380, 600)] {
         let (first, steady) = exchange(instances, engines);
         println!("{instances:9} {engines:7} | {first:?} | {steady:?}");
     }
     let confirm = Confirm {
-        instance: life(0).instance,
+        instance: instance_id(0).instance,
         target: "engine-0000".parse().unwrap(),
         fence: Fence(1_234_567),
         lasts: std::time::Duration::from_secs(9),
@@ -142,11 +143,11 @@
         for i in 0..380 {
             let beat = beat(i, round, index, None);
             let now = Time::from_millis(round * 1_000 + i as u64 * 2);
-            grantor.beat(now, &beat, &table, &mut Vec::new());
+            grantor.heartbeat(now, &beat, &table, &mut Vec::new());
         }
     }
     let each = began.elapsed().as_micros() / 3_800;
-    println!("leader: {each} us for a beat at 380 instances and 600 engines");
+    println!("leader: {each} us per heartbeat with 380 instances and 600 engines");
     claims();
 }
 
@@ -154,9 +155,9 @@
     for (label, dated) in [("undated", None), ("dated", Some(1_700_000_000_000))] {
         let mut state = State::default();
         let (zone, peer) = ("zone-0".parse().unwrap(), String::new());
-        let life = life(0);
+        let id = instance_id(0);
         let join = What::Owner(Change::Join {
-            life: life.clone(),
+            id: id.clone(),
             zone,
             peer,
         });
@@ -184,18 +185,20 @@
             state.apply(n + 2, &command);
             if n == 65_535 {
                 let used = (resident_kb() - before) * 1_024 / 65_536;
-                println!("{label}: {used} bytes of memory a key in full");
+                println!("{label}: {used} bytes of memory per key in full");
             }
         }
         let each = began.elapsed().as_nanos() / 500_000;
         let (full, prints) = state.claims().counts();
-        println!("{label}: {full} in full, {prints} fingerprints; {each} ns a claim with outcome");
         println!(
-            "{label}: snapshot {} bytes; log {} bytes a key",
+            "{label}: {full} in full, {prints} fingerprints; {each} ns per claim with outcome"
+        );
+        println!(
+            "{label}: snapshot {} bytes; log {} bytes per key",
             state.save().len(),
             log / 1_000
         );
-        let later = command(10_000_000_000, What::Lapse(life));
+        let later = command(10_000_000_000, What::Lapse(id));
         state.apply(1_000_000, &later);
         let (full, prints) = state.claims().counts();
         println!(
--- a/crates/control/tests/editions.rs
+++ b/crates/control/tests/editions.rs
@@ -1,7 +1,6 @@
-//! Configurations that operators number themselves, versions of adapters, and
-//! owners of zones, on the state machine alone.
+//! Editions, versions of adapters and zone owners, on the state machine alone.
 
-use control::{Command, Outcome, State, Taken, What};
+use control::{Command, Outcome, PublishOutcome, State, What};
 use googletest::prelude::*;
 use wire::fleet::Edition;
 
@@ -28,28 +27,28 @@
     Some(state.editions().newest()?.body.as_str())
 }
 
-/// Two operators send different content under one number, and the answer to an
-/// older edition was lost, so it comes again. Whatever the order, the highest
-/// number stays in force with the content that came first.
+/// Two operators send different content under one number, and an older edition is resent
+/// because its reply was lost. In any order, the highest number stays in force with the
+/// content that came first.
 #[gtest]
 fn the_highest_number_wins_and_stays() {
     let mut state = State::default();
     let _mark = base::ExpectedMark::new("edition_not_higher");
     assert_that!(
         publish(&mut state, 3, "a"),
-        eq(&Outcome::Named(Taken::InForce))
+        eq(&Outcome::Published(PublishOutcome::InForce))
     );
     assert_that!(
         publish(&mut state, 7, "b"),
-        eq(&Outcome::Named(Taken::InForce))
+        eq(&Outcome::Published(PublishOutcome::InForce))
     );
     assert_that!(
         publish(&mut state, 7, "c"),
-        eq(&Outcome::Named(Taken::Before))
+        eq(&Outcome::Published(PublishOutcome::Before))
     );
     assert_that!(
         publish(&mut state, 3, "a"),
-        eq(&Outcome::Named(Taken::Before))
+        eq(&Outcome::Published(PublishOutcome::Before))
     );
     assert_that!(body(&state), some(eq("b")));
 }
@@ -57,13 +56,19 @@
 #[gtest]
 fn a_version_of_an_adapter_never_goes_back() {
     let mut state = State::default();
-    assert_that!(revise(&mut state, 2), eq(&Outcome::Named(Taken::InForce)));
-    assert_that!(revise(&mut state, 1), eq(&Outcome::Named(Taken::Before)));
+    assert_that!(
+        revise(&mut state, 2),
+        eq(&Outcome::Published(PublishOutcome::InForce))
+    );
+    assert_that!(
+        revise(&mut state, 1),
+        eq(&Outcome::Published(PublishOutcome::Before))
+    );
     assert_that!(state.editions().versions().get("m/a"), some(eq(&2)));
 }
 
 #[gtest]
-fn a_snapshot_keeps_all_of_it() {
+fn a_snapshot_keeps_editions_versions_and_zone_owners() {
     let mut state = State::default();
     publish(&mut state, 7, "b");
     revise(&mut state, 2);
--- a/crates/member/src/targets.rs
+++ b/crates/member/src/targets.rs
@@ -1,4 +1,4 @@
-//! Targets, by the platform's list and by what is seen of them.
+//! Targets, according to the platform's list and to observations of them.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,186 +7,194 @@
 use wire::platform::{List, State};
 
 value! {
-    /// Counts what makes older observations of a target worthless: a new
-    /// incarnation, a drain, a return. Never reused, also not by a target that
-    /// leaves the list and comes back.
+    /// Counts the changes that invalidate earlier observations of a target: a new
+    /// incarnation, a drain, a return to the list. Numbers are never reused, not even for
+    /// a target that leaves the list and comes back.
     pub struct Epoch(pub u64);
 
-    /// Where a target stands.
+    /// Whether a target accepts new work, according to the platform's list.
     pub enum Phase {
-        /// Takes new work.
+        /// Accepts new work.
         Live,
-        /// To stop soon: finishes what it has, gets nothing new.
+        /// Shutting down soon: finishes its running work and gets no new work.
         Leaving,
     }
 
-    /// What an observation that has just begun has to bring back.
-    pub struct Watch {
+    /// Identifies an observation that is under way. Returned by [`Targets::begin`] and
+    /// handed back when the observation ends.
+    pub struct Observation {
         /// The target's epoch when it began.
         epoch: Epoch,
-        /// Its place among the observations of all targets.
+        /// Its number, in the order in which observations of all targets began.
         serial: u64,
     }
 }
 
 /// Why an observation was discarded.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
-pub enum Overtaken {
-    /// The target restarted, was drained or came back since it began.
+pub enum Outdated {
+    /// The target restarted, was drained or came back after it began.
     #[error("the target changed while it was observed")]
     Changed,
-    /// One that began later has already been taken in.
+    /// An observation that began later has already been taken in.
     #[error("a newer observation is known")]
     Newer,
-    /// The target is gone.
+    /// The target is no longer listed.
     #[error("the target is gone")]
     Gone,
 }
 
-/// What an accepted observation says about the target's life.
+/// Whether an accepted observation found a new incarnation of the target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Look {
-    /// Nothing new.
+pub enum Observed {
+    /// The same incarnation as before, or the first one seen.
     Same,
-    /// A new life: it holds nothing that was loaded before.
+    /// A new incarnation: all adapters loaded before are gone.
     Restarted,
 }
 
 /// A target as one process sees it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Target {
-    /// Its pool.
+    /// Its pool, from the platform's list.
     pub pool: PoolName,
-    /// Its zone.
+    /// Its availability zone, from the platform's list.
     pub zone: ZoneName,
-    /// IP and port of its HTTP listener.
+    /// IP and port of its HTTP listener, from the platform's list.
     pub address: String,
-    /// Where it stands.
+    /// Whether it accepts new work, from the platform's list.
     pub phase: Phase,
-    /// Which life of it, once seen.
+    /// Its incarnation, once observed.
     pub incarnation: Option<Incarnation>,
     /// When the newest accepted observation began.
     pub seen: Option<Time>,
     epoch: Epoch,
+    /// Observations that began before this serial are outdated.
     accepted: u64,
 }
 
 /// The targets as one process sees them.
 #[derive(Debug, Default)]
 pub struct Targets {
+    /// Serial of the newest list.
     list: u64,
+    /// The last epoch given to a target.
     epochs: u64,
+    /// The last serial given to an observation.
     serials: u64,
     all: BTreeMap<TargetName, Target>,
 }
 
 impl Targets {
-    /// Takes the platform's list; returns the targets whose phase or address
-    /// changed, came or went. One older than the last is ignored.
+    /// Takes in the platform's list; returns the targets that were added, removed or
+    /// changed. A list older than the last is ignored.
     ///
-    /// A target that the list calls leaving gets no new work from this very
-    /// call on, however its observations look.
-    pub fn list(&mut self, list: &List) -> Vec<TargetName> {
+    /// A target that the list calls leaving gets no new work from this call on, whatever
+    /// observations of it say.
+    pub fn apply_list(&mut self, list: &List) -> Vec<TargetName> {
         if list.serial < self.list {
             return Vec::new();
         }
         self.list = list.serial;
         let mut changed = self.drop_unlisted(list);
         for entry in &list.targets {
-            if self.take(entry) {
+            if self.update(entry) {
                 changed.push(entry.name.clone());
             }
         }
         changed
     }
 
-    /// Begins an observation: a report, a probe, a load. Returns nothing for
-    /// an unknown target.
-    pub fn begin(&mut self, name: &TargetName) -> Option<Watch> {
+    /// Begins an observation, such as a report, a probe or a load. Returns none for an
+    /// unknown target.
+    pub fn begin(&mut self, name: &TargetName) -> Option<Observation> {
         let epoch = self.all.get(name)?.epoch;
         self.serials += 1;
-        Some(Watch {
+        Some(Observation {
             epoch,
             serial: self.serials,
         })
     }
 
-    /// Ends an observation that began at `began` with `watch` and has found
-    /// the target's life `incarnation`, where the target tells it.
+    /// Ends `observation`, which began at `began` and found the target's
+    /// `incarnation`, if the target reports it.
     ///
     /// # Errors
     ///
-    /// Fails when the observation was overtaken: nothing of it may be used,
-    /// neither good news nor bad.
+    /// Fails if the observation is outdated. Then none of it may be used, neither a
+    /// success nor a failure.
     pub fn finish(
         &mut self,
         name: &TargetName,
-        watch: Watch,
+        observation: Observation,
         began: Time,
         incarnation: Option<Incarnation>,
-    ) -> Result<Look, Overtaken> {
-        let target = self.all.get_mut(name).ok_or(Overtaken::Gone)?;
-        // Guard: a slow report of an engine's former life, or one begun before
-        // a drain, arrives after the change and would show adapters that are
-        // gone, or bring a drained target back. It carries the epoch of its
-        // beginning and is dropped here.
-        if watch.epoch != target.epoch {
-            base::hit!(overtaken_by_change);
-            return Err(Overtaken::Changed);
+    ) -> Result<Observed, Outdated> {
+        let target = self.all.get_mut(name).ok_or(Outdated::Gone)?;
+        // Guard: a slow report from an engine's former incarnation, or one begun before a
+        // drain, may arrive after that change. It would show adapters that are gone, or
+        // mark a drained target as usable. Its epoch is outdated, so it is discarded
+        // here.
+        if observation.epoch != target.epoch {
+            base::hit!(outdated_by_change);
+            return Err(Outdated::Changed);
         }
-        if watch.serial < target.accepted {
-            base::hit!(overtaken_by_newer);
-            return Err(Overtaken::Newer);
+        if observation.serial < target.accepted {
+            base::hit!(outdated_by_newer);
+            return Err(Outdated::Newer);
         }
-        target.accepted = watch.serial;
+        target.accepted = observation.serial;
         target.seen = Some(began);
         let old = target.incarnation;
         target.incarnation = incarnation.or(old);
         if old.is_none() || target.incarnation == old {
-            return Ok(Look::Same);
+            return Ok(Observed::Same);
         }
         self.epochs += 1;
         target.epoch = Epoch(self.epochs);
-        Ok(Look::Restarted)
+        Ok(Observed::Restarted)
     }
 
-    /// Ends an order, a load or an unload, that began with `watch` and was
-    /// answered.
+    /// Ends the order that `observation` stands for, a load or an unload that was answered.
     ///
     /// # Errors
     ///
-    /// Fails when the target restarted, was drained or came back meanwhile:
-    /// what the order did is gone.
-    pub fn ordered(&mut self, name: &TargetName, watch: Watch) -> Result<(), Overtaken> {
+    /// Fails if the target restarted, was drained or came back meanwhile: the effect of
+    /// the order is lost.
+    pub fn finish_order(
+        &mut self,
+        name: &TargetName,
+        observation: Observation,
+    ) -> Result<(), Outdated> {
         let serial = self.serials;
-        let target = self.all.get_mut(name).ok_or(Overtaken::Gone)?;
-        if watch.epoch != target.epoch {
-            return Err(Overtaken::Changed);
+        let target = self.all.get_mut(name).ok_or(Outdated::Gone)?;
+        if observation.epoch != target.epoch {
+            return Err(Outdated::Changed);
         }
-        // Guard: a report that began before the order's answer may have looked
-        // at the engine before the order, and arrive after. It would show an
-        // adapter that has just been unloaded, and requests would use it while
-        // another owner, who loaded it anew, may unload it.
+        // Guard: a report that began before the order was answered may show the engine's
+        // state from before the order. If it were accepted after an unload, requests
+        // would use the unloaded adapter, which another owner may load and unload again
+        // at any time.
         target.accepted = serial + 1;
         self.serials += 1;
         Ok(())
     }
 
-    /// Ends an observation that failed: an error counts only under the same
+    /// Ends `observation`, which failed. A failure counts under the same
     /// conditions as a success.
     ///
     /// # Errors
     ///
-    /// Fails when the observation was overtaken.
-    pub fn failed(&mut self, name: &TargetName, watch: Watch) -> Result<(), Overtaken> {
-        let target = self.all.get_mut(name).ok_or(Overtaken::Gone)?;
-        if watch.epoch != target.epoch {
-            return Err(Overtaken::Changed);
+    /// Fails if the observation is outdated.
+    pub fn fail(&mut self, name: &TargetName, observation: Observation) -> Result<(), Outdated> {
+        let target = self.all.get_mut(name).ok_or(Outdated::Gone)?;
+        if observation.epoch != target.epoch {
+            return Err(Outdated::Changed);
         }
-        if watch.serial < target.accepted {
-            return Err(Overtaken::Newer);
+        if observation.serial < target.accepted {
+            return Err(Outdated::Newer);
         }
-        target.accepted = watch.serial;
+        target.accepted = observation.serial;
         Ok(())
     }
 
@@ -217,7 +225,7 @@
         gone
     }
 
-    fn take(&mut self, entry: &wire::platform::Target) -> bool {
+    fn update(&mut self, entry: &wire::platform::Target) -> bool {
         let phase = match entry.state {
             State::Live => Phase::Live,
             State::Leaving => Phase::Leaving,
--- a/crates/node/src/engines.rs
+++ b/crates/node/src/engines.rs
@@ -21,8 +21,8 @@
     AdapterKey, AdapterNo, Failure, Incarnation, Refusal, TargetName, TargetNo, Ticket, Time,
     Version,
 };
-use member::Watch;
-use owner::Holder;
+use member::Observation;
+use owner::Lessee;
 use route::{Input as SchedulerInput, Output as SchedulerOutput, RouterUpdate, Scheduler};
 use wire::platform::State;
 
@@ -54,7 +54,7 @@
     /// Adapters used by the requests that this instance has running there.
     using: BTreeMap<Ticket, AdapterKey>,
     /// What the lease permits; none if the engine is not owned.
-    owned: Option<owner::Own>,
+    owned: Option<owner::Ownership>,
     /// Whether the last poll failed.
     silent: bool,
     /// Resident adapters as last published to the other entry instances.
@@ -68,11 +68,11 @@
 /// The service that manages owned engines.
 #[derive(Debug)]
 pub(crate) struct Engines {
-    lessee: Holder,
+    lessee: Lessee,
     scheduler: Scheduler,
     engines: BTreeMap<TargetNo, Engine>,
     /// Outstanding orders by number.
-    orders: BTreeMap<u64, (Sent, Watch)>,
+    orders: BTreeMap<u64, (Sent, Observation)>,
     next_order: u64,
     /// Outstanding polls by number.
     polls: BTreeMap<u64, Poll>,
@@ -96,7 +96,7 @@
         let settings = &shared.settings;
         let (name, zone) = (settings.name.clone(), settings.zone.clone());
         Engines {
-            lessee: Holder::new(owner::Config::default(), name, zone, now),
+            lessee: Lessee::new(owner::Config::default(), name, zone, now),
             scheduler: Scheduler::new(settings.seed.get()),
             engines: BTreeMap::new(),
             orders: BTreeMap::new(),
--- a/crates/node/src/engines/calls.rs
+++ b/crates/node/src/engines/calls.rs
@@ -162,7 +162,7 @@
     /// has not heard from for the duration of a lease.
     pub(super) fn use_fixed_share(&mut self, shared: &mut Shared, now: Time, out: &mut Out) {
         let rate = shared.model.store.rate;
-        let instances = self.lessee.mates().count() + 1;
+        let instances = self.lessee.zone_peers().count() + 1;
         let share = owner::fixed_share(rate, self.lessee.zones(), instances);
         self.drive_scheduler(shared, now, SchedulerInput::Budget(share), out);
     }
--- a/crates/node/src/engines/orders.rs
+++ b/crates/node/src/engines/orders.rs
@@ -146,7 +146,7 @@
         };
         let name = shared.names.target_name(sent.target()).clone();
         // An engine that restarted since has lost the effect of the order.
-        let valid = shared.watched.ordered(&name, watch).is_ok();
+        let valid = shared.watched.finish_order(&name, watch).is_ok();
         if end == OrderEnd::Fenced {
             let fence = sent.fence();
             out.emit(Output::Event(Event::Fenced(name.clone(), fence)));
--- a/crates/node/src/engines/ownership.rs
+++ b/crates/node/src/engines/ownership.rs
@@ -2,7 +2,7 @@
 //! change of ownership permits.
 
 use base::{Fence, Incarnation, TargetName, TargetNo, Time};
-use owner::{Input as LesseeInput, Output as LesseeOutput, Own};
+use owner::{Input as LesseeInput, Output as LesseeOutput, Ownership};
 use route::{Engine as Owned, Input as SchedulerInput, LoadPolicy};
 use wire::call::{BeatReply, Call};
 
@@ -46,8 +46,8 @@
                     let body = Call::Confirm(confirm);
                     shared.call(ENGINES, purpose, address, body, CALL_TIMEOUT, out);
                 }
-                LesseeOutput::Changed { target, own } => {
-                    self.on_changed(shared, now, &target, own, out);
+                LesseeOutput::Changed { target, ownership } => {
+                    self.on_changed(shared, now, &target, ownership, out);
                 }
                 LesseeOutput::Handover { to, handover } => {
                     if let Some(address) = shared.peers.get(&to).copied() {
@@ -66,13 +66,13 @@
         shared: &mut Shared,
         now: Time,
         name: &TargetName,
-        own: Own,
+        own: Ownership,
         out: &mut Out,
     ) {
         let target = shared.names.target(name);
         let engine = self.engines.entry(target).or_default();
-        engine.owned = (own != Own::None).then_some(own);
-        if own == Own::None {
+        engine.owned = (own != Ownership::None).then_some(own);
+        if own == Ownership::None {
             engine.incarnation = None;
             out.emit(Output::Event(Event::Lost(name.clone())));
             self.drive_scheduler(shared, now, SchedulerInput::Lost(target), out);
@@ -82,9 +82,9 @@
         // Polls the engine at once, as its resident adapters are not known.
         engine.last_poll = Time::ZERO;
         let event = match own {
-            Own::Full { fence } => Some(Event::Owns(name.clone(), fence)),
-            Own::Restricted { fence } => Some(Event::Restricted(name.clone(), fence)),
-            Own::None => None,
+            Ownership::Full { fence } => Some(Event::Owns(name.clone(), fence)),
+            Ownership::Restricted { fence } => Some(Event::Restricted(name.clone(), fence)),
+            Ownership::None => None,
         };
         if let Some(event) = event {
             out.emit(Output::Event(event));
@@ -134,7 +134,7 @@
         out: &mut Out,
     ) {
         let name = shared.names.target_name(target).clone();
-        let due = self.lessee.untouched().any(|open| *open == name);
+        let due = self.lessee.unfenced().any(|open| *open == name);
         let Some(engine) = self.engines.get(&target) else {
             return;
         };
@@ -197,7 +197,7 @@
         let adapters = engine.using.values();
         let adapters = adapters.map(|key| shared.names.resident(*key)).collect();
         let target = shared.names.target_name(target).clone();
-        self.drive_lessee(shared, now, LesseeInput::Using { target, adapters }, out);
+        self.drive_lessee(shared, now, LesseeInput::InUse { target, adapters }, out);
     }
 
     pub(super) fn on_heartbeat_reply(
@@ -218,22 +218,22 @@
 
     /// Returns the fencing number under which `target` is owned here.
     pub(super) fn fence(&self, now: Time, target: &TargetName) -> Option<Fence> {
-        match self.lessee.own(now, target) {
-            Own::Full { fence } | Own::Restricted { fence } => Some(fence),
-            Own::None => None,
+        match self.lessee.ownership(now, target) {
+            Ownership::Full { fence } | Ownership::Restricted { fence } => Some(fence),
+            Ownership::None => None,
         }
     }
 }
 
 /// Returns the scheduler's view of an owned engine; none unless the text in
 /// force names the target's pool as one of engines.
-fn owned(shared: &Shared, target: TargetNo, own: Own, incarnation: Incarnation) -> Option<Owned> {
+fn owned(shared: &Shared, target: TargetNo, own: Ownership, incarnation: Incarnation) -> Option<Owned> {
     let engine = shared.targets.get(&target)?.engine()?;
     let policy = match own {
-        Own::Full { .. } => LoadPolicy::Full,
-        Own::Restricted { .. } if engine.fencing => LoadPolicy::Full,
-        Own::Restricted { .. } => LoadPolicy::FreeSlotsOnly,
-        Own::None => LoadPolicy::None,
+        Ownership::Full { .. } => LoadPolicy::Full,
+        Ownership::Restricted { .. } if engine.fencing => LoadPolicy::Full,
+        Ownership::Restricted { .. } => LoadPolicy::FreeSlotsOnly,
+        Ownership::None => LoadPolicy::None,
     };
     Some(Owned {
         target,
--- a/crates/node/src/engines/reports.rs
+++ b/crates/node/src/engines/reports.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use base::{AdapterKey, TargetName, TargetNo, Time};
-use member::{Look, Watch};
-use owner::Own;
+use member::{Observation, Observed};
+use owner::Ownership;
 use route::{Input as SchedulerInput, Report, RouterUpdate};
 use wire::engine;
 
@@ -24,7 +24,7 @@
 pub(super) struct Poll {
     target: TargetNo,
     /// Tells whether an event has made the answer outdated meanwhile.
-    watch: Watch,
+    watch: Observation,
     sent: Time,
 }
 
@@ -43,7 +43,7 @@
         let target = poll.target;
         let name = shared.names.target_name(target).clone();
         let Some(report) = report else {
-            if shared.watched.failed(&name, poll.watch).is_ok() {
+            if shared.watched.fail(&name, poll.watch).is_ok() {
                 self.note_silent(target, &name, true, out);
                 out.send(
                     ENTRY,
@@ -64,7 +64,7 @@
             ENTRY,
             Msg::TargetUpdate(RouterUpdate::Reachable(target, true)),
         );
-        if look == Look::Restarted {
+        if look == Observed::Restarted {
             let input = owner::Input::Restarted {
                 target: name.clone(),
             };
@@ -183,6 +183,6 @@
     /// Returns whether an engine is owned here without a valid lease.
     pub(super) fn restricted(&self, target: TargetNo) -> bool {
         let owned = self.engines.get(&target).and_then(|engine| engine.owned);
-        matches!(owned, Some(Own::Restricted { .. }))
+        matches!(owned, Some(Ownership::Restricted { .. }))
     }
 }
--- a/crates/owner/src/grantor.rs
+++ b/crates/owner/src/grantor.rs
@@ -1,4 +1,4 @@
-//! The leader's part: who owns which engine, and whose lease is renewed.
+//! The leader's side of ownership: assigns engines and renews leases.
 
 mod plan;
 
@@ -8,35 +8,38 @@
 use base::{Fence, InstanceName, PerSecond, TargetName, TextVersion, Time, ZoneName};
 use wire::call::{Beat, BeatReply, Lease, Peer};
 
-use crate::{Change, Config, Life, Table, store};
+use crate::{Change, Config, InstanceId, Table, store};
 
-/// After this time without an answer from the log a change is proposed again.
-const PROPOSE_AGAIN: Duration = Duration::from_secs(2);
-/// An instance that owns nothing and was silent for so long leaves the table.
+/// A change for which the log gave no answer is proposed again after this time.
+const PROPOSE_RETRY: Duration = Duration::from_secs(2);
+/// An instance that owns no engine is removed from the table after this time without
+/// heartbeat.
 const DISMISS_AFTER: Duration = Duration::from_secs(30);
 
-/// What the grantor puts into the answer to a beat.
+/// The grantor's contribution to the reply to a heartbeat.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Part {
-    /// Engines of the asker.
+pub struct Grant {
+    /// Leases on the engines that the requester owns.
     pub leases: Vec<Lease>,
-    /// Loads that it may start a second, in thousandths.
+    /// Loads from the weight store that the requester may start, in thousandths per
+    /// second.
     pub loads: u32,
-    /// Index of the last change of the table.
+    /// Index of the last log entry that changed the table.
     pub roster: u64,
-    /// Whether `peers` is everybody.
-    pub whole: bool,
-    /// Instances new or changed since the asker's roster.
+    /// Whether `peers` lists all instances rather than those changed since the
+    /// requester's roster.
+    pub full: bool,
+    /// Instances added or changed since the requester's roster.
     pub peers: Vec<Peer>,
-    /// Instances gone since.
+    /// Instances removed since the requester's roster.
     pub gone: Vec<InstanceName>,
-    /// Whether the next beat has to name the engines in reach.
-    pub tell: bool,
+    /// Whether the next heartbeat has to list the engines that the requester can reach.
+    pub want_engines: bool,
 }
 
-impl Part {
-    /// Returns the whole answer to the beat `serial`, where `text` is the newest
-    /// accepted version.
+impl Grant {
+    /// Returns the complete reply to the heartbeat `serial`, where `text` is the newest
+    /// accepted version of the operators' configuration text.
     #[must_use]
     pub fn reply(self, serial: u64, text: TextVersion) -> BeatReply {
         BeatReply {
@@ -45,63 +48,76 @@
             leases: self.leases,
             loads: self.loads,
             roster: self.roster,
-            whole: self.whole,
+            whole: self.full,
             peers: self.peers,
             gone: self.gone,
-            tell: self.tell,
+            tell: self.want_engines,
         }
     }
 }
 
-/// An instance as its beats show it.
+/// The state of an entry instance according to its heartbeats.
 #[derive(Clone, Debug)]
 pub(crate) struct Seen {
-    pub(crate) life: Life,
+    pub(crate) id: InstanceId,
     pub(crate) zone: ZoneName,
+    /// When the last heartbeat arrived.
     pub(crate) last: Time,
-    /// Since when its beats come without a gap.
+    /// Start of the current run of heartbeats without a gap.
     pub(crate) steady: Time,
+    /// Greatest serial among the replies that it has taken in.
     pub(crate) heard: u64,
+    /// Log index up to which it knows the table.
     pub(crate) roster: u64,
+    /// Whether it is shutting down.
     pub(crate) leaving: bool,
+    /// Engines that it can reach; none until it lists them.
     pub(crate) engines: Option<BTreeSet<TargetName>>,
+    /// Engines that it lost and still has requests on.
     pub(crate) busy: BTreeSet<TargetName>,
+    /// Version of the configuration text in force there.
     pub(crate) text: TextVersion,
+    /// Number of loads that it waits to make.
     pub(crate) loads: u32,
 }
 
-/// An engine that a living owner is to give up.
+/// An engine that its owner, which is still heard from, has to give up.
 #[derive(Clone, Debug)]
 pub(crate) struct Moving {
     pub(crate) fence: Fence,
-    /// Serial of the first beat that was answered without the lease.
-    pub(crate) without: Option<u64>,
-    /// Nobody gets it: the platform no longer has it.
+    /// Serial of the first heartbeat whose reply left out the lease.
+    pub(crate) withheld: Option<u64>,
+    /// Whether the engine gets no other owner, because the platform no longer lists it.
     pub(crate) forget: bool,
 }
 
-/// Decides on owners while its control instance leads; one per control
-/// instance.
+/// Decides on engine owners while its control instance leads. Each control instance has
+/// one.
 #[derive(Debug)]
 pub struct Grantor {
     config: Config,
-    /// Since when this instance leads; absent while it doesn't.
+    /// When this instance began to lead; none while it doesn't lead.
     since: Option<Time>,
+    /// Entry instances from which heartbeats have arrived.
     seen: BTreeMap<InstanceName, Seen>,
-    /// Last time that a lease on an engine was renewed, and its number.
+    /// Fencing number of each engine's last renewed lease, and when it was renewed.
     granted: BTreeMap<TargetName, (Fence, Time)>,
-    /// Last time that any beat of a life was answered.
-    answered: BTreeMap<Life, Time>,
+    /// When a heartbeat of each incarnation was last answered.
+    answered: BTreeMap<InstanceId, Time>,
+    /// Engines that their owners have to give up.
     moving: BTreeMap<TargetName, Moving>,
+    /// Changes proposed recently, and when.
     proposed: BTreeMap<Change, Time>,
+    /// Entry instances that the platform lists; none before its first list.
     listed: Option<BTreeSet<InstanceName>>,
+    /// Load rate that the weight store allows.
     rate: PerSecond,
-    /// Each instance's part of that rate, in thousandths.
+    /// Each instance's share of `rate`, in thousandths of a load per second.
     loads: BTreeMap<InstanceName, u32>,
 }
 
 impl Grantor {
-    /// Makes the grantor of a control instance that doesn't lead.
+    /// Creates the grantor of a control instance that doesn't lead.
     #[must_use]
     pub fn new(config: Config) -> Self {
         Grantor {
@@ -118,7 +134,8 @@
         }
     }
 
-    /// Begins to lead at `now`, knowing nothing of what older leaders granted.
+    /// Begins to lead at `now`, without knowledge of the leases that earlier leaders
+    /// granted.
     pub fn lead(&mut self, now: Time) {
         *self = Grantor {
             since: Some(now),
@@ -137,56 +154,63 @@
         };
     }
 
-    /// Sets the loads that the weight store allows.
+    /// Sets the load rate that the weight store allows, per second.
     pub fn set_rate(&mut self, rate: PerSecond) {
         self.rate = rate;
     }
 
-    /// Sets the entry instances that the platform's list names.
+    /// Sets the entry instances that the platform lists.
     pub fn set_list(&mut self, names: BTreeSet<InstanceName>) {
         self.listed = Some(names);
     }
 
-    /// Takes a beat and returns its answer's part; changes to propose go to
-    /// `out`. To be called only while the leader's own lease holds.
-    pub fn beat(&mut self, now: Time, beat: &Beat, table: &Table, out: &mut Vec<Change>) -> Part {
-        let (life, news) = self.note(now, beat);
-        if !table.knows(&life) {
+    /// Handles a heartbeat and returns the grantor's contribution to the reply; changes
+    /// to propose are appended to `out`. May be called only while the leader's own lease
+    /// is valid.
+    pub fn heartbeat(
+        &mut self,
+        now: Time,
+        beat: &Beat,
+        table: &Table,
+        out: &mut Vec<Change>,
+    ) -> Grant {
+        let (id, urgent) = self.note(now, beat);
+        if !table.knows(&id) {
             let change = Change::Join {
-                life: life.clone(),
+                id: id.clone(),
                 zone: beat.zone.clone(),
                 peer: beat.peer.clone(),
             };
             self.propose(now, change, out);
         }
-        // All else can wait for the next wake-up: a plan looks at all engines
-        // and instances, and every instance beats.
-        if news {
+        // Everything else can wait for the next wake-up: planning looks at all engines
+        // and instances, which is too much for every heartbeat of every instance.
+        if urgent {
             self.plan(now, table, out);
         }
-        let leases = self.leases(now, beat, &life, table);
-        self.answered.insert(life, now);
-        let (whole, peers, gone) = table.since(beat.roster);
+        let leases = self.leases(now, beat, &id, table);
+        self.answered.insert(id, now);
+        let (full, peers, gone) = table.since(beat.roster);
         let seen = self.seen.get(&beat.instance);
-        Part {
+        Grant {
             leases,
             loads: self.loads.get(&beat.instance).copied().unwrap_or(0),
             roster: table.roster(),
-            whole,
+            full,
             peers,
             gone,
-            tell: seen.is_some_and(|seen| seen.engines.is_none()),
+            want_engines: seen.is_some_and(|seen| seen.engines.is_none()),
         }
     }
 
-    /// Takes the passing of time, or an applied change; changes to propose go
-    /// to `out`.
+    /// Plans after time has passed or a change was applied; changes to propose are
+    /// appended to `out`.
     pub fn wake(&mut self, now: Time, table: &Table, out: &mut Vec<Change>) {
         self.plan(now, table, out);
     }
 
-    /// Returns what is known of each instance: its zone, the text in force
-    /// there, when it was last heard of, and whether it is leaving.
+    /// Returns for each instance its zone, the version of the operators' configuration
+    /// text in force there, when it was last heard from, and whether it is shutting down.
     pub fn instances(
         &self,
     ) -> impl Iterator<Item = (&InstanceName, &ZoneName, TextVersion, Time, bool)> {
@@ -194,8 +218,8 @@
         all.map(|(name, s)| (name, &s.zone, s.text, s.last, s.leaving))
     }
 
-    /// Returns how long nothing was heard of `name`, as far as this leader can
-    /// tell; nothing at all since it began to lead counts from then.
+    /// Returns how long `name` has not been heard from. For an instance that this leader
+    /// has never heard from, the time counts from when it began to lead.
     #[must_use]
     pub fn silence(&self, now: Time, name: &InstanceName) -> Duration {
         let since = self.since.unwrap_or(now);
@@ -203,49 +227,49 @@
         now.since(last)
     }
 
-    /// Takes in a beat; returns whose it is, and whether it says something that
-    /// owners may have to change for.
-    fn note(&mut self, now: Time, beat: &Beat) -> (Life, bool) {
-        let life = Life {
+    /// Records a heartbeat; returns the sender, and whether the heartbeat contains
+    /// anything that may require a change of owners.
+    fn note(&mut self, now: Time, beat: &Beat) -> (InstanceId, bool) {
+        let id = InstanceId {
             instance: beat.instance.clone(),
             incarnation: beat.incarnation,
         };
         let old = self.seen.remove(&beat.instance);
-        let old = old.filter(|old| old.life == life);
+        let old = old.filter(|old| old.id == id);
         let gapless = old.as_ref().filter(|old| self.live(now, old));
         let steady = gapless.map_or(now, |old| old.steady);
-        let told = beat
+        let reported = beat
             .engines
             .as_ref()
             .map(|all| all.iter().cloned().collect());
         let seen = Seen {
-            life: life.clone(),
+            id: id.clone(),
             zone: beat.zone.clone(),
             last: now,
             steady,
             heard: beat.heard,
             roster: beat.roster,
             leaving: beat.leaving,
-            engines: told.or_else(|| old.and_then(|old| old.engines)),
+            engines: reported.or_else(|| old.and_then(|old| old.engines)),
             busy: beat.busy.iter().map(|(target, _)| target.clone()).collect(),
             text: beat.text,
             loads: beat.loads,
         };
-        let news = steady == now || beat.leaving || beat.engines.is_some();
+        let urgent = steady == now || beat.leaving || beat.engines.is_some();
         self.seen.insert(beat.instance.clone(), seen);
-        (life, news)
+        (id, urgent)
     }
 
-    fn leases(&mut self, now: Time, beat: &Beat, life: &Life, table: &Table) -> Vec<Lease> {
+    fn leases(&mut self, now: Time, beat: &Beat, id: &InstanceId, table: &Table) -> Vec<Lease> {
         if beat.leaving {
             return Vec::new();
         }
         let mut leases = Vec::new();
-        for (target, engine) in table.owned(life) {
+        for (target, engine) in table.owned(id) {
             if let Some(moving) = self.moving.get_mut(target)
                 && moving.fence == engine.fence
             {
-                moving.without.get_or_insert(beat.serial);
+                moving.withheld.get_or_insert(beat.serial);
                 continue;
             }
             self.granted.insert(target.clone(), (engine.fence, now));
@@ -259,18 +283,18 @@
         leases
     }
 
-    /// Divides the store's rate anew.
+    /// Recomputes each instance's share of the store's rate.
     fn share_loads(&mut self, now: Time) {
         let live = self.seen.iter().filter(|(_, s)| self.live(now, s));
-        let ask = |s: &Seen| store::Ask {
+        let demand = |s: &Seen| store::Demand {
             zone: s.zone.clone(),
             loads: s.loads,
         };
-        let asks: BTreeMap<_, _> = live.map(|(name, s)| (name.clone(), ask(s))).collect();
+        let demands: BTreeMap<_, _> = live.map(|(name, s)| (name.clone(), demand(s))).collect();
         let zones: BTreeSet<_> = self.seen.values().map(|s| &s.zone).collect();
-        let heard: BTreeSet<_> = asks.values().map(|ask| &ask.zone).collect();
+        let heard: BTreeSet<_> = demands.values().map(|demand| &demand.zone).collect();
         let silent = zones.len() - heard.len();
-        self.loads = store::divide(self.rate, zones.len(), silent, &asks);
+        self.loads = store::divide(self.rate, zones.len(), silent, &demands);
     }
 
     pub(crate) fn live(&self, now: Time, seen: &Seen) -> bool {
@@ -279,10 +303,10 @@
 
     pub(crate) fn propose(&mut self, now: Time, change: Change, out: &mut Vec<Change>) {
         let last = self.proposed.get(&change);
-        if last.is_some_and(|at| now.since(*at) < PROPOSE_AGAIN) {
+        if last.is_some_and(|at| now.since(*at) < PROPOSE_RETRY) {
             return;
         }
-        self.proposed.retain(|_, at| now.since(*at) < PROPOSE_AGAIN);
+        self.proposed.retain(|_, at| now.since(*at) < PROPOSE_RETRY);
         self.proposed.insert(change.clone(), now);
         out.push(change);
     }
--- a/crates/owner/src/table.rs
+++ b/crates/owner/src/table.rs
@@ -1,95 +1,97 @@
-//! The table of instances and owners: part of the replicated state.
+//! The table of entry instances and engine owners, part of the replicated state.
 //!
-//! Every change names what it expects to find, so a proposal that comes
-//! through twice, or late under another leader, changes nothing.
+//! Every change states what it expects to find. A proposal that is applied twice, or late
+//! under another leader, therefore has no effect.
 
 use std::collections::BTreeMap;
 
 use base::{Fence, Incarnation, InstanceName, TargetName, ZoneName, record};
 use wire::call::Peer;
 
-/// Removed instances that are remembered, so that a beat with an old roster
-/// still gets a list of changes; beyond that it gets everything.
+/// Number of removed instances that are remembered. An instance whose roster is older
+/// than all of them gets the full table instead of a list of changes.
 const GONE_MAX: usize = 256;
 
 record! {
-    /// One life of an entry instance.
+    /// Identifies one incarnation of an entry instance.
     #[derive(PartialOrd, Ord)]
-    pub struct Life {
-        /// Its name.
+    pub struct InstanceId {
+        /// The instance's name.
         pub instance: InstanceName,
-        /// Which life.
+        /// Number of the incarnation; a later one is higher.
         pub incarnation: Incarnation,
     }
 
-    /// A change of the table, as it travels in the log.
+    /// A change of the table, as stored in the log.
     #[derive(PartialOrd, Ord)]
     pub enum Change {
-        /// An instance came, or came back; it may not own engines yet.
+        /// An instance started or restarted. It may not own engines yet.
         Join {
-            /// Who.
-            life: Life,
-            /// Where.
+            /// The instance.
+            id: InstanceId,
+            /// Its availability zone.
             zone: ZoneName,
             /// IP and port of its peer listener.
             peer: String,
         },
-        /// Every owner of the zone knows the instance: it may own engines.
+        /// Every owner in the zone knows the instance, which may own engines from now on.
         Admit {
-            /// Who.
-            life: Life,
+            /// The instance.
+            id: InstanceId,
         },
-        /// The instance owns nothing and is gone.
+        /// The instance owns no engine and is removed.
         Dismiss {
-            /// Who.
-            life: Life,
+            /// The instance.
+            id: InstanceId,
         },
-        /// An engine gets an owner; the entry's index is the fencing number.
+        /// An engine gets an owner. The index of this log entry is the owner's fencing
+        /// number.
         Assign {
-            /// Which engine.
+            /// The engine.
             target: TargetName,
             /// The new owner.
-            life: Life,
-            /// The fencing number that must still be in force; 0 for none.
+            id: InstanceId,
+            /// The fencing number that must be in force for the change to apply; 0 for an
+            /// engine without owner.
             expect: Fence,
         },
-        /// An earlier owner has certainly no request left on the engine.
+        /// A former owner certainly has no request left on the engine.
         Account {
-            /// Which engine.
+            /// The engine.
             target: TargetName,
-            /// The fencing number that the earlier owner had.
+            /// The fencing number of the former owner.
             fence: Fence,
         },
-        /// Nobody needs the engine any more.
+        /// The engine is no longer in the platform's list.
         Forget {
-            /// Which engine.
+            /// The engine.
             target: TargetName,
-            /// The fencing number that must still be in force.
+            /// The fencing number that must be in force for the change to apply.
             expect: Fence,
         },
     }
 
-    /// An instance in the table.
+    /// An entry instance in the table.
     pub struct Member {
-        /// Which life of it.
+        /// Its current incarnation.
         pub incarnation: Incarnation,
-        /// Where.
+        /// Its availability zone.
         pub zone: ZoneName,
         /// IP and port of its peer listener.
         pub peer: String,
-        /// Index of the entry by which it joined.
+        /// Index of the log entry by which it joined.
         pub joined: u64,
         /// Whether it may own engines.
         pub admitted: bool,
-        /// Index of the last entry that changed it or what it owns.
+        /// Index of the last log entry that changed it or the set of engines it owns.
         pub changed: u64,
     }
 
-    /// An earlier owner that may still have requests running.
+    /// A former owner that may still have requests running on an engine.
     pub struct Former {
-        /// Which life it was.
-        pub life: Life,
-        /// The fencing number that it had.
+        /// The owner.
+        pub id: InstanceId,
+        /// Its fencing number at the time.
         pub fence: Fence,
         /// IP and port of its peer listener.
         pub peer: String,
@@ -98,40 +100,40 @@
     /// An engine in the table.
     pub struct Engine {
         /// Its owner.
-        pub owner: Life,
+        pub owner: InstanceId,
         /// IP and port of the owner's peer listener.
         pub peer: String,
         /// The owner's fencing number.
         pub fence: Fence,
-        /// The owner's zone, which is the engine's.
+        /// The owner's availability zone, which is also the engine's.
         pub zone: ZoneName,
-        /// Earlier owners not yet accounted for.
+        /// Former owners that may still have requests running on it.
         pub former: Vec<Former>,
     }
 
-    /// Instances and owners, equal on every replica at one index.
+    /// Entry instances and engine owners; identical on all replicas that have applied the
+    /// log up to the same index.
     #[derive(Default)]
     pub struct Table {
         members: BTreeMap<InstanceName, Member>,
         engines: BTreeMap<TargetName, Engine>,
+        /// Names of removed instances, by the index of the log entry that removed them.
         gone: BTreeMap<u64, InstanceName>,
+        /// Index of the last log entry that changed instances or owners.
         changed: u64,
+        /// Index of the last removal that is no longer in `gone`.
         floor: u64,
     }
 }
 
 impl Table {
-    /// Applies the entry at `index`; returns whether it changed anything.
+    /// Applies the change in the log entry at `index`; returns whether it had an effect.
     pub fn apply(&mut self, index: u64, change: &Change) -> bool {
         let done = match change {
-            Change::Join { life, zone, peer } => self.join(index, life, zone, peer),
-            Change::Admit { life } => self.admit(index, life),
-            Change::Dismiss { life } => self.dismiss(index, life),
-            Change::Assign {
-                target,
-                life,
-                expect,
-            } => self.assign(index, target, life, *expect),
+            Change::Join { id, zone, peer } => self.join(index, id, zone, peer),
+            Change::Admit { id } => self.admit(index, id),
+            Change::Dismiss { id } => self.dismiss(index, id),
+            Change::Assign { target, id, expect } => self.assign(index, target, id, *expect),
             Change::Account { target, fence } => self.account(target, *fence),
             Change::Forget { target, expect } => self.forget(index, target, *expect),
         };
@@ -141,7 +143,7 @@
         done
     }
 
-    /// Returns the instances by name.
+    /// Returns the entry instances by name.
     #[must_use]
     pub fn members(&self) -> &BTreeMap<InstanceName, Member> {
         &self.members
@@ -153,36 +155,37 @@
         &self.engines
     }
 
-    /// Returns the index of the last change of instances or owners.
+    /// Returns the index of the last log entry that changed instances or owners.
     #[must_use]
     pub fn roster(&self) -> u64 {
         self.changed
     }
 
-    /// Returns whether `life` is in the table, in this very life.
+    /// Returns whether the table holds this very incarnation of the instance.
     #[must_use]
-    pub fn knows(&self, life: &Life) -> bool {
-        let member = self.members.get(&life.instance);
-        member.is_some_and(|m| m.incarnation == life.incarnation)
+    pub fn knows(&self, id: &InstanceId) -> bool {
+        let member = self.members.get(&id.instance);
+        member.is_some_and(|m| m.incarnation == id.incarnation)
     }
 
-    /// Returns the engines that `life` owns.
+    /// Returns the engines that `id` owns.
     pub fn owned<'a>(
         &'a self,
-        life: &'a Life,
+        id: &'a InstanceId,
     ) -> impl Iterator<Item = (&'a TargetName, &'a Engine)> {
-        self.engines.iter().filter(|(_, e)| e.owner == *life)
+        self.engines.iter().filter(|(_, e)| e.owner == *id)
     }
 
-    /// Returns what changed after the roster `have`: whether it is everything,
-    /// the instances new or changed, and those gone.
+    /// Returns what changed after the log index `have`: whether the result is the full
+    /// table rather than a delta, the instances added or changed, and the names of those
+    /// removed.
     #[must_use]
     pub fn since(&self, have: u64) -> (bool, Vec<Peer>, Vec<InstanceName>) {
-        let whole = have < self.floor || have > self.changed;
-        let from = if whole { 0 } else { have };
+        let full = have < self.floor || have > self.changed;
+        let from = if full { 0 } else { have };
         let fresh = self.members.iter().filter(|(_, m)| m.changed > from);
         let peers = fresh.map(|(name, m)| self.peer(name, m)).collect();
-        let gone = if whole {
+        let gone = if full {
             Vec::new()
         } else {
             let gone = self.gone.range(have + 1..).map(|(_, name)| name);
@@ -190,11 +193,11 @@
                 .cloned()
                 .collect()
         };
-        (whole, peers, gone)
+        (full, peers, gone)
     }
 
     fn peer(&self, name: &InstanceName, member: &Member) -> Peer {
-        let life = Life {
+        let id = InstanceId {
             instance: name.clone(),
             incarnation: member.incarnation,
         };
@@ -202,31 +205,28 @@
             instance: name.clone(),
             zone: member.zone.clone(),
             address: member.peer.clone(),
-            owns: self
-                .owned(&life)
-                .map(|(t, e)| (t.clone(), e.fence))
-                .collect(),
+            owns: self.owned(&id).map(|(t, e)| (t.clone(), e.fence)).collect(),
         }
     }
 
-    fn join(&mut self, index: u64, life: &Life, zone: &ZoneName, peer: &str) -> bool {
-        if self.knows(life) {
+    fn join(&mut self, index: u64, id: &InstanceId, zone: &ZoneName, peer: &str) -> bool {
+        if self.knows(id) {
             return false;
         }
         let member = Member {
-            incarnation: life.incarnation,
+            incarnation: id.incarnation,
             zone: zone.clone(),
             peer: peer.to_owned(),
             joined: index,
             admitted: false,
             changed: index,
         };
-        self.members.insert(life.instance.clone(), member);
+        self.members.insert(id.instance.clone(), member);
         true
     }
 
-    fn admit(&mut self, index: u64, life: &Life) -> bool {
-        let Some(member) = self.member_mut(life) else {
+    fn admit(&mut self, index: u64, id: &InstanceId) -> bool {
+        let Some(member) = self.member_mut(id) else {
             return false;
         };
         if member.admitted {
@@ -237,12 +237,12 @@
         true
     }
 
-    fn dismiss(&mut self, index: u64, life: &Life) -> bool {
-        if !self.knows(life) || self.owned(life).next().is_some() {
+    fn dismiss(&mut self, index: u64, id: &InstanceId) -> bool {
+        if !self.knows(id) || self.owned(id).next().is_some() {
             return false;
         }
-        self.members.remove(&life.instance);
-        self.gone.insert(index, life.instance.clone());
+        self.members.remove(&id.instance);
+        self.gone.insert(index, id.instance.clone());
         if self.gone.len() > GONE_MAX
             && let Some((dropped, _)) = self.gone.pop_first()
         {
@@ -251,35 +251,35 @@
         true
     }
 
-    fn assign(&mut self, index: u64, target: &TargetName, life: &Life, expect: Fence) -> bool {
+    fn assign(&mut self, index: u64, target: &TargetName, id: &InstanceId, expect: Fence) -> bool {
         let current = self.engines.get(target);
-        // Guard: two proposals for one engine, or one proposed before a leader
-        // change, must not both take effect: each names the fencing number it
-        // found. Without it the second moves an engine whose lease still runs.
+        // Guard: of two proposals for one engine, or one made before a change of leader,
+        // only the first may take effect, so each states the fencing number that it
+        // found. Otherwise the second would move an engine whose lease is still valid.
         if current.map_or(Fence(0), |e| e.fence) != expect {
             base::hit!(stale_assign);
             return false;
         }
-        let Some(member) = self.members.get(&life.instance) else {
+        let Some(member) = self.members.get(&id.instance) else {
             return false;
         };
-        if member.incarnation != life.incarnation || !member.admitted {
+        if member.incarnation != id.incarnation || !member.admitted {
             return false;
         }
         let (zone, peer) = (member.zone.clone(), member.peer.clone());
         let old = self.engines.remove(target);
-        let former = old.as_ref().map(|e| former_of(e, life)).unwrap_or_default();
+        let former = old.as_ref().map(|e| former_of(e, id)).unwrap_or_default();
         let engine = Engine {
-            owner: life.clone(),
+            owner: id.clone(),
             peer,
             fence: Fence(index),
             zone,
             former,
         };
         self.engines.insert(target.clone(), engine);
-        self.touch(index, &life.instance);
+        self.mark_changed(index, &id.instance);
         if let Some(old) = old {
-            self.touch(index, &old.owner.instance);
+            self.mark_changed(index, &old.owner.instance);
         }
         true
     }
@@ -299,34 +299,34 @@
             return false;
         }
         if let Some(engine) = self.engines.remove(target) {
-            self.touch(index, &engine.owner.instance);
+            self.mark_changed(index, &engine.owner.instance);
         }
         true
     }
 
-    fn touch(&mut self, index: u64, instance: &InstanceName) {
+    fn mark_changed(&mut self, index: u64, instance: &InstanceName) {
         if let Some(member) = self.members.get_mut(instance) {
             member.changed = index;
         }
     }
 
-    fn member_mut(&mut self, life: &Life) -> Option<&mut Member> {
-        let member = self.members.get_mut(&life.instance)?;
-        (member.incarnation == life.incarnation).then_some(member)
+    fn member_mut(&mut self, id: &InstanceId) -> Option<&mut Member> {
+        let member = self.members.get_mut(&id.instance)?;
+        (member.incarnation == id.incarnation).then_some(member)
     }
 }
 
-/// Returns the earlier owners of `engine` once `next` owns it; one entry a
-/// life, so that their number is bounded by the instances of a zone.
-fn former_of(engine: &Engine, next: &Life) -> Vec<Former> {
+/// Returns the former owners of `engine` once `next` owns it. Each incarnation is listed
+/// once, so that their number is bounded by the instances of a zone.
+fn former_of(engine: &Engine, next: &InstanceId) -> Vec<Former> {
     let last = Former {
-        life: engine.owner.clone(),
+        id: engine.owner.clone(),
         fence: engine.fence,
         peer: engine.peer.clone(),
     };
     let mut all = engine.former.clone();
-    all.retain(|f| f.life != last.life);
+    all.retain(|f| f.id != last.id);
     all.push(last);
-    all.retain(|f| f.life != *next);
+    all.retain(|f| f.id != *next);
     all
 }
--- a/crates/scenarios/src/world/deliver.rs
+++ b/crates/scenarios/src/world/deliver.rs
@@ -4,8 +4,8 @@
 
 use base::{Fence, Incarnation, TargetName, Ticket, Time};
 use control::Input;
-use member::Watch;
-use owner::{Input as Holding, Own};
+use member::Observation;
+use owner::{Input as Holding, Ownership};
 use wire::{
     call::{BeatReply, Call, ClaimReply, Fate, Reply},
     operator::Applied,
@@ -177,7 +177,7 @@
             .is_some_and(|k| k.callers.contains_key(&ticket));
         if open {
             let reply = Some(reply);
-            self.drive_keeper(name, Input::Passed { ticket, reply });
+            self.drive_keeper(name, Input::Forwarded { ticket, reply });
         }
     }
 
@@ -240,7 +240,7 @@
                 let Some(entry) = self.entry(name) else {
                     return;
                 };
-                let known = watch.map(|w| entry.targets.ordered(&target, w));
+                let known = watch.map(|w| entry.targets.finish_order(&target, w));
                 entry.view(&target).orders.remove(&id);
                 let known = known.is_some_and(|known| known.is_ok());
                 self.on_ordered(name, target, &order, checked.fence, answer, known);
@@ -290,10 +290,10 @@
         }
         // What somebody else loaded is used only by who is in charge.
         let fresh = answer == Answer::Done;
-        let usable = match entry.holder.own(now, &target) {
-            Own::Full { .. } => true,
-            Own::Restricted { .. } => fresh,
-            Own::None => false,
+        let usable = match entry.holder.ownership(now, &target) {
+            Ownership::Full { .. } => true,
+            Ownership::Restricted { .. } => fresh,
+            Ownership::None => false,
         };
         if usable {
             entry.view(&target).resident.insert(adapter.clone());
@@ -312,7 +312,7 @@
         &mut self,
         name: &str,
         target: TargetName,
-        watch: Watch,
+        watch: Observation,
         began: Time,
         life: Incarnation,
         resident: BTreeSet<String>,
@@ -322,11 +322,11 @@
             return;
         };
         let look = entry.targets.finish(&target, watch, began, Some(life));
-        let full = matches!(entry.holder.own(now, &target), Own::Full { .. });
+        let full = matches!(entry.holder.ownership(now, &target), Ownership::Full { .. });
         if look.is_err() || !full {
             return;
         }
-        let restarted = look == Ok(member::Look::Restarted);
+        let restarted = look == Ok(member::Observed::Restarted);
         let view = entry.view(&target);
         let leaving = &view.unloading;
         let stay = resident.into_iter().filter(|a| !leaving.contains_key(a));
