--- a/crates/frontd/src/control/shell.rs
+++ b/crates/frontd/src/control/shell.rs
@@ -17,9 +17,9 @@
 use daemon::{Clock, Links};
 use disk::Writer;
 use gateway::{
-    holder::{self, Holder},
+    zone_owner::{self, Holder},
     revisions::Revisions,
-    tenure::{Granter, Tenure},
+    zone_lease::{Granter, Tenure},
 };
 use replog::HaltReason;
 use telemetry::event;
@@ -70,7 +70,7 @@
     /// Something for the control instance.
     Input(Input),
     /// Something for the holder.
-    Holder(holder::Input),
+    Holder(zone_owner::Input),
     /// Another instance calls.
     Call {
         /// Its call.
@@ -182,10 +182,10 @@
     ) -> Self {
         let name = control.replica().id().instance.clone();
         let serial = u64::from(rand::random::<u32>());
-        let config = holder::Config {
+        let config = zone_owner::Config {
             zones: setup.zones.len(),
             list_lag: setup.list_lag,
-            ..holder::Config::default()
+            ..zone_owner::Config::default()
         };
         Shell {
             control,
@@ -283,7 +283,7 @@
         }
         if now >= self.tick {
             self.tick = now + TICK;
-            self.hold(holder::Input::Wake);
+            self.hold(zone_owner::Input::Wake);
         }
     }
 
@@ -309,7 +309,7 @@
             Call::Sync(sync) => {
                 let revision = sync.revision;
                 let ticket = self.wait(Waiter::Sync { to, revision });
-                self.hold(holder::Input::Sync(ticket, *sync));
+                self.hold(zone_owner::Input::Sync(ticket, *sync));
             }
             Call::Edition { number, from } => {
                 let part = self.handout.part(self.clock.now(), number, from);
--- a/crates/frontd/src/control/shell/orders.rs
+++ b/crates/frontd/src/control/shell/orders.rs
@@ -1,7 +1,7 @@
 //! What goes to the holder of orders, and what it wants done.
 
 use base::Ticket;
-use gateway::holder::{self, Act, Ended, Order};
+use gateway::zone_owner::{self, Act, Ended, Order};
 use telemetry::{event, exposed};
 use wire::{
     call::Reply,
@@ -18,7 +18,7 @@
             match list(Some(zone.clone())).await {
                 Some(list) => {
                     let zones = vec![zone];
-                    let listed = holder::Input::Listed { asked, zones, list };
+                    let listed = zone_owner::Input::Listed { asked, zones, list };
                     jobs.send(Job::Holder(listed)).ok();
                 }
                 None => event!(telemetry::Event::ListStale),
@@ -27,7 +27,7 @@
     }
 
     /// Hands one input to the holder; what follows from it is due with [`Self::order`].
-    pub(super) fn hold(&mut self, input: holder::Input) {
+    pub(super) fn hold(&mut self, input: zone_owner::Input) {
         self.holder.take(self.clock.now(), input);
     }
 
@@ -83,29 +83,29 @@
         self.weights = held;
     }
 
-    fn carry_out(&mut self, output: holder::Output) {
+    fn carry_out(&mut self, output: zone_owner::Output) {
         let jobs = self.jobs.clone();
         match output {
-            holder::Output::Order(order) => {
+            zone_owner::Output::Order(order) => {
                 let given = (self.outside.give)(order.clone());
                 tokio::spawn(async move {
                     let ended = given.await;
                     note_order(&order, ended);
                     exposed().order(ended.as_str());
                     let id = order.id;
-                    jobs.send(Job::Holder(holder::Input::Ended { id, ended }))
+                    jobs.send(Job::Holder(zone_owner::Input::Ended { id, ended }))
                         .ok();
                 });
             }
-            holder::Output::Report { id, addr } => {
+            zone_owner::Output::Report { id, addr } => {
                 let asked = (self.outside.ask)(id.clone(), addr);
                 tokio::spawn(async move {
                     let report = asked.await;
-                    jobs.send(Job::Holder(holder::Input::Reported { id, report }))
+                    jobs.send(Job::Holder(zone_owner::Input::Reported { id, report }))
                         .ok();
                 });
             }
-            holder::Output::Answer { ticket, synced } => self.answer(ticket, synced),
+            zone_owner::Output::Answer { ticket, synced } => self.answer(ticket, synced),
         }
     }
 
@@ -127,7 +127,7 @@
         self.take_newest();
         let versions = self.control.state().editions().versions().clone();
         self.revisions.take(&versions);
-        self.hold(holder::Input::Versions(versions));
+        self.hold(zone_owner::Input::Versions(versions));
     }
 
     /// Takes the newest edition once: keeps it for entry instances, and reads what
--- a/crates/frontd/src/control/shell/zones.rs
+++ b/crates/frontd/src/control/shell/zones.rs
@@ -5,7 +5,7 @@
 
 use base::{InstanceName, Time};
 use control::{Input, What};
-use gateway::holder;
+use gateway::zone_owner;
 use telemetry::{event, exposed};
 use wire::call::{Call, Reply};
 
@@ -67,7 +67,7 @@
             self.next_list = Time::ZERO;
         }
         let tenure = self.tenure.clone();
-        self.hold(holder::Input::Tenure(tenure));
+        self.hold(zone_owner::Input::Tenure(tenure));
     }
 
     fn give_zones(&mut self, now: Time) {
--- a/crates/frontd/src/entry/sync.rs
+++ b/crates/frontd/src/entry/sync.rs
@@ -15,8 +15,8 @@
 use base::{Time, stable_hash};
 use daemon::lock;
 use gateway::{
-    alone::{Alone, Read},
-    holder::Listed,
+    list_fallback::{Alone, Read},
+    zone_owner::Listed,
 };
 use telemetry::event;
 use tokio::{
--- a/crates/frontd/src/outside.rs
+++ b/crates/frontd/src/outside.rs
@@ -4,7 +4,7 @@
 
 use futures::future::BoxFuture;
 use gateway::{
-    holder::{Ended, Listed, Order, Report},
+    zone_owner::{Ended, Listed, Order, Report},
     table::Table,
 };
 use hyper::header::HeaderName;
--- a/crates/frontd/tests/memory/world.rs
+++ b/crates/frontd/tests/memory/world.rs
@@ -15,7 +15,7 @@
 use futures::FutureExt;
 use gateway::{
     budget,
-    holder::{Ended, Held, Listed, Report},
+    zone_owner::{Ended, Held, Listed, Report},
     table::{Engine as Spec, Kind, Model, RawTable, Route, Service, Table},
 };
 use hyper::{HeaderMap, Method, Request, Response, StatusCode, body::Incoming, header::HeaderName};
--- a/crates/frontd/tests/unit/state.rs
+++ b/crates/frontd/tests/unit/state.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use futures::FutureExt;
-use gateway::{holder::Ended, table::RawTable};
+use gateway::{zone_owner::Ended, table::RawTable};
 use googletest::prelude::*;
 use hyper::header::HeaderName;
 
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -10,13 +10,13 @@
 //! requests run and which adapters are missing on all entry instances, and decides which
 //! engine loads which adapter.
 
-pub mod alone;
+pub mod list_fallback;
 pub mod budget;
 pub mod download;
-pub mod holder;
+pub mod zone_owner;
 pub mod home;
 pub mod revisions;
-pub mod settle;
+pub mod warmup;
 pub mod table;
-pub mod tenure;
+pub mod zone_lease;
 pub mod view;
--- a/crates/gateway/src/holder.rs
+++ b/crates/gateway/src/zone_owner.rs
@@ -5,17 +5,17 @@
 //! say which adapters each engine holds. The zone owner loads missing adapters, adds
 //! copies of busy ones, and evicts the least requested ones to make room.
 
-mod census;
+mod placement;
 mod demand;
 mod engine;
 mod message;
-mod news;
-mod pace;
+mod target_updates;
+mod estimate;
 mod plan;
 mod queue;
-mod slow;
+mod slowness;
 mod traffic;
-mod turns;
+mod aging;
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -27,16 +27,16 @@
 
 pub use self::message::{Act, Ended, Held, Input, Listed, Order, Output, Report};
 use self::{
-    census::Census,
+    placement::Census,
     demand::Demand,
     engine::{Engine, Source},
-    news::News,
-    pace::{Memory, Pace},
-    slow::Slow,
+    target_updates::News,
+    estimate::{Memory, Pace},
+    slowness::Slow,
     traffic::Traffic,
-    turns::Turns,
+    aging::Turns,
 };
-use crate::{table, tenure::Tenure};
+use crate::{table, zone_lease::Tenure};
 
 /// An entry instance not heard from for this long is ignored: its requests have ended or
 /// its connections are gone.
--- a/crates/gateway/src/holder/engine.rs
+++ b/crates/gateway/src/zone_owner/engine.rs
@@ -11,7 +11,7 @@
 use super::{Act, Config, Ended, Held, Listed, Report};
 
 /// Number of evicted adapters that are remembered per engine. How many of them the engine
-/// still has in host memory is estimated, see [`Memory`](super::pace::Memory).
+/// still has in host memory is estimated, see [`Memory`](super::estimate::Memory).
 const PAST_MAX: usize = 256;
 
 /// An engine reloads an adapter from its host memory this many times as fast as from the
--- a/crates/gateway/src/holder/message.rs
+++ b/crates/gateway/src/zone_owner/message.rs
@@ -5,7 +5,7 @@
 use base::{Ticket, Time};
 use wire::fleet::{Resident, Sync, Synced, Target, Weights};
 
-use crate::tenure::Tenure;
+use crate::zone_lease::Tenure;
 
 /// A target as the platform's list describes it.
 #[derive(Clone, Debug, PartialEq, Eq)]
--- a/crates/gateway/src/holder/plan.rs
+++ b/crates/gateway/src/zone_owner/plan.rs
@@ -6,7 +6,7 @@
 
 use super::{
     Act, Holder, Order, Output, PLAN_REST,
-    census::Census,
+    placement::Census,
     engine::{Asked, Engine},
 };
 use crate::table;
--- a/crates/gateway/src/holder/queue.rs
+++ b/crates/gateway/src/zone_owner/queue.rs
@@ -9,7 +9,7 @@
 
 use base::Time;
 
-use super::{Holder, Output, census::Census, plan::Site};
+use super::{Holder, Output, placement::Census, plan::Site};
 
 /// Waiting time of a caller from which a load can't serve it in time any more: callers
 /// expect the first token within some 800 ms, of which a load takes 250 and reading the
--- a/crates/gateway/tests/alone.rs
+++ b/crates/gateway/tests/list_fallback.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use base::Time;
-use gateway::alone::{Alone, Read};
+use gateway::list_fallback::{Alone, Read};
 use googletest::prelude::*;
 
 const STEP: Duration = Duration::from_millis(250);
--- a/crates/gateway/tests/settle.rs
+++ b/crates/gateway/tests/warmup.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use base::Time;
-use gateway::settle::Settle;
+use gateway::warmup::Settle;
 use googletest::prelude::*;
 use wire::fleet::Target;
 
--- a/crates/gateway/tests/tenure.rs
+++ b/crates/gateway/tests/zone_lease.rs
@@ -6,7 +6,7 @@
 };
 
 use base::{InstanceName, Time};
-use gateway::tenure::{Granter, TENURE, Tenure, takeover};
+use gateway::zone_lease::{Granter, TENURE, Tenure, takeover};
 use googletest::prelude::*;
 
 const TURNS: Duration = Duration::from_millis(3_400);
--- a/crates/gateway/tests/holder.rs
+++ b/crates/gateway/tests/zone_owner.rs
@@ -1,22 +1,22 @@
 //! The holder of orders: what it orders, and that no engine is overfilled.
 
-#[path = "holder/loads.rs"]
+#[path = "zone_owner/loads.rs"]
 mod loads;
-#[path = "holder/many.rs"]
+#[path = "zone_owner/many.rs"]
 mod many;
-#[path = "holder/news.rs"]
-mod news;
-#[path = "holder/slow.rs"]
-mod slow;
-#[path = "holder/turns.rs"]
-mod turns;
-#[path = "holder/world.rs"]
+#[path = "zone_owner/target_updates.rs"]
+mod target_updates;
+#[path = "zone_owner/slowness.rs"]
+mod slowness;
+#[path = "zone_owner/aging.rs"]
+mod aging;
+#[path = "zone_owner/world.rs"]
 mod world;
 
 use std::time::Duration;
 
 use base::Ticket;
-use gateway::holder::{Act, Config, Ended, Input, Report};
+use gateway::zone_owner::{Act, Config, Ended, Input, Report};
 use googletest::prelude::*;
 use wire::fleet::{Running, Sync};
 use world::{World, held, load, told_for};
--- a/crates/gateway/tests/holder/turns.rs
+++ b/crates/gateway/tests/zone_owner/aging.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use base::Time;
-use gateway::holder::{Act, Config, Ended};
+use gateway::zone_owner::{Act, Config, Ended};
 use googletest::prelude::*;
 
 use crate::world::World;
--- a/crates/gateway/tests/holder/loads.rs
+++ b/crates/gateway/tests/zone_owner/loads.rs
@@ -3,7 +3,7 @@
 use std::{collections::BTreeMap, time::Duration};
 
 use base::Ticket;
-use gateway::holder::{Act, Config, Ended, Input};
+use gateway::zone_owner::{Act, Config, Ended, Input};
 use googletest::prelude::*;
 use wire::fleet::{First, Sync};
 
--- a/crates/gateway/tests/holder/many.rs
+++ b/crates/gateway/tests/zone_owner/many.rs
@@ -8,9 +8,9 @@
 
 use base::{Ticket, Time};
 use gateway::{
-    holder::{Config, Ended, Holder, Input, Listed, Order, Output, Report},
+    zone_owner::{Config, Ended, Holder, Input, Listed, Order, Output, Report},
     table::{Engine, Model},
-    tenure::Tenure,
+    zone_lease::Tenure,
 };
 use googletest::prelude::*;
 use wire::fleet::{Running, Sync};
--- a/crates/gateway/tests/holder/slow.rs
+++ b/crates/gateway/tests/zone_owner/slowness.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use base::Ticket;
-use gateway::holder::Input;
+use gateway::zone_owner::Input;
 use googletest::prelude::*;
 use wire::fleet::{Pace, Sync};
 
--- a/crates/gateway/tests/holder/news.rs
+++ b/crates/gateway/tests/zone_owner/target_updates.rs
@@ -5,7 +5,7 @@
 //! sender's processor; so each listener names what it has.
 
 use base::Ticket;
-use gateway::holder::{Ended, Held, Input, Report};
+use gateway::zone_owner::{Ended, Held, Input, Report};
 use googletest::prelude::*;
 use wire::fleet::{Sync, Synced};
 
--- a/crates/gateway/tests/holder/world.rs
+++ b/crates/gateway/tests/zone_owner/world.rs
@@ -4,9 +4,9 @@
 
 use base::{Ticket, Time};
 use gateway::{
-    holder::{Act, Config, Ended, Held, Holder, Input, Listed, Order, Output, Report},
+    zone_owner::{Act, Config, Ended, Held, Holder, Input, Listed, Order, Output, Report},
     table::{Engine, Model},
-    tenure::Tenure,
+    zone_lease::Tenure,
 };
 use wire::fleet::{Sync, Synced};
 
