--- a/crates/gateway/src/budget.rs
+++ b/crates/gateway/src/budget.rs
@@ -27,7 +27,7 @@
 /// Fraction of the budget that is used. The rest is margin, since the windows of other
 /// instances start at other moments, and a request counts for its window only once it has
 /// arrived.
-const USED: f64 = 0.7;
+const USABLE: f64 = 0.7;
 
 /// Requests and retries of this instance, by service.
 #[derive(Clone, Debug)]
@@ -39,7 +39,7 @@
 #[derive(Clone, Debug, Default)]
 struct Counts {
     requests: VecDeque<Time>,
-    repeats: VecDeque<Time>,
+    retries: VecDeque<Time>,
 }
 
 impl Budget {
@@ -54,7 +54,7 @@
 
     /// Counts a caller's request for `service`.
     pub fn request(&mut self, now: Time, service: &str) {
-        let counts = self.of(now, service);
+        let counts = self.counts(now, service);
         counts.requests.push_back(now);
     }
 
@@ -62,24 +62,24 @@
     /// counts it if so.
     pub fn repeat(&mut self, now: Time, service: &str, instances: u32) -> bool {
         let limits = self.limits;
-        let counts = self.of(now, service);
+        let counts = self.counts(now, service);
         let own = limits.ratio * counts.requests.len() as f64;
         let share = limits.extra / f64::from(instances.max(1));
-        if counts.repeats.len() as f64 + 1.0 > USED * (own + share) {
-            base::hit!(repeat_over_budget);
+        if counts.retries.len() as f64 + 1.0 > USABLE * (own + share) {
+            base::hit!(retry_over_budget);
             return false;
         }
-        counts.repeats.push_back(now);
+        counts.retries.push_back(now);
         true
     }
 
-    fn of(&mut self, now: Time, service: &str) -> &mut Counts {
+    fn counts(&mut self, now: Time, service: &str) -> &mut Counts {
         let window = self.limits.window;
         if !self.services.contains_key(service) {
             self.services.insert(service.to_owned(), Counts::default());
         }
         let counts = self.services.get_mut(service).expect("was just inserted");
-        for times in [&mut counts.requests, &mut counts.repeats] {
+        for times in [&mut counts.requests, &mut counts.retries] {
             while times.front().is_some_and(|at| now.since(*at) > window) {
                 times.pop_front();
             }
--- a/crates/gateway/src/download.rs
+++ b/crates/gateway/src/download.rs
@@ -18,7 +18,7 @@
 use wire::{fleet::Part, patch::digest};
 
 /// How long a source that failed to answer is asked only if there is no other.
-const REST: Duration = Duration::from_secs(2);
+const FAILURE_PAUSE: Duration = Duration::from_secs(2);
 
 /// A request for a part.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -61,10 +61,10 @@
 #[derive(Clone, Debug)]
 pub struct Download<K> {
     /// Number of the newest complete edition; 0 for none.
-    held: u64,
+    complete: u64,
     sources: BTreeMap<K, Source>,
-    coming: Option<Coming<K>>,
-    asked: Option<Ask<K>>,
+    current: Option<InProgress<K>>,
+    awaited: Option<Ask<K>>,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -79,22 +79,22 @@
 
 /// An edition that is being downloaded.
 #[derive(Clone, Debug)]
-struct Coming<K> {
+struct InProgress<K> {
     number: u64,
     text: Vec<u8>,
     /// Length and hash of the full text, as given by the first part.
-    whole: Option<(u64, u64)>,
+    full: Option<(u64, u64)>,
     /// Sources that do not have this edition any more.
-    without: BTreeSet<K>,
+    missing_at: BTreeSet<K>,
 }
 
 impl<K> Default for Download<K> {
     fn default() -> Self {
         Download {
-            held: 0,
+            complete: 0,
             sources: BTreeMap::new(),
-            coming: None,
-            asked: None,
+            current: None,
+            awaited: None,
         }
     }
 }
@@ -103,7 +103,7 @@
     /// Records the newest edition that a source announces, and its rank; sources of a
     /// lower rank are asked first.
     pub fn told(&mut self, source: K, newest: u64, rank: u64) {
-        let failed = self.sources.get(&source).and_then(|known| known.failed);
+        let failed = self.sources.get(&source).and_then(|state| state.failed);
         let told = Source {
             newest,
             rank,
@@ -126,18 +126,18 @@
     /// each newer edition started a new download, none would be in force before the last
     /// change.
     pub fn ask(&mut self, now: Time) -> Option<Ask<K>> {
-        if self.asked.is_some() {
+        if self.awaited.is_some() {
             return None;
         }
-        self.begin();
-        self.asked = self.part(now);
-        if self.asked.is_none() && self.newest().is_some() {
+        self.start();
+        self.awaited = self.next_part(now);
+        if self.awaited.is_none() && self.newest().is_some() {
             // No source that is heard from has the edition that was started.
-            self.coming = None;
-            self.begin();
-            self.asked = self.part(now);
+            self.current = None;
+            self.start();
+            self.awaited = self.next_part(now);
         }
-        self.asked
+        self.awaited
     }
 
     /// Applies the result of the last [`Self::ask`]. Returns number and text of an
@@ -147,13 +147,13 @@
     ///
     /// Fails if the received parts are unusable; they are dropped and requested again.
     pub fn answered(&mut self, now: Time, got: Got) -> Result<Option<(u64, String)>, BadPart> {
-        let Some(ask) = self.asked.take() else {
+        let Some(ask) = self.awaited.take() else {
             return Ok(None);
         };
         match got {
             Got::Part(part) => self.add(now, ask, &part),
             Got::Without => {
-                self.without(ask);
+                self.edition_missing(ask);
                 Ok(None)
             }
             Got::Nothing => {
@@ -169,47 +169,47 @@
     /// Their old announcement was still trusted, and they were asked for it again and
     /// again, as fast as messages travel. So a source that lacks the edition it announced
     /// as its newest is not asked until it announces one again.
-    fn without(&mut self, ask: Ask<K>) {
-        if let Some(coming) = &mut self.coming {
-            coming.without.insert(ask.source);
+    fn edition_missing(&mut self, ask: Ask<K>) {
+        if let Some(current) = &mut self.current {
+            current.missing_at.insert(ask.source);
         }
-        if let Some(known) = self.sources.get_mut(&ask.source)
-            && known.newest == ask.number
+        if let Some(state) = self.sources.get_mut(&ask.source)
+            && state.newest == ask.number
         {
-            known.newest = 0;
+            state.newest = 0;
         }
     }
 
     /// Returns the newest announced edition, if it is newer than the newest complete one.
     fn newest(&self) -> Option<u64> {
         let newest = self.sources.values().map(|source| source.newest).max();
-        newest.filter(|newest| *newest > self.held)
+        newest.filter(|newest| *newest > self.complete)
     }
 
     /// Starts a download of the newest edition unless one is in progress.
-    fn begin(&mut self) {
-        if let (None, Some(number)) = (&self.coming, self.newest()) {
-            self.coming = Some(Coming {
+    fn start(&mut self) {
+        if let (None, Some(number)) = (&self.current, self.newest()) {
+            self.current = Some(InProgress {
                 number,
                 text: Vec::new(),
-                whole: None,
-                without: BTreeSet::new(),
+                full: None,
+                missing_at: BTreeSet::new(),
             });
         }
     }
 
     /// Returns a request for the next part of the current download, to the preferred
     /// source.
-    fn part(&self, now: Time) -> Option<Ask<K>> {
-        let coming = self.coming.as_ref()?;
-        let able = self.sources.iter().filter(|(source, known)| {
-            known.newest >= coming.number && !coming.without.contains(source)
+    fn next_part(&self, now: Time) -> Option<Ask<K>> {
+        let current = self.current.as_ref()?;
+        let able = self.sources.iter().filter(|(source, state)| {
+            state.newest >= current.number && !current.missing_at.contains(source)
         });
-        let (source, _) = able.min_by_key(|(_, known)| (known.rests(now), known.rank))?;
+        let (source, _) = able.min_by_key(|(_, state)| (state.failed_recently(now), state.rank))?;
         Some(Ask {
             source: *source,
-            number: coming.number,
-            from: coming.text.len() as u64,
+            number: current.number,
+            from: current.text.len() as u64,
         })
     }
 
@@ -219,49 +219,49 @@
         ask: Ask<K>,
         part: &Part,
     ) -> Result<Option<(u64, String)>, BadPart> {
-        let Some(coming) = &mut self.coming else {
+        let Some(current) = &mut self.current else {
             return Ok(None);
         };
-        let added = coming.add(part);
+        let added = current.add(part);
         if added.is_err() {
-            self.coming = None;
+            self.current = None;
             self.failed(now, ask.source);
         } else if added.as_ref().is_ok_and(Option::is_some) {
-            self.coming = None;
-            self.held = ask.number;
+            self.current = None;
+            self.complete = ask.number;
         }
         Ok(added?.map(|text| (ask.number, text)))
     }
 
     fn failed(&mut self, now: Time, source: K) {
-        if let Some(known) = self.sources.get_mut(&source) {
-            known.failed = Some(now);
+        if let Some(state) = self.sources.get_mut(&source) {
+            state.failed = Some(now);
         }
     }
 }
 
 impl Source {
-    fn rests(&self, now: Time) -> bool {
-        self.failed.is_some_and(|at| now.since(at) < REST)
+    fn failed_recently(&self, now: Time) -> bool {
+        self.failed.is_some_and(|at| now.since(at) < FAILURE_PAUSE)
     }
 }
 
-impl<K> Coming<K> {
+impl<K> InProgress<K> {
     /// Appends a part; returns the text once it is complete.
     ///
     /// Failure: two control instances hold different texts under one number, or a part
     /// was damaged. Joined they would make routes that no operator wrote. So every part
     /// carries the hash of the full text.
     fn add(&mut self, part: &Part) -> Result<Option<String>, BadPart> {
-        let whole = *self.whole.get_or_insert((part.size, part.digest));
+        let full = *self.full.get_or_insert((part.size, part.digest));
         let fits = part.number == self.number && part.from == self.text.len() as u64;
-        if !fits || whole != (part.size, part.digest) {
+        if !fits || full != (part.size, part.digest) {
             return Err(BadPart::OtherText);
         }
         let bytes = part.unpack().map_err(|_| BadPart::Unreadable)?;
         self.text.extend_from_slice(&bytes);
-        let come = self.text.len() as u64;
-        if come < part.size {
+        let received = self.text.len() as u64;
+        if received < part.size {
             return if bytes.is_empty() {
                 Err(BadPart::Unreadable)
             } else {
--- a/crates/gateway/src/list_fallback.rs
+++ b/crates/gateway/src/list_fallback.rs
@@ -11,11 +11,11 @@
 use base::{StableHash, Time};
 
 /// A zone whose owner was not heard from within this time is read from the platform.
-const SILENT: Duration = Duration::from_millis(1_500);
+const HEARD_WITHIN: Duration = Duration::from_millis(1_500);
 
 /// Time between two reads. Requests must stop going to leaving targets within four
 /// seconds.
-const EVERY: Duration = Duration::from_millis(1_800);
+const READ_INTERVAL: Duration = Duration::from_millis(1_800);
 
 /// The lists to read.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -40,7 +40,7 @@
     #[must_use]
     pub fn new(now: Time, zones: &[String], spread: StableHash) -> Self {
         let heard = zones.iter().map(|zone| (zone.clone(), now));
-        let micros = spread % EVERY.as_micros() as u64;
+        let micros = spread % READ_INTERVAL.as_micros() as u64;
         Alone {
             heard: heard.collect(),
             next: now + Duration::from_micros(micros),
@@ -62,15 +62,15 @@
             return None;
         }
         while self.next <= now {
-            self.next = self.next + EVERY;
+            self.next = self.next + READ_INTERVAL;
         }
-        let silent = self.heard.iter();
-        let silent = silent.filter(|(_, at)| now.since(**at) >= SILENT);
-        let silent: Vec<_> = silent.map(|(zone, _)| zone.clone()).collect();
-        match silent.len() {
+        let unheard = self.heard.iter();
+        let unheard = unheard.filter(|(_, at)| now.since(**at) >= HEARD_WITHIN);
+        let unheard: Vec<_> = unheard.map(|(zone, _)| zone.clone()).collect();
+        match unheard.len() {
             0 => None,
-            few if few * 2 <= self.heard.len() => Some(Read::Zones(silent)),
-            _ => Some(Read::All(silent)),
+            few if few * 2 <= self.heard.len() => Some(Read::Zones(unheard)),
+            _ => Some(Read::All(unheard)),
         }
     }
 }
--- a/crates/gateway/src/revisions.rs
+++ b/crates/gateway/src/revisions.rs
@@ -18,13 +18,13 @@
     first: u64,
     /// The number of the last change.
     last: u64,
-    named: BTreeMap<String, Named>,
+    versions: BTreeMap<String, Numbered>,
     /// Adapters by the number of their last change.
-    order: BTreeMap<u64, String>,
+    by_change: BTreeMap<u64, String>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Named {
+struct Numbered {
     version: u32,
     change: u64,
 }
@@ -47,28 +47,28 @@
         Revisions {
             first,
             last: first,
-            named: BTreeMap::new(),
-            order: BTreeMap::new(),
+            versions: BTreeMap::new(),
+            by_change: BTreeMap::new(),
         }
     }
 
     /// Applies the newest version of each adapter and numbers those that have changed.
     pub fn take(&mut self, versions: &BTreeMap<String, u32>) {
         for (adapter, version) in versions {
-            let held = self.named.get(adapter);
-            if held.is_some_and(|held| held.version == *version) {
+            let old = self.versions.get(adapter);
+            if old.is_some_and(|old| old.version == *version) {
                 continue;
             }
-            if let Some(held) = held {
-                self.order.remove(&held.change);
+            if let Some(old) = old {
+                self.by_change.remove(&old.change);
             }
             self.last += 1;
-            let named = Named {
+            let new = Numbered {
                 version: *version,
                 change: self.last,
             };
-            self.named.insert(adapter.clone(), named);
-            self.order.insert(self.last, adapter.clone());
+            self.versions.insert(adapter.clone(), new);
+            self.by_change.insert(self.last, adapter.clone());
         }
     }
 
@@ -76,13 +76,13 @@
     /// changes from the first one on if `known` is from another incarnation.
     #[must_use]
     pub fn since(&self, known: u64) -> Told {
-        let ours = (self.first..=self.last).contains(&known);
-        let from = if ours { known } else { self.first };
-        let newer = self.order.range(from + 1..).take(TOLD_MAX);
+        let valid = (self.first..=self.last).contains(&known);
+        let from = if valid { known } else { self.first };
+        let newer = self.by_change.range(from + 1..).take(TOLD_MAX);
         let newer: Vec<_> = newer.collect();
         let known = newer.last().map_or(self.last, |(change, _)| **change);
         let versions = newer.into_iter().map(|(_, adapter)| {
-            let version = self.named[adapter].version;
+            let version = self.versions[adapter].version;
             (adapter.clone(), version)
         });
         Told {
--- a/crates/gateway/src/view.rs
+++ b/crates/gateway/src/view.rs
@@ -15,33 +15,33 @@
 
 pub use self::backup::{Backup, Origin, Unused};
 use self::{
-    backlog::{FULL_WAIT, outside},
+    backlog::{FULL_WAIT, known_outside},
     held::Held,
 };
 
 /// Added to the load of a target in another availability zone, in parts of its slots. A
 /// round trip there costs some 3 ms and traffic between zones, so the own zone is
 /// preferred until its targets are fuller by this much.
-const FAR: f64 = 0.15;
+const CROSS_ZONE_COST: f64 = 0.15;
 
 /// Added to the load of a target, multiplied by the fraction of its recent requests that
 /// failed: a target that fails half of them is avoided while any other is less than full.
-const FAILED: f64 = 2.0;
+const FAILURE_COST: f64 = 2.0;
 
 /// Weight of the newest outcome in a target's failure rate, which is thus an average over
 /// about ten requests.
-const NEWEST: f64 = 0.15;
+const FAILURE_WEIGHT: f64 = 0.15;
 
 /// Half-life of the failure rate without any request: a target that recovers is tried
 /// again within seconds.
-const FORGIVE: Duration = Duration::from_secs(3);
+const FAILURE_HALF_LIFE: Duration = Duration::from_secs(3);
 
 /// How long a target is avoided that could not be connected to or did not answer.
-const REST: Duration = Duration::from_millis(1_500);
+const UNREACHABLE_PAUSE: Duration = Duration::from_millis(1_500);
 
 /// Maximum age of the announced wait for an adapter whose load is not ordered yet; an
 /// instance with waiting callers asks again every 300 ms.
-const EXPECTED_FRESH: Duration = Duration::from_millis(400);
+const EXPECTED_MAX_AGE: Duration = Duration::from_millis(400);
 
 /// Where a request can be sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -61,7 +61,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct View {
     zone: String,
-    targets: BTreeMap<String, Known>,
+    targets: BTreeMap<String, TargetState>,
     /// Adapter versions set by operators.
     versions: BTreeMap<String, Named>,
     /// Requests of all other instances running at each target.
@@ -81,7 +81,7 @@
     paces: BTreeMap<String, Pace>,
     /// Targets for which an announced adapter was dropped from this view, as they refused
     /// a request for it.
-    doubted: BTreeSet<String>,
+    stale: BTreeSet<String>,
     /// Makes this instance's random choices differ from those of others.
     seed: u64,
     /// Number of requests sent so far.
@@ -97,20 +97,20 @@
 }
 
 #[derive(Clone, Debug)]
-struct Known {
+struct TargetState {
     target: Target,
     residents: BTreeMap<String, Held>,
     own: BTreeMap<String, u32>,
     /// Prompt tokens sent by this instance that the target has not read yet.
     unread: u64,
-    trouble: Trouble,
+    failures: Failures,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Trouble {
-    share: f64,
+struct Failures {
+    rate: f64,
     at: Time,
-    rest: Option<Time>,
+    avoid_until: Option<Time>,
 }
 
 impl View {
@@ -130,14 +130,14 @@
         let all = std::mem::take(&mut self.targets);
         let listed: BTreeSet<_> = targets.iter().map(|t| t.id.clone()).collect();
         let in_zones =
-            |id: &String, known: &Known| zones.contains(&known.target.zone) || listed.contains(id);
+            |id: &String, known: &TargetState| zones.contains(&known.target.zone) || listed.contains(id);
         let (mut old, rest) = all.into_iter().partition(|(id, known)| in_zones(id, known));
         self.targets = rest;
         for target in targets {
             let before = old.remove(&target.id);
             self.add_target(now, target, before);
         }
-        self.keep_busy(old);
+        self.keep_running(old);
     }
 
     /// Applies a delta: targets that have changed or were requested again, and the ids of
@@ -149,20 +149,20 @@
         }
         let gone = gone.iter().filter_map(|id| self.targets.remove_entry(id));
         let gone: BTreeMap<_, _> = gone.collect();
-        self.keep_busy(gone);
+        self.keep_running(gone);
     }
 
-    fn add_target(&mut self, now: Time, target: Target, before: Option<Known>) {
+    fn add_target(&mut self, now: Time, target: Target, before: Option<TargetState>) {
         let residents = target.residents.iter().map(|resident| {
             let old = before.as_ref();
             let old = old.and_then(|known| known.residents.get(&resident.adapter));
-            (resident.adapter.clone(), Held::told(now, resident, old))
+            (resident.adapter.clone(), Held::merge(now, resident, old))
         });
-        let known = Known {
+        let known = TargetState {
             residents: residents.collect(),
             own: before.as_ref().map(|k| k.own.clone()).unwrap_or_default(),
             unread: before.as_ref().map_or(0, |k| k.unread),
-            trouble: before.map(|k| k.trouble).unwrap_or_default(),
+            failures: before.map(|k| k.failures).unwrap_or_default(),
             target,
         };
         self.targets.insert(known.target.id.clone(), known);
@@ -170,7 +170,7 @@
 
     /// Keeps removed targets while requests of this instance run there; otherwise the end
     /// of these would be counted against a new target with the same id.
-    fn keep_busy(&mut self, gone: BTreeMap<String, Known>) {
+    fn keep_running(&mut self, gone: BTreeMap<String, TargetState>) {
         for (id, mut known) in gone {
             if known.own.values().any(|n| *n > 0) {
                 known.target.ready = false;
@@ -183,15 +183,15 @@
     /// as part of their announced state was dropped here.
     pub fn take_doubted(&mut self, zones: &[String]) -> Vec<String> {
         let targets = &self.targets;
-        let there = |id: &String| {
+        let in_zones = |id: &String| {
             targets
                 .get(id)
                 .is_some_and(|k| zones.contains(&k.target.zone))
         };
-        let (due, rest) = std::mem::take(&mut self.doubted)
+        let (due, rest) = std::mem::take(&mut self.stale)
             .into_iter()
-            .partition(there);
-        self.doubted = rest;
+            .partition(in_zones);
+        self.stale = rest;
         let due: BTreeSet<String> = due;
         due.into_iter().collect()
     }
@@ -218,14 +218,14 @@
         others: impl IntoIterator<Item = (String, u32)>,
     ) {
         let targets = &self.targets;
-        self.others.retain(|id, _| outside(targets, zones, id));
+        self.others.retain(|id, _| known_outside(targets, zones, id));
         self.others.extend(others);
     }
 
     /// Applies the announced waits for adapters that this instance asked for.
     pub fn set_waits(&mut self, now: Time, waits: Vec<(String, Duration)>) {
         self.expected
-            .retain(|_, (_, said)| now.since(*said) < EXPECTED_FRESH);
+            .retain(|_, (_, said)| now.since(*said) < EXPECTED_MAX_AGE);
         let waits = waits.into_iter();
         self.expected
             .extend(waits.map(|(adapter, wait)| (adapter, (now + wait, now))));
@@ -236,7 +236,7 @@
     #[must_use]
     pub fn expected(&self, now: Time, adapter: &str) -> Option<Time> {
         let (at, said) = self.expected.get(adapter)?;
-        (now.since(*said) < EXPECTED_FRESH).then_some(*at)
+        (now.since(*said) < EXPECTED_MAX_AGE).then_some(*at)
     }
 
     /// Returns the zones that have a target of `service` that takes requests.
@@ -273,7 +273,7 @@
     /// Returns the targets that recently could not be reached from this instance.
     #[must_use]
     pub fn failing(&self, now: Time) -> Vec<String> {
-        let resting = self.targets.iter().filter(|(_, known)| known.rests(now));
+        let resting = self.targets.iter().filter(|(_, known)| known.is_avoided(now));
         resting.map(|(id, _)| id.clone()).collect()
     }
 
@@ -282,17 +282,17 @@
     pub fn elsewhere(&self, now: Time, zones: &[String]) -> u32 {
         let others = self.targets.values();
         let others = others.filter(|known| !zones.contains(&known.target.zone));
-        let coming = others.flat_map(|known| known.residents.values());
-        let coming = coming.filter(|held| held.ready > now).count();
-        u32::try_from(coming).unwrap_or(u32::MAX)
+        let loading = others.flat_map(|known| known.residents.values());
+        let loading = loading.filter(|held| held.ready > now).count();
+        u32::try_from(loading).unwrap_or(u32::MAX)
     }
 
     /// Returns the requests of this instance that run at the targets of `zones`.
     #[must_use]
     pub fn running(&self, zones: &[String]) -> Vec<Running> {
-        let there = self.targets.iter();
-        let there = there.filter(|(_, known)| zones.contains(&known.target.zone));
-        let each = there.flat_map(|(id, known)| {
+        let in_zones = self.targets.iter();
+        let in_zones = in_zones.filter(|(_, known)| zones.contains(&known.target.zone));
+        let each = in_zones.flat_map(|(id, known)| {
             let own = known.own.iter().filter(|(_, count)| **count > 0);
             own.map(move |(adapter, count)| Running {
                 target: id.clone(),
@@ -325,7 +325,7 @@
         // more. Requests would go to it again and again. Another copy can be loaded in a
         // quarter of a second, so an unreachable target counts as no holder.
         let holders: Vec<_> = holders
-            .filter(|k| adapter.is_empty() || !(k.rests(now) || tried.contains(&k.target.id)))
+            .filter(|k| adapter.is_empty() || !(k.is_avoided(now) || tried.contains(&k.target.id)))
             .collect();
         if holders.is_empty() {
             return Choice::Missing;
@@ -377,12 +377,12 @@
         let Some(known) = self.targets.get_mut(id) else {
             return;
         };
-        let share = known.trouble.now(now);
+        let rate = known.failures.decayed_rate(now);
         let newest = if good { 0.0 } else { 1.0 };
-        known.trouble.share = share + (newest - share) * NEWEST;
-        known.trouble.at = now;
+        known.failures.rate = rate + (newest - rate) * FAILURE_WEIGHT;
+        known.failures.at = now;
         if good {
-            known.trouble.rest = None;
+            known.failures.avoid_until = None;
         }
     }
 
@@ -390,7 +390,7 @@
     pub fn unreachable(&mut self, now: Time, id: &str) {
         self.outcome(now, id, false);
         if let Some(known) = self.targets.get_mut(id) {
-            known.trouble.rest = Some(now + REST);
+            known.failures.avoid_until = Some(now + UNREACHABLE_PAUSE);
         }
     }
 
@@ -417,7 +417,7 @@
     /// Failure: a version was set and some targets still hold the previous one. Callers
     /// would get answers of the new and the old version alternately. So only holders of
     /// the newest version are chosen from the moment it is known here.
-    fn holds(&self, known: &Known, adapter: &str) -> bool {
+    fn holds(&self, known: &TargetState, adapter: &str) -> bool {
         if adapter.is_empty() {
             return true;
         }
@@ -428,18 +428,18 @@
         held.version == 0 || held.version >= named
     }
 
-    fn cost(&self, now: Time, known: &Known, tried: &BTreeSet<String>) -> f64 {
+    fn cost(&self, now: Time, known: &TargetState, tried: &BTreeSet<String>) -> f64 {
         let target = &known.target;
         let own: u32 = known.own.values().sum();
         let others = self.others.get(&target.id).copied().unwrap_or(0);
         let slots = f64::from(target.slots.max(1));
         let mut cost = f64::from(own + others) / slots * known.slow();
         if target.zone != self.zone {
-            cost += FAR;
+            cost += CROSS_ZONE_COST;
         }
         cost += self.backlog(known) / FULL_WAIT;
-        cost += FAILED * known.trouble.now(now);
-        if known.rests(now) {
+        cost += FAILURE_COST * known.failures.decayed_rate(now);
+        if known.is_avoided(now) {
             cost += 10.0;
         }
         if tried.contains(&target.id) {
@@ -449,26 +449,26 @@
     }
 }
 
-impl Known {
+impl TargetState {
     /// Returns how many times as long as a typical target this one takes.
     fn slow(&self) -> f64 {
         (f64::from(self.target.slowness) / 100.0).max(1.0)
     }
 
     /// Returns whether the target recently could not be reached.
-    fn rests(&self, now: Time) -> bool {
-        self.trouble.rest.is_some_and(|until| now < until)
+    fn is_avoided(&self, now: Time) -> bool {
+        self.failures.avoid_until.is_some_and(|until| now < until)
     }
 }
 
-impl Trouble {
-    fn now(&self, now: Time) -> f64 {
-        let halves = now.since(self.at).as_secs_f64() / FORGIVE.as_secs_f64();
-        self.share * 0.5_f64.powf(halves)
+impl Failures {
+    fn decayed_rate(&self, now: Time) -> f64 {
+        let halves = now.since(self.at).as_secs_f64() / FAILURE_HALF_LIFE.as_secs_f64();
+        self.rate * 0.5_f64.powf(halves)
     }
 }
 
-fn usable(known: &Known, now: Time, adapter: &str) -> bool {
+fn usable(known: &TargetState, now: Time, adapter: &str) -> bool {
     adapter.is_empty()
         || known
             .residents
--- a/crates/gateway/src/view/backlog.rs
+++ b/crates/gateway/src/view/backlog.rs
@@ -6,7 +6,7 @@
 use base::Time;
 use wire::fleet::Pace;
 
-use super::{Known, View};
+use super::{TargetState, View};
 
 /// Prefill backlog, in seconds, that weighs as much as a target with all slots in use:
 /// about the longest pause allowed in its running streams.
@@ -14,15 +14,15 @@
 
 /// Initial estimate of the prompt tokens that a target reads per second: between the
 /// engine types of the deployment's data sheets, which read 26 to 39 in a millisecond.
-const SPEED: f64 = 30_000.0;
+const INITIAL_SPEED: f64 = 30_000.0;
 
 /// Weight of the newest request in the estimated speed, which is thus an average over
 /// about a hundred requests, some seconds of an instance's traffic.
-const SPEED_NEWEST: f64 = 0.02;
+const SPEED_WEIGHT: f64 = 0.02;
 
 /// Minimum backlog, in tokens, for a speed sample: with fewer, the decoding steps of
 /// running requests take most of the time.
-const SPEED_TOKENS: u64 = 1_000;
+const MIN_SAMPLE_TOKENS: u64 = 1_000;
 
 impl View {
     /// Replaces the numbers of prompt tokens of other instances that the targets of
@@ -34,7 +34,7 @@
     ) {
         let targets = &self.targets;
         self.unread_others
-            .retain(|id, _| outside(targets, zones, id));
+            .retain(|id, _| known_outside(targets, zones, id));
         self.unread_others.extend(unread);
     }
 
@@ -42,36 +42,36 @@
     /// read yet.
     #[must_use]
     pub fn unread(&self, zones: &[String]) -> Vec<(String, u64)> {
-        let there = self.targets.iter();
-        let there = there.filter(|(_, known)| known.unread > 0);
-        let there = there.filter(|(_, known)| zones.contains(&known.target.zone));
-        there
+        let in_zones = self.targets.iter();
+        let in_zones = in_zones.filter(|(_, known)| known.unread > 0);
+        let in_zones = in_zones.filter(|(_, known)| zones.contains(&known.target.zone));
+        in_zones
             .map(|(id, known)| (id.clone(), known.unread))
             .collect()
     }
 
     /// Returns the prompt tokens that a target has to read before the next request.
-    pub(super) fn ahead(&self, known: &Known) -> u64 {
+    pub(super) fn ahead(&self, known: &TargetState) -> u64 {
         let others = self.unread_others.get(&known.target.id);
         known.unread + others.copied().unwrap_or(0)
     }
 
     /// Returns the estimated time until a target has read all prompts it was sent, in
     /// seconds.
-    pub(super) fn backlog(&self, known: &Known) -> f64 {
-        self.ahead(known) as f64 / self.speed.unwrap_or(SPEED) * known.slow()
+    pub(super) fn backlog(&self, known: &TargetState) -> f64 {
+        self.ahead(known) as f64 / self.speed.unwrap_or(INITIAL_SPEED) * known.slow()
     }
 
     /// Updates the speed of targets from a request whose answer began `after` it was
     /// sent, to a target that had `tokens` to read, its own included.
     pub fn answered(&mut self, id: &str, tokens: u64, after: Duration) {
-        if tokens < SPEED_TOKENS {
+        if tokens < MIN_SAMPLE_TOKENS {
             return;
         }
         self.note_pace(id, tokens, after);
         let newest = tokens as f64 / after.as_secs_f64().max(0.001);
-        let speed = self.speed.unwrap_or(SPEED);
-        self.speed = Some(speed + (newest - speed) * SPEED_NEWEST);
+        let speed = self.speed.unwrap_or(INITIAL_SPEED);
+        self.speed = Some(speed + (newest - speed) * SPEED_WEIGHT);
     }
 
     fn note_pace(&mut self, id: &str, tokens: u64, after: Duration) {
@@ -88,10 +88,10 @@
     /// Removes and returns the time that targets of `zones` took to read prompts.
     pub fn take_paces(&mut self, zones: &[String]) -> Vec<Pace> {
         let targets = &self.targets;
-        let there = |id: &String| !outside(targets, zones, id);
+        let in_zones = |id: &String| !known_outside(targets, zones, id);
         let (due, rest) = std::mem::take(&mut self.paces)
             .into_iter()
-            .partition(|(id, _)| there(id));
+            .partition(|(id, _)| in_zones(id));
         self.paces = rest;
         let due: BTreeMap<_, _> = due;
         due.into_values().collect()
@@ -114,11 +114,11 @@
         let of_service = of_service.filter(|k| k.target.service == service && k.target.ready);
         let (holders, rest): (Vec<_>, Vec<_>) =
             of_service.partition(|known| self.holds(known, adapter));
-        let behind = |known: &&Known| self.backlog(known) > load.as_secs_f64();
+        let behind = |known: &&TargetState| self.backlog(known) > load.as_secs_f64();
         if !holders.iter().all(behind) {
             return None;
         }
-        let rest = rest.into_iter().filter(|known| !known.rests(now));
+        let rest = rest.into_iter().filter(|known| !known.is_avoided(now));
         let least = rest.min_by(|a, b| self.backlog(a).total_cmp(&self.backlog(b)))?;
         let worth = self.backlog(least) < load.as_secs_f64() / 2.0;
         worth.then_some(least.target.zone.as_str())
@@ -126,7 +126,7 @@
 }
 
 /// Returns whether a target is known and in none of `zones`.
-pub(super) fn outside(targets: &BTreeMap<String, Known>, zones: &[String], id: &str) -> bool {
+pub(super) fn known_outside(targets: &BTreeMap<String, TargetState>, zones: &[String], id: &str) -> bool {
     let zone = targets.get(id).map(|known| &known.target.zone);
     zone.is_some_and(|zone| !zones.contains(zone))
 }
--- a/crates/gateway/src/view/backup.rs
+++ b/crates/gateway/src/view/backup.rs
@@ -8,7 +8,7 @@
 
 use base::Time;
 
-use super::{Known, View, usable};
+use super::{TargetState, View, usable};
 
 /// How long after a newer version was received a stream may still continue elsewhere
 /// under its own version: a change has to be in force everywhere within this time.
@@ -60,7 +60,7 @@
         let origin = self.targets.get(id)?.origin(adapter)?;
         let others = self.targets.values().filter(|k| {
             let of_service = k.target.service == service && k.target.ready;
-            of_service && k.target.id != id && !k.rests(now)
+            of_service && k.target.id != id && !k.is_avoided(now)
         });
         let alike = others.filter(|k| k.origin(adapter) == Some(origin));
         let holders = alike.filter(|k| self.holds(k, adapter) && usable(k, now, adapter));
@@ -111,7 +111,7 @@
     }
 }
 
-impl Known {
+impl TargetState {
     /// Returns the weights and version that produce KV caches of `adapter` here, if both
     /// are known.
     fn origin(&self, adapter: &str) -> Option<Origin> {
--- a/crates/gateway/src/view/held.rs
+++ b/crates/gateway/src/view/held.rs
@@ -17,7 +17,7 @@
 
 /// Maximum time by which refusals postpone the announced time of a load: the zone owner's
 /// announcement is up to a quarter of a second old.
-const EARLY_LONGEST: Duration = Duration::from_millis(300);
+const EARLY_MAX_DELAY: Duration = Duration::from_millis(300);
 
 /// An adapter at a target.
 #[derive(Clone, Copy, Debug)]
@@ -29,20 +29,20 @@
     /// since that it can be used.
     unproven: bool,
     /// Number of requests refused because it was not loaded yet.
-    early: u32,
+    refusals: u32,
 }
 
 impl Held {
     /// Merges the zone owner's announcement with the state known before.
-    pub(super) fn told(now: Time, resident: &Resident, old: Option<&Held>) -> Self {
+    pub(super) fn merge(now: Time, resident: &Resident, old: Option<&Held>) -> Self {
         let ready = now + resident.ready_in;
-        let coming = resident.ready_in > Duration::ZERO;
-        let old = old.filter(|old| old.unproven || !coming);
+        let announced_loading = resident.ready_in > Duration::ZERO;
+        let old = old.filter(|old| old.unproven || !announced_loading);
         Held {
             version: resident.version,
-            ready: old.map_or(ready, |old| old.ready.max(ready).min(ready + EARLY_LONGEST)),
-            unproven: old.map_or(coming, |old| old.unproven),
-            early: old.map_or(0, |old| old.early),
+            ready: old.map_or(ready, |old| old.ready.max(ready).min(ready + EARLY_MAX_DELAY)),
+            unproven: old.map_or(announced_loading, |old| old.unproven),
+            refusals: old.map_or(0, |old| old.refusals),
         }
     }
 }
@@ -62,17 +62,17 @@
         let Some(held) = known.residents.get_mut(adapter) else {
             return;
         };
-        if !held.unproven || held.early >= EARLY_MAX {
+        if !held.unproven || held.refusals >= EARLY_MAX {
             known.residents.remove(adapter);
-            self.doubted.insert(id.to_owned());
+            self.stale.insert(id.to_owned());
             return;
         }
         base::hit!(sent_too_early);
-        held.ready = held.ready.max(now + EARLY_PAUSE * 2_u32.pow(held.early));
-        held.early += 1;
-        if held.early == 1 {
+        held.ready = held.ready.max(now + EARLY_PAUSE * 2_u32.pow(held.refusals));
+        held.refusals += 1;
+        if held.refusals == 1 {
             let zone = known.target.zone.clone();
-            self.first(zone, id, adapter, false);
+            self.note_first(zone, id, adapter, false);
         }
     }
 
@@ -84,14 +84,14 @@
         let Some(held) = known.residents.get_mut(adapter) else {
             return;
         };
-        let first = std::mem::take(&mut held.unproven) && held.early == 0;
+        let first = std::mem::take(&mut held.unproven) && held.refusals == 0;
         if first {
             let zone = known.target.zone.clone();
-            self.first(zone, id, adapter, true);
+            self.note_first(zone, id, adapter, true);
         }
     }
 
-    fn first(&mut self, zone: String, id: &str, adapter: &str, held: bool) {
+    fn note_first(&mut self, zone: String, id: &str, adapter: &str, held: bool) {
         let firsts = self.firsts.entry(zone).or_default();
         firsts.push(First {
             target: id.to_owned(),
--- a/crates/gateway/src/view/spread.rs
+++ b/crates/gateway/src/view/spread.rs
@@ -8,33 +8,33 @@
 
 use base::{StableHash, stable_hash};
 
-use super::{Known, View};
+use super::{TargetState, View};
 
 /// Number of targets drawn, of which the less loaded one is taken. However many instances
 /// there are, the least loaded of many targets gets no more than twice its share.
-const DRAWN: usize = 2;
+const CANDIDATES: usize = 2;
 
 /// Maximum excess over the lowest cost for a target to be drawn: half of its slots.
 /// Beyond that the target has a backlog, fails or can't be reached.
-const WORSE: f64 = 0.5;
+const MAX_EXCESS: f64 = 0.5;
 
 impl View {
-    /// Returns the less loaded of [`DRAWN`] targets, drawn among those in the zone of the
+    /// Returns the less loaded of [`CANDIDATES`] targets, drawn among those in the zone of the
     /// target with the lowest cost.
-    pub(super) fn pick<'a>(&self, rated: &[(f64, &'a Known)]) -> Option<&'a Known> {
-        let least = |a: &&(f64, &Known), b: &&(f64, &Known)| a.0.total_cmp(&b.0);
+    pub(super) fn pick<'a>(&self, rated: &[(f64, &'a TargetState)]) -> Option<&'a TargetState> {
+        let least = |a: &&(f64, &TargetState), b: &&(f64, &TargetState)| a.0.total_cmp(&b.0);
         let best = rated.iter().min_by(least)?;
         let (lowest, zone) = (best.0, &best.1.target.zone);
-        let near = rated.iter().filter(|(cost, _)| *cost <= lowest + WORSE);
+        let near = rated.iter().filter(|(cost, _)| *cost <= lowest + MAX_EXCESS);
         let near = near.filter(|(_, known)| known.target.zone == *zone);
         let mut near: Vec<_> = near.collect();
-        near.sort_by_cached_key(|(_, known)| self.chance(known));
-        let (_, picked) = near.into_iter().take(DRAWN).min_by(least)?;
+        near.sort_by_cached_key(|(_, known)| self.rank(known));
+        let (_, picked) = near.into_iter().take(CANDIDATES).min_by(least)?;
         Some(picked)
     }
 
     /// Returns a pseudo-random number that depends on instance, request and target.
-    fn chance(&self, known: &Known) -> StableHash {
+    fn rank(&self, known: &TargetState) -> StableHash {
         let id = known.target.id.as_bytes();
         stable_hash(&[&self.seed.to_le_bytes(), &self.sent.to_le_bytes(), id])
     }
--- a/crates/gateway/src/warmup.rs
+++ b/crates/gateway/src/warmup.rs
@@ -13,13 +13,13 @@
 
 /// A zone not heard from within this time is cut off or has no targets: control instances
 /// start, elect a leader and read their lists within a second.
-const LONGEST: Duration = Duration::from_secs(3);
+const MAX_WAIT: Duration = Duration::from_secs(3);
 
 /// The zones that a restarted entry instance has not heard from.
 #[derive(Clone, Debug)]
 pub struct Settle {
     until: Time,
-    silent: BTreeSet<String>,
+    unheard: BTreeSet<String>,
 }
 
 impl Settle {
@@ -27,8 +27,8 @@
     #[must_use]
     pub fn new(now: Time, zones: &[String]) -> Self {
         Settle {
-            until: now + LONGEST,
-            silent: zones.iter().cloned().collect(),
+            until: now + MAX_WAIT,
+            unheard: zones.iter().cloned().collect(),
         }
     }
 
@@ -37,13 +37,13 @@
     /// zone.
     pub fn heard(&mut self, targets: &[Target]) {
         for target in targets {
-            self.silent.remove(&target.zone);
+            self.unheard.remove(&target.zone);
         }
     }
 
     /// Returns whether targets may still become known that are not known now.
     #[must_use]
     pub fn pending(&self, now: Time) -> bool {
-        now < self.until && !self.silent.is_empty()
+        now < self.until && !self.unheard.is_empty()
     }
 }
--- a/crates/gateway/src/zone_lease.rs
+++ b/crates/gateway/src/zone_lease.rs
@@ -22,24 +22,24 @@
 
 /// Returns how long a leader waits after it last heard from an owner before it appoints
 /// another one: the lease, a twentieth of it for clocks that run at different speeds, and
-/// `turns`, the time within which engines without fencing must not get orders from two
+/// `owner_gap`, the time within which engines without fencing must not get orders from two
 /// owners.
-pub fn takeover(turns: Duration) -> Duration {
-    TENURE + TENURE / 20 + turns
+pub fn takeover(owner_gap: Duration) -> Duration {
+    TENURE + TENURE / 20 + owner_gap
 }
 
 /// A control instance not heard from within this time is not made owner of a zone.
-const FRESH: Duration = Duration::from_millis(1_500);
+const HEARD_WITHIN: Duration = Duration::from_millis(1_500);
 
 /// How long a new leader waits to hear from each zone's own instances before it makes an
 /// instance of another zone the owner.
-const GATHER: Duration = Duration::from_millis(1_500);
+const GATHER_TIME: Duration = Duration::from_millis(1_500);
 
 /// The leader's side: decides which zones need an owner and which instance that should
 /// be.
 #[derive(Debug, Default)]
 pub struct Granter {
-    leads: Option<Time>,
+    leading_since: Option<Time>,
     /// Instances by name: their zone, and when they last renewed their leases.
     heard: BTreeMap<InstanceName, (String, Time)>,
 }
@@ -48,13 +48,13 @@
     /// Starts leading. Discards what was heard before, as another leader may have renewed
     /// leases since.
     pub fn lead(&mut self, now: Time) {
-        self.leads = Some(now);
+        self.leading_since = Some(now);
         self.heard.clear();
     }
 
     /// Stops leading.
     pub fn follow(&mut self) {
-        self.leads = None;
+        self.leading_since = None;
     }
 
     /// Records that an instance of `zone` renews its leases now.
@@ -64,16 +64,16 @@
     }
 
     /// Returns the zones that need an owner, each with the instance to appoint. For
-    /// `turns` see [`takeover`].
+    /// `owner_gap` see [`takeover`].
     #[must_use]
     pub fn due(
         &self,
         now: Time,
         zones: &BTreeSet<String>,
         owners: &BTreeMap<String, InstanceName>,
-        turns: Duration,
+        owner_gap: Duration,
     ) -> Vec<(String, InstanceName)> {
-        let Some(since) = self.leads else {
+        let Some(since) = self.leading_since else {
             return Vec::new();
         };
         let mut due = Vec::new();
@@ -84,15 +84,15 @@
         for zone in zones {
             let free = match owners.get(zone) {
                 None => true,
-                Some(owner) => self.surely_over(now, since, owner, turns),
+                Some(owner) => self.has_expired(now, since, owner, owner_gap),
             };
             if !free {
                 continue;
             }
-            let gathered = now.since(since) >= GATHER;
-            let fresh = self.heard.iter();
-            let fresh = fresh.filter(|(_, (_, at))| now.since(*at) < FRESH);
-            let best = fresh
+            let gathered = now.since(since) >= GATHER_TIME;
+            let recent = self.heard.iter();
+            let recent = recent.filter(|(_, (_, at))| now.since(*at) < HEARD_WITHIN);
+            let best = recent
                 .filter(|(_, (of, _))| gathered || of == zone)
                 .min_by_key(|(name, (of, _))| {
                     let count = counts.get(name).copied().unwrap_or(0);
@@ -111,9 +111,9 @@
     /// Failure: a new leader doesn't know when its predecessor last renewed a lease. It
     /// has to lead for the full lease time itself, or two owners would give orders
     /// alternately.
-    fn surely_over(&self, now: Time, since: Time, owner: &InstanceName, turns: Duration) -> bool {
+    fn has_expired(&self, now: Time, since: Time, owner: &InstanceName, owner_gap: Duration) -> bool {
         let last = self.heard.get(owner).map_or(since, |(_, at)| *at);
-        now.since(last.max(since)) >= takeover(turns)
+        now.since(last.max(since)) >= takeover(owner_gap)
     }
 }
 
@@ -123,32 +123,32 @@
     /// Owned zones, with the fencing number of each.
     zones: BTreeMap<String, u64>,
     /// When the last request was sent that the leader granted.
-    asked: Option<Time>,
+    requested: Option<Time>,
 }
 
 impl Tenure {
     /// Applies a leader's answer to a request sent at `asked`; ignores it if an answer to
     /// a later request was applied before.
     pub fn granted(&mut self, asked: Time, zones: impl IntoIterator<Item = (String, u64)>) {
-        if self.asked.is_some_and(|last| last > asked) {
+        if self.requested.is_some_and(|last| last > asked) {
             return;
         }
-        self.asked = Some(asked);
+        self.requested = Some(asked);
         self.zones = zones.into_iter().collect();
     }
 
     /// Returns the fencing number of a zone if this instance may give orders there now.
     #[must_use]
     pub fn fence(&self, now: Time, zone: &str) -> Option<u64> {
-        let held = self.asked.is_some_and(|asked| now < asked + TENURE);
-        held.then(|| self.zones.get(zone).copied()).flatten()
+        let valid = self.requested.is_some_and(|asked| now < asked + TENURE);
+        valid.then(|| self.zones.get(zone).copied()).flatten()
     }
 
     /// Returns the zones where this instance may give orders now.
     #[must_use]
     pub fn zones(&self, now: Time) -> Vec<String> {
         let zones = self.zones.keys();
-        let held = zones.filter(|zone| self.fence(now, zone).is_some());
-        held.cloned().collect()
+        let valid = zones.filter(|zone| self.fence(now, zone).is_some());
+        valid.cloned().collect()
     }
 }
--- a/crates/gateway/src/zone_owner.rs
+++ b/crates/gateway/src/zone_owner.rs
@@ -27,38 +27,38 @@
 
 pub use self::message::{Act, Ended, Held, Input, Listed, Order, Output, Report};
 use self::{
-    placement::Census,
+    placement::Placement,
     demand::Demand,
     engine::{Engine, Source},
-    target_updates::News,
-    estimate::{Memory, Pace},
-    slowness::Slow,
+    target_updates::TargetUpdates,
+    estimate::{MemoryEstimate, StoreEstimate},
+    slowness::Slowness,
     traffic::Traffic,
-    aging::Turns,
+    aging::Aging,
 };
 use crate::{table, zone_lease::Tenure};
 
 /// An entry instance not heard from for this long is ignored: its requests have ended or
 /// its connections are gone.
-const ENTRY_SILENT: Duration = Duration::from_secs(2);
+const ENTRY_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// How long the answer to an entry instance is delayed until its missing adapters are
 /// ordered. An order takes a few milliseconds; after this time the instance asks again.
-const PARK: Duration = Duration::from_millis(150);
+const SYNC_WAIT: Duration = Duration::from_millis(150);
 
 /// How long an engine that did not answer a report request gets no orders and its
 /// adapters do not count as available. The platform's list takes seconds to drop a dead
 /// engine; until then callers would be sent to it and no copy would be loaded elsewhere.
-const FAILING: Duration = Duration::from_secs(2);
+const FAILING_TIME: Duration = Duration::from_secs(2);
 
 /// How long an adapter stays wanted after the last request for it. An instance with
 /// waiting callers asks again every 300 ms; a load for callers that have left delays
 /// loads for others.
-const WANTED: Duration = Duration::from_millis(450);
+const WANTED_TIME: Duration = Duration::from_millis(450);
 
 /// How long a request for one more copy of an adapter stays valid: two exchanges between
 /// an entry instance and the zone owner.
-const COPY_WANTED: Duration = Duration::from_millis(500);
+const COPY_WANTED_TIME: Duration = Duration::from_millis(500);
 
 /// Settings of the zone owner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -99,28 +99,28 @@
 
 /// Interval at which the speeds of engines are compared: that at which entry instances
 /// report them.
-const RATE_EVERY: Duration = Duration::from_millis(250);
+const COMPARE_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Minimum time between two plans that are not triggered by an input.
-const PLAN_REST: Duration = Duration::from_millis(5);
+const MIN_PLAN_INTERVAL: Duration = Duration::from_millis(5);
 
 /// An adapter that callers wait for.
 #[derive(Clone, Copy, Debug)]
 struct Want {
     /// When it was first requested.
-    first: Time,
+    first_asked: Time,
     /// When it was last requested.
-    last: Time,
+    last_asked: Time,
     /// Whether an engine had it in host memory when it was first requested.
-    near: bool,
+    cached: bool,
 }
 
 #[derive(Debug)]
-struct Parked {
+struct PendingSync {
     ticket: Ticket,
-    asker: Option<InstanceName>,
-    news: u64,
-    again: Vec<String>,
+    requester: Option<InstanceName>,
+    known: u64,
+    resend: Vec<String>,
     brief: bool,
     wants: Vec<String>,
     until: Time,
@@ -156,13 +156,13 @@
     engines: BTreeMap<String, Engine>,
     traffic: Traffic,
     demand: Demand,
-    pace: Pace,
-    memory: Memory,
+    store: StoreEstimate,
+    memory: MemoryEstimate,
     wants: BTreeMap<String, Want>,
-    turns: Turns,
-    slow: Slow,
+    aging: Aging,
+    slowness: Slowness,
     /// When the speeds of engines were last compared.
-    rated: Time,
+    compared: Time,
     /// Adapters of which entry instances want one more copy, and when they last said so.
     copies: BTreeMap<String, Time>,
     /// Wanted adapters whose load is not ordered yet, with the estimated time until they
@@ -176,22 +176,22 @@
     versions: BTreeMap<String, u32>,
     tenure: Tenure,
     /// Owned zones at the time of the last answer.
-    told: Vec<String>,
-    news: News,
+    answered_zones: Vec<String>,
+    updates: TargetUpdates,
     /// Targets that may have changed since the last target update.
     changed: BTreeSet<String>,
     /// Cached count of adapter copies; `None` once something has changed at an engine.
-    census: Option<Census>,
+    placement: Option<Placement>,
     /// Whether an input has arrived that the next plan must take into account.
-    due: bool,
+    plan_due: bool,
     /// When the next plan is due if no input arrives.
-    next: Option<Time>,
+    next_plan: Option<Time>,
     /// Engines and adapters examined by plans so far.
     steps: u64,
     /// See [`LoadStats`].
     idle: usize,
     full: usize,
-    parked: Vec<Parked>,
+    pending: Vec<PendingSync>,
 }
 
 impl Holder {
@@ -207,28 +207,28 @@
             engines: BTreeMap::new(),
             traffic: Traffic::default(),
             demand: Demand::default(),
-            pace: Pace::new(config.adapter_load, plan::TRANSIT_ALL, config.zones),
-            memory: Memory::default(),
+            store: StoreEstimate::new(config.adapter_load, plan::INITIAL_LOADS, config.zones),
+            memory: MemoryEstimate::default(),
             wants: BTreeMap::new(),
-            turns: Turns::default(),
-            slow: Slow::default(),
-            rated: Time::ZERO,
+            aging: Aging::default(),
+            slowness: Slowness::default(),
+            compared: Time::ZERO,
             copies: BTreeMap::new(),
             queue: BTreeMap::new(),
             failing: BTreeMap::new(),
             elsewhere: None,
             versions: BTreeMap::new(),
             tenure: Tenure::default(),
-            told: Vec::new(),
-            news: News::new(serial),
+            answered_zones: Vec::new(),
+            updates: TargetUpdates::new(serial),
             changed: BTreeSet::new(),
-            census: None,
-            due: true,
-            next: None,
+            placement: None,
+            plan_due: true,
+            next_plan: None,
             steps: 0,
             idle: 0,
             full: 0,
-            parked: Vec::new(),
+            pending: Vec::new(),
         }
     }
 
@@ -242,11 +242,11 @@
     #[must_use]
     pub fn learned(&self) -> Learned {
         Learned {
-            load: self.pace.time(),
-            loads: self.pace.window() as usize,
+            load: self.store.time(),
+            loads: self.store.window() as usize,
             memory: self.memory.size(),
             waiting: self.queue.len(),
-            coming: self.census.as_ref().map_or(0, |census| census.loading),
+            coming: self.placement.as_ref().map_or(0, |placement| placement.loading),
             idle: self.idle,
             full: self.full,
         }
@@ -272,7 +272,7 @@
     /// Returns when [`Self::poll`] has to be called if no input arrives before.
     #[must_use]
     pub fn next(&self) -> Option<Time> {
-        self.next
+        self.next_plan
     }
 
     /// Applies one input and appends the resulting orders and answers to `out`.
@@ -289,22 +289,22 @@
             Input::Listed { asked, zones, list } => self.listed(now, asked, &zones, list),
             Input::Versions(versions) => {
                 self.versions = versions;
-                self.census = None;
-                self.due = true;
+                self.placement = None;
+                self.plan_due = true;
             }
             Input::Sync(ticket, sync) => self.sync(now, ticket, sync),
-            Input::Ended { id, ended } => self.ended(now, &id, ended),
+            Input::Ended { id, ended } => self.order_ended(now, &id, ended),
             Input::Reported { id, report } => self.reported(now, &id, report),
-            Input::Wake => self.due = true,
+            Input::Wake => self.plan_due = true,
         }
     }
 
     /// Appends the orders and answers that result from the inputs applied so far.
     pub fn act(&mut self, now: Time, out: &mut Vec<Output>) {
-        self.forget(now);
-        self.rate(now);
-        if self.due || self.next.is_some_and(|at| now >= at) {
-            self.due = false;
+        self.expire(now);
+        self.compare_engines(now);
+        if self.plan_due || self.next_plan.is_some_and(|at| now >= at) {
+            self.plan_due = false;
             self.plan(now, out);
         }
         self.answer(now, out);
@@ -322,8 +322,8 @@
             zone.is_none_or(|zone| !gained.contains(zone))
         });
         self.tenure = tenure;
-        self.census = None;
-        self.due = true;
+        self.placement = None;
+        self.plan_due = true;
     }
 
     fn listed(&mut self, now: Time, asked: Time, zones: &[String], list: Vec<Listed>) {
@@ -338,30 +338,30 @@
         }
         self.engines.retain(|id, _| targets.contains_key(id));
         self.changed.extend(targets.keys().cloned());
-        self.changed.extend(self.news.ids());
+        self.changed.extend(self.updates.ids());
         self.targets = targets;
-        self.census = None;
-        self.due = true;
+        self.placement = None;
+        self.plan_due = true;
     }
 
     fn sync(&mut self, now: Time, ticket: Ticket, sync: Sync) {
         for (adapter, count) in &sync.demand {
-            self.due |= self.demand.add(now, adapter, f64::from(*count));
+            self.plan_due |= self.demand.add(now, adapter, f64::from(*count));
         }
         for adapter in &sync.wants {
             self.want(now, adapter);
         }
         for adapter in sync.copies {
-            self.due |= self.copies.insert(adapter, now).is_none();
+            self.plan_due |= self.copies.insert(adapter, now).is_none();
         }
         for target in &sync.failing {
             if let Some(engine) = self.engines.get_mut(target) {
-                engine.accused(now);
-                self.due = true;
+                engine.unreachable(now);
+                self.plan_due = true;
             }
         }
         for pace in &sync.paces {
-            self.slow.seen(now, pace);
+            self.slowness.add_sample(now, pace);
         }
         for first in &sync.firsts {
             self.first_use(now, first);
@@ -372,17 +372,17 @@
         if let Some(instance) = &sync.instance {
             self.traffic.heard(now, instance);
             if !sync.brief {
-                self.traffic.told(instance, sync.running, sync.unread);
+                self.traffic.set(instance, sync.running, sync.unread);
             }
         }
-        self.parked.push(Parked {
+        self.pending.push(PendingSync {
             ticket,
-            asker: sync.instance,
-            news: sync.news,
-            again: sync.again,
+            requester: sync.instance,
+            known: sync.news,
+            resend: sync.again,
             brief: sync.brief,
             wants: sync.wants,
-            until: now + PARK,
+            until: now + SYNC_WAIT,
         });
     }
 
@@ -390,18 +390,18 @@
     /// before triggers a plan.
     fn want(&mut self, now: Time, adapter: &str) {
         if let Some(want) = self.wants.get_mut(adapter) {
-            want.last = now;
+            want.last_asked = now;
             return;
         }
         let mut engines = self.engines.values();
-        let near = engines.any(|engine| self.in_memory(engine, adapter));
+        let cached = engines.any(|engine| self.in_memory(engine, adapter));
         let want = Want {
-            first: now,
-            last: now,
-            near,
+            first_asked: now,
+            last_asked: now,
+            cached,
         };
         self.wants.insert(adapter.to_owned(), want);
-        self.due = true;
+        self.plan_due = true;
     }
 
     /// Updates the load estimates from the outcome of the first request for an adapter
@@ -410,24 +410,24 @@
         let Some(engine) = self.engines.get_mut(&first.target) else {
             return;
         };
-        let Some((load, ordered)) = engine.first_use(now, first, self.pace.time()) else {
+        let Some((load, ordered)) = engine.first_use(now, first, self.store.time()) else {
             return;
         };
         if !first.held {
             self.engine_changed(&first.target);
         }
         match (load, first.held) {
-            (Source::Store, true) => self.pace.in_time(ordered),
-            (Source::Store, false) => self.pace.late(now, ordered),
-            (Source::Memory { depth }, there) => self.memory.seen(depth, there),
+            (Source::Store, true) => self.store.in_time(ordered),
+            (Source::Store, false) => self.store.late(now, ordered),
+            (Source::Memory { depth }, there) => self.memory.observe(depth, there),
         }
     }
 
-    fn ended(&mut self, now: Time, id: &str, ended: Ended) {
-        self.config.adapter_load = self.pace.time();
+    fn order_ended(&mut self, now: Time, id: &str, ended: Ended) {
+        self.config.adapter_load = self.store.time();
         self.config.memory = self.memory.size();
         if let Some(engine) = self.engines.get_mut(id) {
-            engine.ended(now, ended, &self.config);
+            engine.order_ended(now, ended, &self.config);
             self.engine_changed(id);
         }
     }
@@ -435,8 +435,8 @@
     /// Marks an engine as changed since the last plan and target update.
     fn engine_changed(&mut self, id: &str) {
         self.changed.insert(id.to_owned());
-        self.census = None;
-        self.due = true;
+        self.placement = None;
+        self.plan_due = true;
     }
 
     fn reported(&mut self, now: Time, id: &str, report: Option<Report>) {
@@ -450,90 +450,90 @@
     }
 
     /// Compares the speeds of engines, four times a second.
-    fn rate(&mut self, now: Time) {
-        if now.since(self.rated) < RATE_EVERY {
+    fn compare_engines(&mut self, now: Time) {
+        if now.since(self.compared) < COMPARE_INTERVAL {
             return;
         }
-        self.rated = now;
-        self.changed.extend(self.slow.rate(now));
+        self.compared = now;
+        self.changed.extend(self.slowness.compare(now));
     }
 
-    fn forget(&mut self, now: Time) {
-        self.traffic.forget(now);
-        self.wants.retain(|_, want| now.since(want.last) < WANTED);
-        self.copies.retain(|_, at| now.since(*at) < COPY_WANTED);
-        self.turns.forget(now);
+    fn expire(&mut self, now: Time) {
+        self.traffic.expire(now);
+        self.wants.retain(|_, want| now.since(want.last_asked) < WANTED_TIME);
+        self.copies.retain(|_, at| now.since(*at) < COPY_WANTED_TIME);
+        self.aging.expire(now);
         let failing = self.failing.len();
-        self.failing.retain(|_, at| now.since(*at) < FAILING);
+        self.failing.retain(|_, at| now.since(*at) < FAILING_TIME);
         if failing != self.failing.len() {
-            self.census = None;
-            self.due = true;
+            self.placement = None;
+            self.plan_due = true;
         }
-        self.demand.forget(now);
+        self.demand.expire(now);
     }
 
     /// Answers each exchange whose missing adapters are all ordered, far back in the
     /// queue, or whose waiting time is over.
     fn answer(&mut self, now: Time, out: &mut Vec<Output>) {
         let zones = self.tenure.zones(now);
-        if zones != self.told {
-            self.told.clone_from(&zones);
-            self.news.restart();
+        if zones != self.answered_zones {
+            self.answered_zones.clone_from(&zones);
+            self.updates.reset();
             self.changed = self.targets.keys().cloned().collect();
         }
-        if self.parked.is_empty() {
+        if self.pending.is_empty() {
             return;
         }
-        self.show(&zones);
-        let census = self.census(now);
-        let parked = std::mem::take(&mut self.parked);
-        for asked in parked {
-            let known = |adapter: &String| census.placed(adapter) || self.waits_long(adapter);
+        self.number_changes(&zones);
+        let placement = self.placement(now);
+        let pending = std::mem::take(&mut self.pending);
+        for asked in pending {
+            let known = |adapter: &String| placement.placed(adapter) || self.waits_too_long(adapter);
             if now < asked.until && !asked.wants.iter().all(known) {
-                self.parked.push(asked);
+                self.pending.push(asked);
                 continue;
             }
             let ticket = asked.ticket;
-            let synced = self.answer_to(now, &zones, &asked);
+            let synced = self.synced_for(now, &zones, &asked);
             out.push(Output::Answer { ticket, synced });
         }
-        self.census = Some(census);
+        self.placement = Some(placement);
     }
 
-    fn answer_to(&self, now: Time, zones: &[String], asked: &Parked) -> Synced {
-        let told = self.news.since(now, asked.news, &asked.again);
-        let asker = asked.asker.as_ref();
+    fn synced_for(&self, now: Time, zones: &[String], asked: &PendingSync) -> Synced {
+        let delta = self.updates.since(now, asked.known, &asked.resend);
+        let requester = asked.requester.as_ref();
         let mut synced = Synced {
-            news: self.news.last(),
-            targets: told.targets,
-            whole: told.whole,
-            gone: told.gone,
+            news: self.updates.last(),
+            targets: delta.targets,
+            whole: delta.full,
+            gone: delta.gone,
             waits: self.waits(&asked.wants),
             zones: zones.to_vec(),
             entries: u32::try_from(self.traffic.entries()).unwrap_or(u32::MAX),
             ..Synced::default()
         };
         if !asked.brief {
-            synced.running = self.traffic.running_without(asker);
-            synced.unread = self.traffic.unread_without(asker);
+            synced.running = self.traffic.running_without(requester);
+            synced.unread = self.traffic.unread_without(requester);
         }
         synced
     }
 
     /// Returns the count of adapter copies; counts them again only if something has
     /// changed.
-    fn census(&mut self, now: Time) -> Census {
-        let census = self.census.take();
-        let census = census.filter(|census| census.next.is_none_or(|at| now < at));
-        census.unwrap_or_else(|| self.count(now))
+    fn placement(&mut self, now: Time) -> Placement {
+        let placement = self.placement.take();
+        let placement = placement.filter(|placement| placement.next.is_none_or(|at| now < at));
+        placement.unwrap_or_else(|| self.count_copies(now))
     }
 
     /// Assigns update numbers to the targets of `zones` that have changed.
-    fn show(&mut self, zones: &[String]) {
+    fn number_changes(&mut self, zones: &[String]) {
         for id in std::mem::take(&mut self.changed) {
             let listed = self.targets.get(&id);
             let Some(listed) = listed.filter(|listed| zones.contains(&listed.zone)) else {
-                self.news.drop_target(&id);
+                self.updates.remove(&id);
                 continue;
             };
             let engine = self.engines.get(&id);
@@ -546,18 +546,18 @@
                 zone: listed.zone.clone(),
                 slots: listed.slots,
                 ready: listed.ready,
-                slowness: self.slow.of(&listed.id),
+                slowness: self.slowness.factor(&listed.id),
                 weights: engine.map(Engine::weights).unwrap_or_default(),
                 residents,
             };
-            self.news.show(target, ready);
+            self.updates.set(target, ready);
         }
     }
 
     /// Returns whether an adapter is so far back in the queue for the store that the
     /// requester should get its estimated wait at once.
-    fn waits_long(&self, adapter: &str) -> bool {
-        self.queue.get(adapter).is_some_and(|wait| *wait > PARK)
+    fn waits_too_long(&self, adapter: &str) -> bool {
+        self.queue.get(adapter).is_some_and(|wait| *wait > SYNC_WAIT)
     }
 
     fn waits(&self, wants: &[String]) -> Vec<(String, Duration)> {
--- a/crates/gateway/src/zone_owner/aging.rs
+++ b/crates/gateway/src/zone_owner/aging.rs
@@ -16,17 +16,17 @@
 
 /// How long the waiting time of an adapter is kept after its last request: callers of a
 /// rare adapter come some seconds apart.
-const KEPT: Duration = Duration::from_secs(10);
+const KEEP_TIME: Duration = Duration::from_secs(10);
 
 /// One in this many loads goes to the adapter that has waited longest.
-const ONE_IN: u64 = 4;
+const OLDEST_EVERY: u64 = 4;
 
 /// Waiting times of adapters.
 #[derive(Debug, Default)]
-pub(super) struct Turns {
+pub(super) struct Aging {
     waiting: BTreeMap<String, Waiting>,
     /// Number of loads ordered so far.
-    given: u64,
+    loads: u64,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -34,33 +34,33 @@
     /// When its first caller asked for it.
     since: Time,
     /// When it was last requested.
-    asked: Time,
+    last_asked: Time,
 }
 
-impl Turns {
+impl Aging {
     /// Notes that an adapter is requested and no engine holds it.
-    pub(super) fn asked(&mut self, now: Time, adapter: &str) {
+    pub(super) fn requested(&mut self, now: Time, adapter: &str) {
         if let Some(waiting) = self.waiting.get_mut(adapter) {
-            waiting.asked = now;
+            waiting.last_asked = now;
             return;
         }
         let waiting = Waiting {
             since: now,
-            asked: now,
+            last_asked: now,
         };
         self.waiting.insert(adapter.to_owned(), waiting);
     }
 
     /// Notes that a load of the adapter was ordered.
-    pub(super) fn served(&mut self, adapter: &str) {
-        self.given += 1;
+    pub(super) fn ordered(&mut self, adapter: &str) {
+        self.loads += 1;
         self.waiting.remove(adapter);
     }
 
-    /// Removes adapters that have not been requested within [`KEPT`].
-    pub(super) fn forget(&mut self, now: Time) {
+    /// Removes adapters that have not been requested within [`KEEP_TIME`].
+    pub(super) fn expire(&mut self, now: Time) {
         self.waiting
-            .retain(|_, waiting| now.since(waiting.asked) < KEPT);
+            .retain(|_, waiting| now.since(waiting.last_asked) < KEEP_TIME);
     }
 
     /// Reorders adapters that are ranked by demand so that every fourth one is the one
@@ -76,17 +76,17 @@
         let count = ranked.len();
         let mut ranked = ranked.into_iter();
         let mut taken = BTreeSet::new();
-        let mut ordered = Vec::with_capacity(count);
-        while ordered.len() < count {
-            let turn = (self.given + ordered.len() as u64) % ONE_IN == ONE_IN - 1;
+        let mut order = Vec::with_capacity(count);
+        while order.len() < count {
+            let take_oldest = (self.loads + order.len() as u64) % OLDEST_EVERY == OLDEST_EVERY - 1;
             let free = |adapter: &String| !taken.contains(adapter);
-            let next = if turn { oldest.find(free) } else { None };
+            let next = if take_oldest { oldest.find(free) } else { None };
             let Some(next) = next.or_else(|| ranked.find(free)) else {
                 break;
             };
             taken.insert(next.clone());
-            ordered.push(next);
+            order.push(next);
         }
-        ordered
+        order
     }
 }
--- a/crates/gateway/src/zone_owner/engine.rs
+++ b/crates/gateway/src/zone_owner/engine.rs
@@ -11,23 +11,23 @@
 use super::{Act, Config, Ended, Held, Listed, Report};
 
 /// Number of evicted adapters that are remembered per engine. How many of them the engine
-/// still has in host memory is estimated, see [`Memory`](super::estimate::Memory).
-const PAST_MAX: usize = 256;
+/// still has in host memory is estimated, see [`MemoryEstimate`](super::estimate::MemoryEstimate).
+const EVICTED_MAX: usize = 256;
 
 /// An engine reloads an adapter from its host memory this many times as fast as from the
 /// store.
-const PAST_SPEED: u32 = 10;
+const MEMORY_SPEEDUP: u32 = 10;
 
 /// Pause after an order without an answer, so that an unreachable engine is not flooded.
 /// The next order is safe at once, as it carries the same expected order count.
-const DOUBT_REST: Duration = Duration::from_millis(10);
+const UNKNOWN_PAUSE: Duration = Duration::from_millis(10);
 
 /// An engine that answered within this time is alive, whatever entry instances report.
-const HEARD_LATELY: Duration = Duration::from_millis(200);
+const ALIVE_WITHIN: Duration = Duration::from_millis(200);
 
 /// Maximum age of a load to which the outcome of a first use is attributed, in expected
 /// load times; an older outcome may belong to an earlier load that was evicted since.
-const FIRST_USE: u32 = 6;
+const FIRST_USE_MAX_LOADS: u32 = 6;
 
 /// Margin on the expected duration of a load: a request that arrives too early is refused
 /// and has to be retried.
@@ -35,7 +35,7 @@
 
 /// How long an adapter is not evicted after its load. Callers that waited for it send
 /// their requests at once, and the next exchange reports them.
-const LOAD_SETTLES: Duration = Duration::from_millis(400);
+const KEEP_AFTER_LOAD: Duration = Duration::from_millis(400);
 
 /// State of one engine.
 #[derive(Debug, Default)]
@@ -47,34 +47,34 @@
     pub(super) order: Option<Act>,
     /// The order count expected by orders with an unknown outcome. While the engine may
     /// still be at this count, one of them may be executed.
-    doubt: Option<u64>,
+    unknown_seq: Option<u64>,
     /// Why and when a report was requested that has not arrived yet.
-    pub(super) asked: Option<(Asked, Time)>,
+    pub(super) report_asked: Option<(ReportReason, Time)>,
     /// Whether an entry instance could not reach the engine, so that its liveness has to
     /// be checked.
     pub(super) suspect: bool,
     /// When it last answered an order or a report request.
-    heard: Time,
+    answered_at: Time,
     /// Until when nothing is requested or ordered.
-    pub(super) rest: Time,
+    pub(super) paused_until: Time,
     /// Base models held, and the times from which they can be used.
     pub(super) models: BTreeMap<String, Time>,
     /// Versions of their weights, as far as the engine has reported them.
     weights: BTreeMap<String, u32>,
     pub(super) adapters: BTreeMap<String, Slot>,
     /// The adapter to load once the ordered eviction has freed a slot.
-    pub(super) goal: Option<String>,
+    pub(super) next_load: Option<String>,
     /// Adapters that were evicted and may still be in host memory.
-    past: BTreeMap<String, Past>,
+    evicted: BTreeMap<String, Evicted>,
     /// Number of evictions so far.
-    drops: usize,
+    evictions: usize,
     /// Adapters evicted by order of this zone owner, and when.
-    dropped: BTreeMap<String, Time>,
+    own_evictions: BTreeMap<String, Time>,
 }
 
 /// An adapter that an engine has evicted.
 #[derive(Clone, Copy, Debug)]
-struct Past {
+struct Evicted {
     /// Number of evictions at the engine up to and including this one.
     at: usize,
     /// Its version; zero if it was loaded without one.
@@ -83,11 +83,11 @@
 
 /// Why an engine's report is requested.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Asked {
+pub(super) enum ReportReason {
     /// Its order count is not known.
-    Count,
+    OrderCount,
     /// An entry instance could not reach it.
-    Life,
+    Liveness,
 }
 
 /// An adapter slot in use.
@@ -99,18 +99,18 @@
     /// When it was last ordered; `None` if only reported.
     ordered: Option<Time>,
     /// Whether its eviction is ordered, which takes effect once its requests have ended.
-    pub(super) leaving: bool,
+    pub(super) evicting: bool,
     /// Where the engine loaded it from by order of this zone owner; `None` if another one
     /// ordered it.
-    loaded: Option<Source>,
+    source: Option<Source>,
 }
 
 impl Slot {
     /// Returns whether the adapter can be used and the callers that waited for it have
     /// had time to send their requests.
     pub(super) fn settled(&self, now: Time) -> bool {
-        let rest = self.loaded.map_or(Duration::ZERO, |_| LOAD_SETTLES);
-        now >= self.ready + rest
+        let pause = self.source.map_or(Duration::ZERO, |_| KEEP_AFTER_LOAD);
+        now >= self.ready + pause
     }
 }
 
@@ -130,13 +130,13 @@
     /// Applies the engine's entry in the platform's target list.
     pub(super) fn listed(&mut self, now: Time, asked: Time, listed: &Listed, times: &Config) {
         if listed.born > self.born {
-            self.reborn(listed.born);
+            self.restarted(listed.born);
         }
         if listed.born < self.born {
             return;
         }
         if let Some(held) = &listed.held {
-            self.believe(now, asked, held, times.list_lag, times.list_lag);
+            self.merge_held(now, asked, held, times.list_lag, times.list_lag);
         }
     }
 
@@ -145,7 +145,7 @@
     /// Failure: an engine restarts under its old id. It holds nothing and counts orders
     /// from zero, while requests for what it held are still sent to it. Its start time
     /// distinguishes incarnations.
-    fn reborn(&mut self, born: u64) {
+    fn restarted(&mut self, born: u64) {
         *self = Engine {
             born,
             ..Engine::default()
@@ -159,11 +159,11 @@
     /// adapters it held were loaded again elsewhere, and the last engine of a zone was
     /// left with more adapters in use than it has room for. So the zone owner checks with
     /// a request of its own.
-    pub(super) fn accused(&mut self, now: Time) {
-        self.suspect |= now.since(self.heard) >= HEARD_LATELY;
+    pub(super) fn unreachable(&mut self, now: Time) {
+        self.suspect |= now.since(self.answered_at) >= ALIVE_WITHIN;
     }
 
-    pub(super) fn ended(&mut self, now: Time, ended: Ended, times: &Config) {
+    pub(super) fn order_ended(&mut self, now: Time, ended: Ended, times: &Config) {
         let lag = times.report_lag;
         let Some(act) = self.order.take() else {
             return;
@@ -171,22 +171,22 @@
         if ended == Ended::Unknown {
             self.suspect = true;
         } else {
-            self.heard = now;
+            self.answered_at = now;
         }
         match ended {
             Ended::Accepted | Ended::Done => {
-                if self.counts(&act, ended) {
-                    self.doubt = None;
+                if self.is_counted(&act, ended) {
+                    self.unknown_seq = None;
                     self.seq = self.seq.map(|seq| seq + 1);
                 } else {
                     self.seq = None;
-                    self.rest = now + lag;
+                    self.paused_until = now + lag;
                 }
-                self.accepted(now, act, ended, times);
+                self.confirmed(now, act, ended, times);
             }
             Ended::Refused => {
-                self.goal = None;
-                self.rest = now + lag;
+                self.next_load = None;
+                self.paused_until = now + lag;
             }
             // Failure: an order without an answer may have been executed, or may be
             // later. The next order carries the same expected count: the engine accepts
@@ -194,17 +194,17 @@
             // the earlier one. So orders go on without waiting for the outcome, and no
             // slot is filled twice.
             Ended::Unknown => {
-                base::hit!(order_in_doubt);
-                self.doubt = self.seq;
-                self.goal = None;
-                self.rest = now + DOUBT_REST;
+                base::hit!(order_outcome_unknown);
+                self.unknown_seq = self.seq;
+                self.next_load = None;
+                self.paused_until = now + UNKNOWN_PAUSE;
             }
             // The engine has accepted an order that this zone owner doesn't know of. The
             // report is requested once it is recent enough to show that order.
             Ended::Conflict => {
-                self.goal = None;
+                self.next_load = None;
                 self.seq = None;
-                self.rest = now + lag;
+                self.paused_until = now + lag;
             }
         }
     }
@@ -216,22 +216,22 @@
     /// counting it, and the zone owner's count is one too high. The late load then makes
     /// the counts equal again, and one more load is accepted for which there is no room.
     /// Only adapters that this zone owner has loaded itself are known to be there.
-    fn counts(&self, act: &Act, ended: Ended) -> bool {
+    fn is_counted(&self, act: &Act, ended: Ended) -> bool {
         match act {
             _ if ended == Ended::Accepted => true,
             Act::Evict(adapter) => {
                 let loaded = self
                     .adapters
                     .get(adapter)
-                    .is_some_and(|slot| slot.loaded.is_some());
-                loaded || self.doubt.is_none()
+                    .is_some_and(|slot| slot.source.is_some());
+                loaded || self.unknown_seq.is_none()
             }
             Act::Load { .. } => false,
             Act::LoadModel(_) => true,
         }
     }
 
-    fn accepted(&mut self, now: Time, act: Act, ended: Ended, times: &Config) {
+    fn confirmed(&mut self, now: Time, act: Act, ended: Ended, times: &Config) {
         let load = times.adapter_load;
         match act {
             Act::LoadModel(model) => {
@@ -241,7 +241,7 @@
                     times.model_load
                 };
                 self.models.insert(model, now + wait);
-                self.rest = now + wait;
+                self.paused_until = now + wait;
             }
             Act::Load { adapter, version } => {
                 let source = match self.depth(&adapter, version) {
@@ -250,33 +250,33 @@
                 };
                 let wait = match (ended, source) {
                     (Ended::Done, _) => Duration::ZERO,
-                    (_, Source::Memory { .. }) => load / PAST_SPEED + LOAD_SLACK,
+                    (_, Source::Memory { .. }) => load / MEMORY_SPEEDUP + LOAD_SLACK,
                     (_, Source::Store) => load + LOAD_SLACK,
                 };
-                self.past.remove(&adapter);
-                self.dropped.remove(&adapter);
-                if self.goal.as_ref() == Some(&adapter) {
-                    self.goal = None;
+                self.evicted.remove(&adapter);
+                self.own_evictions.remove(&adapter);
+                if self.next_load.as_ref() == Some(&adapter) {
+                    self.next_load = None;
                 }
                 let slot = Slot {
                     version: version.unwrap_or(0),
                     ready: now + wait,
                     ordered: Some(now),
-                    leaving: false,
-                    loaded: (ended == Ended::Accepted).then_some(source),
+                    evicting: false,
+                    source: (ended == Ended::Accepted).then_some(source),
                 };
                 self.adapters.insert(adapter, slot);
             }
-            Act::Evict(adapter) if ended == Ended::Done => self.drop_adapter(now, adapter),
+            Act::Evict(adapter) if ended == Ended::Done => self.evict(now, adapter),
             // The eviction waits for the adapter's requests to end; the slot stays taken
             // until a report or list shows that the adapter is gone.
             Act::Evict(adapter) => {
                 if let Some(slot) = self.adapters.get_mut(&adapter) {
-                    slot.leaving = true;
+                    slot.evicting = true;
                     slot.ordered = Some(now);
                     slot.ready = now + times.list_lag;
                 }
-                self.goal = None;
+                self.next_load = None;
             }
         }
     }
@@ -294,69 +294,69 @@
         load: Duration,
     ) -> Option<(Source, Time)> {
         let slot = self.adapters.get_mut(&first.adapter)?;
-        let source = slot.loaded?;
+        let source = slot.source?;
         let ordered = slot.ordered?;
-        if now.since(ordered) > load * FIRST_USE {
+        if now.since(ordered) > load * FIRST_USE_MAX_LOADS {
             return None;
         }
         if !first.held {
             let due = match source {
                 Source::Memory { .. } => ordered + load,
-                Source::Store => now + load / PAST_SPEED,
+                Source::Store => now + load / MEMORY_SPEEDUP,
             };
             slot.ready = slot.ready.max(due);
         }
         Some((source, ordered))
     }
 
-    fn drop_adapter(&mut self, now: Time, adapter: String) {
+    fn evict(&mut self, now: Time, adapter: String) {
         let slot = self.adapters.remove(&adapter);
-        self.drops += 1;
-        let past = Past {
-            at: self.drops,
+        self.evictions += 1;
+        let evicted = Evicted {
+            at: self.evictions,
             version: slot.map_or(0, |slot| slot.version),
         };
-        self.past.insert(adapter.clone(), past);
-        if self.past.len() > PAST_MAX {
-            let oldest = self.drops.saturating_sub(PAST_MAX / 2);
-            self.past.retain(|_, past| past.at > oldest);
+        self.evicted.insert(adapter.clone(), evicted);
+        if self.evicted.len() > EVICTED_MAX {
+            let oldest = self.evictions.saturating_sub(EVICTED_MAX / 2);
+            self.evicted.retain(|_, evicted| evicted.at > oldest);
         }
-        self.dropped.insert(adapter, now);
+        self.own_evictions.insert(adapter, now);
     }
 
     pub(super) fn reported(&mut self, now: Time, report: Option<Report>, times: &Config) {
         let (load, lag) = (times.adapter_load, times.report_lag);
-        let (why, asked) = self.asked.take().unwrap_or((Asked::Count, now));
+        let (why, asked) = self.report_asked.take().unwrap_or((ReportReason::OrderCount, now));
         self.suspect = false;
         let Some(report) = report else {
-            self.rest = now + lag;
+            self.paused_until = now + lag;
             return;
         };
-        self.heard = now;
+        self.answered_at = now;
         if report.born > self.born {
-            self.reborn(report.born);
+            self.restarted(report.born);
         }
         // A late report of the previous incarnation says nothing about this one; a start
         // time of zero means that it is not reported.
         if report.born > 0 && report.born < self.born {
-            self.rest = now + lag;
+            self.paused_until = now + lag;
             return;
         }
         // A report is a few hundred milliseconds old. If the order count is known, the
         // state here is newer than the report; and if the count was lost after the report
         // was requested, the report may predate that.
-        if why == Asked::Life {
+        if why == ReportReason::Liveness {
             return;
         }
         if report.busy {
-            self.rest = now + lag;
+            self.paused_until = now + lag;
             return;
         }
         self.seq = Some(report.seq);
         // An order of this zone owner, or of its predecessor, may still be executed late
         // at this count.
-        self.doubt = self.seq;
-        self.believe(now, asked, &report.held, lag, times.list_lag);
+        self.unknown_seq = self.seq;
+        self.merge_held(now, asked, &report.held, lag, times.list_lag);
         // Adapters that the report doesn't list as held were removed above, unless
         // ordered too recently to show in it; those that it lists as being loaded are
         // added here.
@@ -365,8 +365,8 @@
                 version,
                 ready: now + load,
                 ordered: Some(now),
-                leaving: false,
-                loaded: None,
+                evicting: false,
+                source: None,
             };
             self.adapters.entry(adapter).or_insert(slot);
         }
@@ -380,7 +380,7 @@
     /// the list's age counted from its arrival, orders given before the freeze seemed old
     /// enough to show in it; their slots were taken for free, and the engine was ordered
     /// to load more than it can hold, which crashes it.
-    fn believe(&mut self, now: Time, asked: Time, held: &Held, lag: Duration, keep: Duration) {
+    fn merge_held(&mut self, now: Time, asked: Time, held: &Held, lag: Duration, list_lag: Duration) {
         let recent = |at: &Time| asked < *at + lag;
         self.models
             .retain(|model, ready| held.models.contains_key(model) || asked < *ready + lag);
@@ -395,8 +395,8 @@
         // the adapter back: requests are refused there, and the next order to evict it
         // isn't counted by the engine. So the maximum ages of reports and lists apply
         // independently.
-        self.dropped.retain(|_, at| asked < *at + keep);
-        let dropped = &self.dropped;
+        self.own_evictions.retain(|_, at| asked < *at + list_lag);
+        let own_evictions = &self.own_evictions;
         let gone: Vec<_> = self
             .adapters
             .iter()
@@ -407,15 +407,15 @@
             .map(|(name, _)| name.clone())
             .collect();
         for (adapter, version) in &held.adapters {
-            if dropped.get(adapter).is_some_and(recent) {
+            if own_evictions.get(adapter).is_some_and(recent) {
                 continue;
             }
             let slot = Slot {
                 version: *version,
                 ready: now,
                 ordered: None,
-                leaving: false,
-                loaded: None,
+                evicting: false,
+                source: None,
             };
             let known = self.adapters.entry(adapter.clone()).or_insert(slot);
             if known.version <= *version {
@@ -428,19 +428,19 @@
     }
 
     /// Returns the number of adapters being loaded.
-    pub(super) fn transit(&self, now: Time) -> usize {
+    pub(super) fn loads_in_flight(&self, now: Time) -> usize {
         self.adapters
             .values()
-            .filter(|slot| slot.ready > now && !slot.leaving)
+            .filter(|slot| slot.ready > now && !slot.evicting)
             .count()
     }
 
     /// Returns how many adapters the engine has evicted since `adapter`, if it evicted
     /// that in `version`, or in any version if that is `None`.
     pub(super) fn depth(&self, adapter: &str, version: Option<u32>) -> Option<usize> {
-        let past = self.past.get(adapter)?;
-        let alike = version.is_none_or(|version| past.version == version);
-        alike.then(|| self.drops - past.at)
+        let evicted = self.evicted.get(adapter)?;
+        let alike = version.is_none_or(|version| evicted.version == version);
+        alike.then(|| self.evictions - evicted.at)
     }
 
     /// Returns the versions of its base models' weights.
@@ -466,13 +466,13 @@
         };
         let models = self.models.iter();
         let models = models.map(|(model, ready)| resident(model, 0, *ready));
-        let leaving: BTreeSet<_> = match &self.order {
+        let evicting: BTreeSet<_> = match &self.order {
             Some(Act::Evict(adapter)) => BTreeSet::from([adapter]),
             _ => BTreeSet::new(),
         };
         let adapters = self.adapters.iter();
         let adapters =
-            adapters.filter(|(adapter, slot)| !slot.leaving && !leaving.contains(adapter));
+            adapters.filter(|(adapter, slot)| !slot.evicting && !evicting.contains(adapter));
         let adapters = adapters.map(|(adapter, slot)| resident(adapter, slot.version, slot.ready));
         models.chain(adapters).collect()
     }
--- a/crates/gateway/src/zone_owner/estimate.rs
+++ b/crates/gateway/src/zone_owner/estimate.rs
@@ -17,25 +17,25 @@
 
 /// Added to the expected time when a load was late, in seconds: a tenth of what a load
 /// takes.
-const STEP: f64 = 0.025;
+const LATE_STEP: f64 = 0.025;
 
 /// Factor by which the excess of the expected time over the usual one falls with each
 /// load in time. Most of what is added while too many loads run has to be removed with
 /// them, or slots count as taken long after they can be used.
-const EXCESS_FALL: f64 = 0.04;
+const EXCESS_DECAY: f64 = 0.04;
 
 /// Subtracted from the expected time for each load in time, in seconds. Together with
-/// [`STEP`] it makes about one load in forty late in a steady state.
-const FALL: f64 = 0.000_6;
+/// [`LATE_STEP`] it makes about one load in forty late in a steady state.
+const IN_TIME_STEP: f64 = 0.000_6;
 
 /// Bounds of the expected time, relative to the initial estimate.
-const TIMES: (f64, f64) = (0.1, 8.0);
+const TIME_BOUNDS: (f64, f64) = (0.1, 8.0);
 
 /// Factor by which the limit of concurrent loads shrinks when loads are late.
 const SHRINK: f64 = 0.85;
 
 /// The same when it shrinks for the first time and is only an initial estimate.
-const SHRINK_FIRST: f64 = 0.5;
+const FIRST_SHRINK: f64 = 0.5;
 
 /// Added to the limit of concurrent loads for each load in time: a limit of eight loads
 /// of a quarter of a second grows by one in about two seconds.
@@ -43,33 +43,33 @@
 
 /// Weight of the newest load in the fraction of late loads, which is thus an average over
 /// about seven loads.
-const NEWEST: f64 = 0.15;
+const LATE_WEIGHT: f64 = 0.15;
 
 /// Fraction of late loads from which too many run at once. Beyond what the store serves
 /// at full speed all loads are late; single late ones have other causes.
-const CROWDED: f64 = 0.3;
+const TOO_MANY_LATE: f64 = 0.3;
 
 /// How far the expected time has to exceed the usual one before late loads count as a
 /// sign of too many. A store with too many loads takes longer for each, in proportion,
 /// and completes as many as before, so a few too many cost little.
-const LONGER: f64 = 1.15;
+const TOO_MANY_TIME: f64 = 1.15;
 
-/// Weight of the newest load in the usual time. It is less than [`EXCESS_FALL`], so that
+/// Weight of the newest load in the usual time. It is less than [`EXCESS_DECAY`], so that
 /// little of the time added while too many loads ran enters the usual time.
-const USUAL_NEWEST: f64 = 0.02;
+const USUAL_WEIGHT: f64 = 0.02;
 
 /// Fraction by which the usual time moves towards the expected one when the limit shrinks
 /// again although no load has been in time since it last shrank: the limit was not the
 /// cause then.
-const USUAL_SHRUNK: f64 = 0.2;
+const USUAL_CATCH_UP: f64 = 0.2;
 
 /// Lower and upper bound of the limit of concurrent loads, per zone.
-const WINDOW_EACH: (f64, f64) = (1.0, 64.0);
+const WINDOW_BOUNDS: (f64, f64) = (1.0, 64.0);
 
 /// Estimates of the weight store's speed.
 #[derive(Clone, Debug)]
-pub(super) struct Pace {
-    first: f64,
+pub(super) struct StoreEstimate {
+    initial: f64,
     time: f64,
     /// Duration of loads while few run, in seconds.
     usual: f64,
@@ -77,28 +77,28 @@
     /// Fraction of late loads, a moving average.
     late: f64,
     /// When the expected time was last raised, and its value before.
-    noted: Time,
-    before: f64,
+    raised: Time,
+    time_before: f64,
     /// When the limit last shrank, and whether a load ordered since was in time.
     shrunk: Time,
-    helped: bool,
+    in_time_since: bool,
     zones: f64,
 }
 
-impl Pace {
+impl StoreEstimate {
     /// Creates estimates with loads that take `time` and run at full speed up to a limit
     /// of `window` over all `zones`.
     pub(super) fn new(time: Duration, window: usize, zones: usize) -> Self {
-        Pace {
-            first: time.as_secs_f64(),
+        StoreEstimate {
+            initial: time.as_secs_f64(),
             time: time.as_secs_f64(),
             usual: time.as_secs_f64(),
             window: window as f64,
             late: 0.0,
-            noted: Time::ZERO,
-            before: time.as_secs_f64(),
+            raised: Time::ZERO,
+            time_before: time.as_secs_f64(),
             shrunk: Time::ZERO,
-            helped: false,
+            in_time_since: false,
             zones: zones.max(1) as f64,
         }
     }
@@ -115,7 +115,7 @@
 
     /// Raises the limit to at least `window`, unless it has already shrunk since loads
     /// took longer than announced.
-    pub(super) fn at_least(&mut self, window: f64) {
+    pub(super) fn raise_window(&mut self, window: f64) {
         if self.shrunk == Time::ZERO {
             self.window = self.window.max(window);
         }
@@ -124,13 +124,13 @@
     /// Notes a load that was complete at the announced time.
     pub(super) fn in_time(&mut self, ordered: Time) {
         if ordered >= self.shrunk {
-            self.late -= self.late * NEWEST;
-            self.helped = true;
+            self.late -= self.late * LATE_WEIGHT;
+            self.in_time_since = true;
         }
         let excess = (self.time - self.usual).max(0.0);
-        self.time = (self.time - FALL - EXCESS_FALL * excess).max(self.first * TIMES.0);
+        self.time = (self.time - IN_TIME_STEP - EXCESS_DECAY * excess).max(self.initial * TIME_BOUNDS.0);
         self.learn_usual();
-        self.window = (self.window + GROW).min(self.zones * WINDOW_EACH.1);
+        self.window = (self.window + GROW).min(self.zones * WINDOW_BOUNDS.1);
     }
 
     /// Notes a load that took longer than announced. Loads that run at the same time
@@ -146,62 +146,62 @@
     /// sign that it is still too high, they shrank it three times for one cause.
     pub(super) fn late(&mut self, now: Time, ordered: Time) {
         if ordered >= self.shrunk {
-            self.late += (1.0 - self.late) * NEWEST;
+            self.late += (1.0 - self.late) * LATE_WEIGHT;
         }
         // Compares with the time that was expected when the load was ordered, not with
         // later estimates.
-        let told = if ordered <= self.noted {
-            self.before
+        let announced = if ordered <= self.raised {
+            self.time_before
         } else {
             self.time
         };
-        let crowded = self.late >= CROWDED && told >= self.usual * LONGER;
-        if now.since(self.noted) >= self.time() {
-            self.noted = now;
-            self.before = self.time;
-            self.time = (self.time + STEP).min(self.first * TIMES.1);
+        let too_many = self.late >= TOO_MANY_LATE && announced >= self.usual * TOO_MANY_TIME;
+        if now.since(self.raised) >= self.time() {
+            self.raised = now;
+            self.time_before = self.time;
+            self.time = (self.time + LATE_STEP).min(self.initial * TIME_BOUNDS.1);
         }
-        if !crowded || now.since(self.shrunk) < self.time() {
+        if !too_many || now.since(self.shrunk) < self.time() {
             return;
         }
         base::hit!(store_slower);
-        let part = if self.shrunk == Time::ZERO {
-            SHRINK_FIRST
+        let factor = if self.shrunk == Time::ZERO {
+            FIRST_SHRINK
         } else {
             SHRINK
         };
         self.shrunk = now;
         self.late = 0.0;
-        self.window = (self.window * part).max(self.zones * WINDOW_EACH.0);
-        if !std::mem::take(&mut self.helped) {
-            self.usual += (self.time - self.usual) * USUAL_SHRUNK;
+        self.window = (self.window * factor).max(self.zones * WINDOW_BOUNDS.0);
+        if !std::mem::take(&mut self.in_time_since) {
+            self.usual += (self.time - self.usual) * USUAL_CATCH_UP;
         }
         // The duration of a load is proportional to the number that run.
-        self.time = (self.time * part).max(self.usual);
+        self.time = (self.time * factor).max(self.usual);
     }
 
     /// Updates the usual time from loads in time, unless so many are late that too many
     /// may run at once.
     fn learn_usual(&mut self) {
-        if self.late < CROWDED {
-            self.usual += (self.time - self.usual) * USUAL_NEWEST;
+        if self.late < TOO_MANY_LATE {
+            self.usual += (self.time - self.usual) * USUAL_WEIGHT;
         }
     }
 }
 
 /// Initial estimate of the number of evicted adapters that an engine keeps in host
 /// memory, besides those it holds.
-const MEMORY: f64 = 128.0;
+const INITIAL_MEMORY: f64 = 128.0;
 
 /// Lower bound of that estimate.
-const MEMORY_LEAST: f64 = 4.0;
+const MIN_MEMORY: f64 = 4.0;
 
 /// Fraction by which the estimate moves at once towards the depth of an adapter that was
 /// expected in memory and not there; it takes two or three of them to reach it.
-const DISPROOF: f64 = 0.5;
+const MISS_WEIGHT: f64 = 0.5;
 
 /// Added for each adapter found in memory at a depth of at least half the estimate.
-const PROOF: f64 = 0.5;
+const HIT_STEP: f64 = 0.5;
 
 /// Estimates how many evicted adapters an engine keeps in host memory, from where they
 /// load in a tenth of the time and without the store.
@@ -210,17 +210,17 @@
 /// long as one from the store shows that fewer adapters are kept than were evicted since;
 /// one that was quick shows that at least as many are kept.
 #[derive(Clone, Debug)]
-pub(super) struct Memory {
+pub(super) struct MemoryEstimate {
     size: f64,
 }
 
-impl Default for Memory {
+impl Default for MemoryEstimate {
     fn default() -> Self {
-        Memory { size: MEMORY }
+        MemoryEstimate { size: INITIAL_MEMORY }
     }
 }
 
-impl Memory {
+impl MemoryEstimate {
     /// Returns how many evicted adapters an engine is assumed to keep in host memory.
     pub(super) fn size(&self) -> usize {
         self.size as usize
@@ -228,14 +228,14 @@
 
     /// Notes whether an adapter was still in host memory after `depth` others had been
     /// evicted.
-    pub(super) fn seen(&mut self, depth: usize, there: bool) {
+    pub(super) fn observe(&mut self, depth: usize, found: bool) {
         let depth = depth as f64;
-        if there && depth >= self.size / 2.0 {
-            self.size += PROOF;
+        if found && depth >= self.size / 2.0 {
+            self.size += HIT_STEP;
         }
-        if !there && depth < self.size {
+        if !found && depth < self.size {
             base::hit!(memory_smaller);
-            self.size = (self.size - (self.size - depth) * DISPROOF).max(MEMORY_LEAST);
+            self.size = (self.size - (self.size - depth) * MISS_WEIGHT).max(MIN_MEMORY);
         }
     }
 }
--- a/crates/gateway/src/zone_owner/placement.rs
+++ b/crates/gateway/src/zone_owner/placement.rs
@@ -9,11 +9,11 @@
 
 /// How long after a copy was loaded no further one is: requests that were sent to the
 /// other holders before have to be processed first.
-const COPY_SETTLES: Duration = Duration::from_millis(400);
+const COPY_SETTLE_TIME: Duration = Duration::from_millis(400);
 
 /// Copies of adapters at the engines of a zone owner.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Census {
+pub(super) struct Placement {
     adapters: BTreeMap<String, Copies>,
     /// Number of loads in flight, ordered or about to be.
     pub(super) loading: usize,
@@ -28,19 +28,19 @@
     placed: usize,
     /// Copies ordered without an answer so far, or about to be ordered, at engines that
     /// take requests.
-    headed: usize,
+    about_to_load: usize,
     /// Time before which no further copy is loaded, so that the effect of these shows
     /// first.
-    settles: Time,
+    settled_at: Time,
     /// Whether any engine is about to load it.
-    coming: bool,
+    pending: bool,
 }
 
-impl Census {
+impl Placement {
     /// Returns the number of copies held, being loaded or about to be.
     pub(super) fn copies(&self, adapter: &str) -> usize {
         let copies = self.adapters.get(adapter);
-        copies.map_or(0, |copies| copies.placed + copies.headed)
+        copies.map_or(0, |copies| copies.placed + copies.about_to_load)
     }
 
     /// Returns whether an adapter is held somewhere or an engine has accepted its load.
@@ -50,16 +50,16 @@
 
     /// Returns whether a copy of an adapter is about to be loaded or was loaded so
     /// recently that whoever asks for one more may not have used it yet.
-    pub(super) fn copy_coming(&self, now: Time, adapter: &str) -> bool {
+    pub(super) fn copy_pending(&self, now: Time, adapter: &str) -> bool {
         let copies = self.adapters.get(adapter);
-        copies.is_some_and(|copies| copies.coming || now < copies.settles)
+        copies.is_some_and(|copies| copies.pending || now < copies.settled_at)
     }
 
     /// Notes that a load of an adapter was just ordered.
     pub(super) fn ordered(&mut self, adapter: &str) {
         let copies = self.copies_mut(adapter);
-        copies.headed += 1;
-        copies.coming = true;
+        copies.about_to_load += 1;
+        copies.pending = true;
         self.loading += 1;
     }
 
@@ -70,29 +70,29 @@
 
 impl Holder {
     /// Counts copies at all engines.
-    pub(super) fn count(&mut self, now: Time) -> Census {
-        let mut census = Census::default();
+    pub(super) fn count_copies(\&mut self, now: Time) -> Placement {
+        let mut placement = Placement::default();
         let mut steps = 0;
         for (id, engine) in &self.engines {
             let serves = self.serves(id);
             steps += engine.adapters.len() as u64 + 1;
-            census.loading += engine.loading(now);
+            placement.loading += engine.loading(now);
             for (adapter, slot) in &engine.adapters {
-                let copies = census.copies_mut(adapter);
-                copies.settles = copies.settles.max(slot.ready + COPY_SETTLES);
+                let copies = placement.copies_mut(adapter);
+                copies.settled_at = copies.settled_at.max(slot.ready + COPY_SETTLE_TIME);
                 copies.placed += usize::from(serves && self.current(engine, adapter));
-                if slot.ready > now && !slot.leaving {
-                    census.next = Some(census.next.map_or(slot.ready, |at| at.min(slot.ready)));
+                if slot.ready > now && !slot.evicting {
+                    placement.next = Some(placement.next.map_or(slot.ready, |at| at.min(slot.ready)));
                 }
             }
-            if let Some(adapter) = engine.headed() {
+            if let Some(adapter) = engine.about_to_load() {
                 let held = self.current(engine, adapter);
-                let copies = census.copies_mut(adapter);
-                copies.coming = true;
-                copies.headed += usize::from(serves && !held);
+                let copies = placement.copies_mut(adapter);
+                copies.pending = true;
+                copies.about_to_load += usize::from(serves && !held);
             }
         }
         self.steps += steps;
-        census
+        placement
     }
 }
--- a/crates/gateway/src/zone_owner/plan.rs
+++ b/crates/gateway/src/zone_owner/plan.rs
@@ -5,41 +5,41 @@
 use base::Time;
 
 use super::{
-    Act, Holder, Order, Output, PLAN_REST,
-    placement::Census,
-    engine::{Asked, Engine},
+    Act, Holder, Order, Output, MIN_PLAN_INTERVAL,
+    placement::Placement,
+    engine::{ReportReason, Engine},
 };
 use crate::table;
 
 /// Loads in flight to one engine; an engine accepts at most four.
-const TRANSIT_MAX: usize = 4;
+const LOADS_PER_ENGINE: usize = 4;
 
 /// Initial estimate of the loads in flight over all zones that the weight store serves at
 /// full speed, kept until loads are found to take longer. Each zone owner uses only the
 /// share of its zones, as no instance counts the loads of all zones.
-pub(super) const TRANSIT_ALL: usize = 16;
+pub(super) const INITIAL_LOADS: usize = 16;
 
 /// Initial estimate of the same for each engine, used where it gives more: stores are
 /// sized for the number of engines that they serve.
-const TRANSIT_EACH: f64 = 0.7;
+const INITIAL_LOADS_PER_ENGINE: f64 = 0.7;
 
 /// Maximum age of entry instances' reports on loads under other zone owners. A load takes
 /// a quarter of a second, and each instance reports about as often.
-const ELSEWHERE_FRESH: Duration = Duration::from_millis(500);
+const ELSEWHERE_MAX_AGE: Duration = Duration::from_millis(500);
 
 /// Base models loaded concurrently; the store is at full speed up to two.
 const MODELS_AT_ONCE: usize = 2;
 
 /// Added to an engine's load, in parts of its slots, if it would have to evict an adapter
 /// first, which costs one more round trip and possibly a later reload.
-const DROP_COST: f64 = 0.2;
+const EVICTION_COST: f64 = 0.2;
 
 /// Subtracted from an engine's load if it held the adapter recently: it then loads in a
 /// tenth of the time, from the engine's host memory, and leaves the store to other loads.
-const PAST_GAIN: f64 = 0.8;
+const MEMORY_GAIN: f64 = 0.8;
 
 /// An engine that can take an order now.
-pub(super) struct Site {
+pub(super) struct Candidate {
     id: String,
     /// Requests running there, divided by the number of its slots.
     load: f64,
@@ -53,28 +53,28 @@
     pub(super) fn current(&self, engine: &Engine, adapter: &str) -> bool {
         let named = self.versions.get(adapter).copied().unwrap_or(0);
         let slot = engine.adapters.get(adapter);
-        slot.is_some_and(|slot| !slot.leaving && (slot.version == 0 || slot.version >= named))
+        slot.is_some_and(|slot| !slot.evicting && (slot.version == 0 || slot.version >= named))
     }
 
     /// Appends the orders that are due.
     pub(super) fn plan(&mut self, now: Time, out: &mut Vec<Output>) {
-        self.ask_reports(now, out);
+        self.request_reports(now, out);
         self.load_models(now, out);
         let own = self.tenure.zones(now).len().max(1);
         let engines = self.engines.len() * self.config.zones.max(1) / own;
-        self.pace.at_least(engines as f64 * TRANSIT_EACH);
-        let most = self.loads_at_once(now);
-        self.reach_goals(now, out);
-        let mut census = self.census(now);
-        self.load_missing(now, most, &mut census, out);
+        self.store.raise_window(engines as f64 * INITIAL_LOADS_PER_ENGINE);
+        let limit = self.loads_at_once(now);
+        self.load_into_freed(now, out);
+        let mut placement = self.placement(now);
+        self.load_missing(now, limit, &mut placement, out);
         if self.queue.is_empty() {
-            self.spread(now, most, &mut census, out);
+            self.copy_busy(now, limit, &mut placement, out);
         }
-        let soon = now + PLAN_REST;
-        self.next = census.next.map(|at| at.max(soon));
+        let soon = now + MIN_PLAN_INTERVAL;
+        self.next_plan = placement.next.map(|at| at.max(soon));
         // The count includes the orders just given; it is taken again once their answers
         // arrive.
-        self.census = Some(census);
+        self.placement = Some(placement);
     }
 
     /// Loads missing adapters, as far as the store can serve more loads now.
@@ -84,44 +84,44 @@
     /// later engine answers were processed, until orders counted as lost and still more
     /// adapters were missing. So an adapter that waits for the store costs a plan no more
     /// than its place in the queue.
-    fn load_missing(&mut self, now: Time, most: usize, census: &mut Census, out: &mut Vec<Output>) {
+    fn load_missing(&mut self, now: Time, limit: usize, placement: &mut Placement, out: &mut Vec<Output>) {
         self.queue.clear();
         if self.wants.is_empty() && self.copies.is_empty() {
             return;
         }
-        let missing = self.missing(now, census);
-        let mut sites = self.sites(now, census);
-        let full = sites
+        let missing = self.missing(now, placement);
+        let mut candidates = self.candidates(now, placement);
+        let full = candidates
             .iter()
-            .filter(|site| !site.room && site.victim.is_none());
-        (self.idle, self.full) = (sites.len(), full.count());
+            .filter(|candidate| !candidate.room && candidate.victim.is_none());
+        (self.idle, self.full) = (candidates.len(), full.count());
         let mut waiting = Vec::new();
         for adapter in missing {
-            let store = census.loading < most;
+            let use_store = placement.loading < limit;
             let want = self.wants.get(&adapter);
-            let near = want.is_none_or(|want| want.near);
-            let tried = (store || near) && !sites.is_empty();
-            if !tried || !self.place(now, &adapter, store, &mut sites, census, out) {
+            let cached = want.is_none_or(|want| want.cached);
+            let tried = (use_store || cached) && !candidates.is_empty();
+            if !tried || !self.place(now, &adapter, use_store, &mut candidates, placement, out) {
                 waiting.push(adapter);
             }
         }
-        self.queue = self.expect(&waiting, most);
+        self.queue = self.estimate_waits(&waiting, limit);
     }
 
     /// Returns the engines that can take an order now.
-    pub(super) fn sites(&mut self, now: Time, census: &Census) -> Vec<Site> {
-        let mut sites = Vec::new();
+    pub(super) fn candidates(&mut self, now: Time, placement: &Placement) -> Vec<Candidate> {
+        let mut candidates = Vec::new();
         let mut steps = self.engines.len();
         for (id, engine) in &self.engines {
-            let free = engine.free(now) && engine.goal.is_none();
-            let fit = free && engine.transit(now) < TRANSIT_MAX && self.serves(id);
+            let free = engine.can_take_order(now) && engine.next_load.is_none();
+            let fit = free && engine.loads_in_flight(now) < LOADS_PER_ENGINE && self.serves(id);
             if !fit || self.fence(now, id).is_none() {
                 continue;
             }
             let room = self.room(id) > 0;
             steps += engine.adapters.len();
-            let victim = (!room).then(|| self.victim(now, id, engine, census));
-            sites.push(Site {
+            let victim = (!room).then(|| self.victim(now, id, engine, placement));
+            candidates.push(Candidate {
                 id: id.clone(),
                 load: self.load_of(id),
                 room,
@@ -129,7 +129,7 @@
             });
         }
         self.steps += steps as u64;
-        sites
+        candidates
     }
 
     /// Returns the limit of loads in flight in the zones of this owner.
@@ -141,19 +141,19 @@
     fn loads_at_once(&self, now: Time) -> usize {
         let zones = self.config.zones.max(1) as f64;
         let own = self.tenure.zones(now).len().max(1) as f64;
-        let all = self.pace.window();
-        let part = ((all * own / zones) as usize).max(1);
+        let all = self.store.window();
+        let share = ((all * own / zones) as usize).max(1);
         let all = all as usize;
-        let told = self.elsewhere;
-        let told = told.filter(|(at, _)| now.since(*at) < ELSEWHERE_FRESH);
-        let Some((_, elsewhere)) = told else {
-            return part;
+        let reported = self.elsewhere;
+        let reported = reported.filter(|(at, _)| now.since(*at) < ELSEWHERE_MAX_AGE);
+        let Some((_, elsewhere)) = reported else {
+            return share;
         };
-        part + all.saturating_sub(part + elsewhere as usize) / 2
+        share + all.saturating_sub(share + elsewhere as usize) / 2
     }
 
     /// Requests reports from engines whose order count is not known or that may be dead.
-    fn ask_reports(&mut self, now: Time, out: &mut Vec<Output>) {
+    fn request_reports(&mut self, now: Time, out: &mut Vec<Output>) {
         for (id, engine) in &mut self.engines {
             let Some(listed) = self.targets.get(id).filter(|t| t.ready) else {
                 continue;
@@ -162,14 +162,14 @@
                 continue;
             }
             let why = if engine.seq.is_none() {
-                Asked::Count
+                ReportReason::OrderCount
             } else if engine.suspect {
-                Asked::Life
+                ReportReason::Liveness
             } else {
                 continue;
             };
-            if engine.order.is_none() && engine.asked.is_none() && now >= engine.rest {
-                engine.asked = Some((why, now));
+            if engine.order.is_none() && engine.report_asked.is_none() && now >= engine.paused_until {
+                engine.report_asked = Some((why, now));
                 out.push(Output::Report {
                     id: id.clone(),
                     addr: listed.addr.clone(),
@@ -191,7 +191,7 @@
                 return;
             }
             let engine = &self.engines[&id];
-            if !engine.models.is_empty() || !engine.free(now) || !self.serves(&id) {
+            if !engine.models.is_empty() || !engine.can_take_order(now) || !self.serves(&id) {
                 continue;
             }
             let model = self.spec(&id).and_then(|spec| spec.models.first());
@@ -204,18 +204,18 @@
     }
 
     /// Loads the adapters for which a slot was freed.
-    fn reach_goals(&mut self, now: Time, out: &mut Vec<Output>) {
-        let due = |engine: &Engine| engine.free(now).then(|| engine.goal.clone()).flatten();
-        let goals: Vec<_> = self
+    fn load_into_freed(&mut self, now: Time, out: &mut Vec<Output>) {
+        let due = |engine: &Engine| engine.can_take_order(now).then(|| engine.next_load.clone()).flatten();
+        let due_loads: Vec<_> = self
             .engines
             .iter()
             .filter_map(|(id, engine)| Some((id.clone(), due(engine)?)))
             .collect();
-        for (id, adapter) in goals {
+        for (id, adapter) in due_loads {
             let room = self.room(&id);
             let engine = self.engines.get_mut(&id).expect("was just listed");
             if room == 0 || engine.adapters.contains_key(&adapter) {
-                engine.goal = None;
+                engine.next_load = None;
                 continue;
             }
             self.load(now, &id, adapter, out);
@@ -233,8 +233,8 @@
         models.any(|model| model.name == name)
     }
 
-    /// Orders one more copy of an adapter at one of the `sites` and removes that from the
-    /// list. Returns whether it did. If `store` is false, only engines are considered
+    /// Orders one more copy of an adapter at one of the `candidates` and removes that from the
+    /// list. Returns whether it did. If `use_store` is false, only engines are considered
     /// that still have the adapter in host memory.
     ///
     /// Failure: forty adapters wait for their share of the store, and adapters that an
@@ -243,55 +243,55 @@
         &mut self,
         now: Time,
         adapter: &str,
-        store: bool,
-        sites: &mut Vec<Site>,
-        census: &mut Census,
+        use_store: bool,
+        candidates: &mut Vec<Candidate>,
+        placement: &mut Placement,
         out: &mut Vec<Output>,
     ) -> bool {
-        self.steps += sites.len() as u64;
-        let fit = sites.iter().enumerate();
-        let fit = fit.filter_map(|(at, site)| Some((self.cost(site, adapter, store)?, at)));
+        self.steps += candidates.len() as u64;
+        let fit = candidates.iter().enumerate();
+        let fit = fit.filter_map(|(at, candidate)| Some((self.cost(candidate, adapter, use_store)?, at)));
         let Some((_, at)) = fit.min_by(|a, b| a.0.total_cmp(&b.0)) else {
             return false;
         };
-        let site = sites.swap_remove(at);
-        let held = self.engines[&site.id].adapters.contains_key(adapter);
-        match site.victim.filter(|_| !held) {
-            None => self.load(now, &site.id, adapter.to_owned(), out),
+        let candidate = candidates.swap_remove(at);
+        let held = self.engines[&candidate.id].adapters.contains_key(adapter);
+        match candidate.victim.filter(|_| !held) {
+            None => self.load(now, &candidate.id, adapter.to_owned(), out),
             Some(victim) => {
-                let engine = self.engines.get_mut(&site.id).expect("was just chosen");
-                engine.goal = Some(adapter.to_owned());
-                self.order(now, &site.id, Act::Evict(victim), out);
+                let engine = self.engines.get_mut(&candidate.id).expect("was just chosen");
+                engine.next_load = Some(adapter.to_owned());
+                self.order(now, &candidate.id, Act::Evict(victim), out);
             }
         }
-        census.ordered(adapter);
-        self.turns.served(adapter);
+        placement.ordered(adapter);
+        self.aging.ordered(adapter);
         true
     }
 
     /// Returns the cost of loading the adapter at an engine, in parts of its slots;
     /// `None` if it can't be loaded there.
-    fn cost(&self, site: &Site, adapter: &str, store: bool) -> Option<f64> {
-        let engine = &self.engines[&site.id];
-        let near = self.in_memory(engine, adapter);
-        if !(store || near) || !self.holds_model(&site.id, adapter) || engine.leaves(adapter) {
+    fn cost(&self, candidate: &Candidate, adapter: &str, use_store: bool) -> Option<f64> {
+        let engine = &self.engines[&candidate.id];
+        let cached = self.in_memory(engine, adapter);
+        if !(use_store || cached) || !self.holds_model(&candidate.id, adapter) || engine.is_evicting(adapter) {
             return None;
         }
         let held = engine.adapters.contains_key(adapter);
         if held && self.current(engine, adapter) {
             return None;
         }
-        let mut cost = site.load;
-        if near {
-            cost -= PAST_GAIN;
+        let mut cost = candidate.load;
+        if cached {
+            cost -= MEMORY_GAIN;
         }
         // A newer version replaces the held one only after the requests that use it have
         // ended; until then no request for the adapter is served there.
         if held {
-            cost += f64::from(self.traffic.of(&site.id, adapter));
-        } else if !site.room {
-            site.victim.as_ref()?;
-            cost += DROP_COST;
+            cost += f64::from(self.traffic.of(&candidate.id, adapter));
+        } else if !candidate.room {
+            candidate.victim.as_ref()?;
+            cost += EVICTION_COST;
         }
         Some(cost)
     }
@@ -305,14 +305,14 @@
 
     /// Returns the adapter with the least demand per copy among those that are not in
     /// use, the one to evict.
-    fn victim(&self, now: Time, id: &str, engine: &Engine, census: &Census) -> Option<String> {
+    fn victim(&self, now: Time, id: &str, engine: &Engine, placement: &Placement) -> Option<String> {
         let idle = engine.adapters.iter().filter(|(adapter, slot)| {
             let wanted = self.wants.contains_key(*adapter);
-            slot.settled(now) && !slot.leaving && !wanted && self.traffic.of(id, adapter) == 0
+            slot.settled(now) && !slot.evicting && !wanted && self.traffic.of(id, adapter) == 0
         });
-        let rated = idle.map(|(adapter, _)| {
+        let ranked = idle.map(|(adapter, _)| {
             let outdated = !self.current(engine, adapter);
-            let copies = census.copies(adapter).max(1) as f64;
+            let copies = placement.copies(adapter).max(1) as f64;
             let rate = if outdated {
                 0.0
             } else {
@@ -320,7 +320,7 @@
             };
             (rate, adapter)
         });
-        let least = rated.min_by(|a, b| a.0.total_cmp(&b.0))?;
+        let least = ranked.min_by(|a, b| a.0.total_cmp(&b.0))?;
         Some(least.1.clone())
     }
 
@@ -356,8 +356,8 @@
         } else {
             spec.adapter_slots
         };
-        let most = spec.adapter_slots.min(by_memory);
-        most.saturating_sub(engine.adapters.len())
+        let limit = spec.adapter_slots.min(by_memory);
+        limit.saturating_sub(engine.adapters.len())
     }
 
     fn load(&mut self, now: Time, id: &str, adapter: String, out: &mut Vec<Output>) {
@@ -400,26 +400,26 @@
     /// Returns the number of adapters being loaded, ordered or about to be ordered.
     pub(super) fn loading(&self, now: Time) -> usize {
         let ordered = matches!(self.order, Some(Act::Load { .. }));
-        self.transit(now) + usize::from(ordered || self.goal.is_some())
+        self.loads_in_flight(now) + usize::from(ordered || self.next_load.is_some())
     }
 
     /// Returns whether the eviction of an adapter is ordered but not confirmed.
-    fn leaves(&self, adapter: &str) -> bool {
+    fn is_evicting(&self, adapter: &str) -> bool {
         let slot = self.adapters.get(adapter);
-        slot.is_some_and(|slot| slot.leaving)
+        slot.is_some_and(|slot| slot.evicting)
     }
 
     /// Returns the adapter that the engine is ordered to load or will be once a slot is
     /// free.
-    pub(super) fn headed(&self) -> Option<&str> {
+    pub(super) fn about_to_load(&self) -> Option<&str> {
         match &self.order {
             Some(Act::Load { adapter, .. }) => Some(adapter),
-            _ => self.goal.as_deref(),
+            _ => self.next_load.as_deref(),
         }
     }
 
     /// Returns whether an order may be given now.
-    fn free(&self, now: Time) -> bool {
-        self.seq.is_some() && self.order.is_none() && now >= self.rest
+    fn can_take_order(&self, now: Time) -> bool {
+        self.seq.is_some() && self.order.is_none() && now >= self.paused_until
     }
 }
--- a/crates/gateway/src/zone_owner/slowness.rs
+++ b/crates/gateway/src/zone_owner/slowness.rs
@@ -13,115 +13,115 @@
 use wire::fleet::Pace;
 
 /// Half-life of the samples of an engine.
-const HALF: Duration = Duration::from_millis(700);
+const SAMPLE_HALF_LIFE: Duration = Duration::from_millis(700);
 
 /// Minimum decayed number of prompt tokens for an estimate of an engine's speed: some two
 /// requests.
-const TOKENS: f64 = 2_000.0;
+const MIN_TOKENS: f64 = 2_000.0;
 
 /// Minimum number of engines with an estimate before any of them can be an outlier.
-const NEIGHBOURS: usize = 4;
+const MIN_ENGINES: usize = 4;
 
 /// Factor from which an engine is slow; the choice by queue length makes up for smaller
 /// differences.
-const SLOW: f64 = 1.7;
+const SLOW_FACTOR: f64 = 1.7;
 
 /// Upper bound of the factor.
-const MOST: f64 = 4.0;
+const MAX_FACTOR: f64 = 4.0;
 
 /// Granularity of the published factor, in hundredths: finer steps would make target
 /// updates all the time.
-const STEP: u32 = 50;
+const FACTOR_STEP: u32 = 50;
 
 /// Half-life of the factor's excess over 1 for an engine without recent samples.
-const FORGIVE: Duration = Duration::from_millis(1_500);
+const FACTOR_HALF_LIFE: Duration = Duration::from_millis(1_500);
 
 /// Speed samples of engines.
 #[derive(Debug, Default)]
-pub(super) struct Slow {
-    engines: BTreeMap<String, Seen>,
+pub(super) struct Slowness {
+    engines: BTreeMap<String, Samples>,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Seen {
+struct Samples {
     tokens: f64,
     seconds: f64,
     at: Time,
-    /// How many times as long as the median engine it took, at `rated`.
+    /// How many times as long as the median engine it took, at `updated`.
     factor: f64,
-    rated: Time,
+    updated: Time,
 }
 
-impl Slow {
+impl Slowness {
     /// Adds a sample reported by an entry instance.
-    pub(super) fn seen(&mut self, now: Time, pace: &Pace) {
-        let seen = self.engines.entry(pace.target.clone()).or_default();
-        seen.fade(now);
-        seen.tokens += pace.tokens as f64;
-        seen.seconds += pace.took.as_secs_f64();
+    pub(super) fn add_sample(&mut self, now: Time, pace: &Pace) {
+        let samples = self.engines.entry(pace.target.clone()).or_default();
+        samples.fade(now);
+        samples.tokens += pace.tokens as f64;
+        samples.seconds += pace.took.as_secs_f64();
     }
 
     /// Compares engines; returns those whose published factor has changed.
-    pub(super) fn rate(&mut self, now: Time) -> Vec<String> {
-        for seen in self.engines.values_mut() {
-            seen.fade(now);
+    pub(super) fn compare(\&mut self, now: Time) -> Vec<String> {
+        for samples in self.engines.values_mut() {
+            samples.fade(now);
         }
-        let usual = self.usual();
+        let median = self.median();
         let mut changed = Vec::new();
-        for (id, seen) in &mut self.engines {
-            let before = seen.told();
-            seen.rate(now, usual);
-            if seen.told() != before {
+        for (id, samples) in &mut self.engines {
+            let before = samples.published();
+            samples.update_factor(now, median);
+            if samples.published() != before {
                 changed.push(id.clone());
             }
         }
-        let idle = |seen: &Seen| seen.told() == 100 && seen.tokens < 1.0;
-        self.engines.retain(|_, seen| !idle(seen));
+        let idle = |samples: &Samples| samples.published() == 100 && samples.tokens < 1.0;
+        self.engines.retain(|_, samples| !idle(samples));
         changed
     }
 
     /// Returns the published factor of an engine, in hundredths.
-    pub(super) fn of(&self, id: &str) -> u32 {
-        self.engines.get(id).map_or(100, Seen::told)
+    pub(super) fn factor(&self, id: &str) -> u32 {
+        self.engines.get(id).map_or(100, Samples::published)
     }
 
     /// Returns the time that the median engine takes for a token, in seconds.
-    fn usual(&self) -> Option<f64> {
-        let known = self.engines.values().filter(|seen| seen.tokens >= TOKENS);
-        let mut times: Vec<_> = known.map(|seen| seen.seconds / seen.tokens).collect();
-        if times.len() < NEIGHBOURS {
+    fn median(&self) -> Option<f64> {
+        let known = self.engines.values().filter(|samples| samples.tokens >= MIN_TOKENS);
+        let mut times: Vec<_> = known.map(|samples| samples.seconds / samples.tokens).collect();
+        if times.len() < MIN_ENGINES {
             return None;
         }
         let middle = times.len() / 2;
-        let (_, usual, _) = times.select_nth_unstable_by(middle, f64::total_cmp);
-        Some(*usual)
+        let (_, median, _) = times.select_nth_unstable_by(middle, f64::total_cmp);
+        Some(*median)
     }
 }
 
-impl Seen {
+impl Samples {
     fn fade(&mut self, now: Time) {
-        let part = 0.5_f64.powf(now.since(self.at).as_secs_f64() / HALF.as_secs_f64());
+        let part = 0.5_f64.powf(now.since(self.at).as_secs_f64() / SAMPLE_HALF_LIFE.as_secs_f64());
         self.tokens *= part;
         self.seconds *= part;
         self.at = now;
     }
 
-    fn rate(&mut self, now: Time, usual: Option<f64>) {
-        let faded = now.since(self.rated).as_secs_f64() / FORGIVE.as_secs_f64();
+    fn update_factor(&mut self, now: Time, median: Option<f64>) {
+        let faded = now.since(self.updated).as_secs_f64() / FACTOR_HALF_LIFE.as_secs_f64();
         let old = 1.0 + (self.factor - 1.0).max(0.0) * 0.5_f64.powf(faded);
-        self.rated = now;
-        let usual = usual.filter(|_| self.tokens >= TOKENS);
-        self.factor = match usual {
-            Some(usual) => (self.seconds / self.tokens / usual).clamp(1.0, MOST),
+        self.updated = now;
+        let median = median.filter(|_| self.tokens >= MIN_TOKENS);
+        self.factor = match median {
+            Some(median) => (self.seconds / self.tokens / median).clamp(1.0, MAX_FACTOR),
             None => old,
         };
     }
 
-    fn told(&self) -> u32 {
-        if self.factor < SLOW {
+    fn published(&self) -> u32 {
+        if self.factor < SLOW_FACTOR {
             return 100;
         }
         let hundredths = (self.factor * 100.0) as u32;
-        hundredths / STEP * STEP
+        hundredths / FACTOR_STEP * FACTOR_STEP
     }
 }
--- a/crates/gateway/src/zone_owner/traffic.rs
+++ b/crates/gateway/src/zone_owner/traffic.rs
@@ -10,13 +10,13 @@
 use base::{InstanceName, Time};
 use wire::fleet::Running;
 
-use super::ENTRY_SILENT;
+use super::ENTRY_TIMEOUT;
 
 /// Running requests and unread prompt tokens at targets, by entry instance and in total.
 #[derive(Debug, Default)]
 pub(super) struct Traffic {
     entries: BTreeMap<InstanceName, Entry>,
-    targets: BTreeMap<String, Sums>,
+    targets: BTreeMap<String, Totals>,
 }
 
 #[derive(Debug, Default)]
@@ -28,7 +28,7 @@
 
 /// Total of all entry instances at one target.
 #[derive(Debug, Default)]
-struct Sums {
+struct Totals {
     running: u32,
     adapters: BTreeMap<String, u32>,
     unread: u64,
@@ -42,7 +42,7 @@
     }
 
     /// Replaces the running requests and unread prompt tokens of an entry instance.
-    pub(super) fn told(
+    pub(super) fn set(
         &mut self,
         instance: &InstanceName,
         running: Vec<Running>,
@@ -58,15 +58,15 @@
         subtract(&mut self.targets, &before.0, &before.1);
     }
 
-    /// Removes entry instances not heard from within [`ENTRY_SILENT`].
-    pub(super) fn forget(&mut self, now: Time) {
+    /// Removes entry instances not heard from within [`ENTRY_TIMEOUT`].
+    pub(super) fn expire(&mut self, now: Time) {
         let targets = &mut self.targets;
         self.entries.retain(|_, entry| {
-            let lives = now.since(entry.heard) < ENTRY_SILENT;
-            if !lives {
+            let alive = now.since(entry.heard) < ENTRY_TIMEOUT;
+            if !alive {
                 subtract(targets, &entry.running, &entry.unread);
             }
-            lives
+            alive
         });
     }
 
@@ -77,72 +77,72 @@
 
     /// Returns the number of requests running at a target.
     pub(super) fn at(&self, id: &str) -> u32 {
-        self.targets.get(id).map_or(0, |sums| sums.running)
+        self.targets.get(id).map_or(0, |totals| totals.running)
     }
 
     /// Returns the number of requests running at a target that use an adapter.
     pub(super) fn of(&self, id: &str, adapter: &str) -> u32 {
-        let sums = self.targets.get(id);
-        let count = sums.and_then(|sums| sums.adapters.get(adapter));
+        let totals = self.targets.get(id);
+        let count = totals.and_then(|totals| totals.adapters.get(adapter));
         count.copied().unwrap_or(0)
     }
 
-    /// Returns the number of requests running at each target, without those of `asker`.
-    pub(super) fn running_without(&self, asker: Option<&InstanceName>) -> Vec<(String, u32)> {
-        let own = asker.and_then(|asker| self.entries.get(asker));
+    /// Returns the number of requests running at each target, without those of `requester`.
+    pub(super) fn running_without(&self, requester: Option<&InstanceName>) -> Vec<(String, u32)> {
+        let own = requester.and_then(|requester| self.entries.get(requester));
         let own = own.map_or(&[][..], |entry| &entry.running);
-        let others = self.targets.iter().map(|(id, sums)| {
+        let others = self.targets.iter().map(|(id, totals)| {
             let own = own.iter().filter(|running| running.target == *id);
             let own: u32 = own.map(|running| running.count).sum();
-            (id, sums.running.saturating_sub(own))
+            (id, totals.running.saturating_sub(own))
         });
         let others = others.filter(|(_, count)| *count > 0);
         others.map(|(id, count)| (id.clone(), count)).collect()
     }
 
     /// Returns the prompt tokens that each target has not read yet, without those of
-    /// `asker`.
-    pub(super) fn unread_without(&self, asker: Option<&InstanceName>) -> Vec<(String, u64)> {
-        let own = asker.and_then(|asker| self.entries.get(asker));
+    /// `requester`.
+    pub(super) fn unread_without(&self, requester: Option<&InstanceName>) -> Vec<(String, u64)> {
+        let own = requester.and_then(|requester| self.entries.get(requester));
         let own = own.map_or(&[][..], |entry| &entry.unread);
-        let others = self.targets.iter().map(|(id, sums)| {
+        let others = self.targets.iter().map(|(id, totals)| {
             let own = own.iter().filter(|(target, _)| target == id);
             let own: u64 = own.map(|(_, tokens)| *tokens).sum();
-            (id, sums.unread.saturating_sub(own))
+            (id, totals.unread.saturating_sub(own))
         });
         let others = others.filter(|(_, tokens)| *tokens > 0);
         others.map(|(id, tokens)| (id.clone(), tokens)).collect()
     }
 }
 
-fn add(targets: &mut BTreeMap<String, Sums>, running: &[Running], unread: &[(String, u64)]) {
+fn add(targets: &mut BTreeMap<String, Totals>, running: &[Running], unread: &[(String, u64)]) {
     for running in running {
-        let sums = targets.entry(running.target.clone()).or_default();
-        sums.running += running.count;
-        *sums.adapters.entry(running.adapter.clone()).or_default() += running.count;
+        let totals = targets.entry(running.target.clone()).or_default();
+        totals.running += running.count;
+        *totals.adapters.entry(running.adapter.clone()).or_default() += running.count;
     }
     for (target, tokens) in unread {
         targets.entry(target.clone()).or_default().unread += tokens;
     }
 }
 
-fn subtract(targets: &mut BTreeMap<String, Sums>, running: &[Running], unread: &[(String, u64)]) {
+fn subtract(targets: &mut BTreeMap<String, Totals>, running: &[Running], unread: &[(String, u64)]) {
     for running in running {
-        let Some(sums) = targets.get_mut(&running.target) else {
+        let Some(totals) = targets.get_mut(&running.target) else {
             continue;
         };
-        sums.running -= running.count;
-        if let Some(count) = sums.adapters.get_mut(&running.adapter) {
+        totals.running -= running.count;
+        if let Some(count) = totals.adapters.get_mut(&running.adapter) {
             *count -= running.count;
             if *count == 0 {
-                sums.adapters.remove(&running.adapter);
+                totals.adapters.remove(&running.adapter);
             }
         }
     }
     for (target, tokens) in unread {
-        if let Some(sums) = targets.get_mut(target) {
-            sums.unread -= tokens;
+        if let Some(totals) = targets.get_mut(target) {
+            totals.unread -= tokens;
         }
     }
-    targets.retain(|_, sums| sums.running > 0 || sums.unread > 0 || !sums.adapters.is_empty());
+    targets.retain(|_, totals| totals.running > 0 || totals.unread > 0 || !totals.adapters.is_empty());
 }
--- a/crates/gateway/tests/zone_owner.rs
+++ b/crates/gateway/tests/zone_owner.rs
@@ -81,7 +81,7 @@
 /// the two.
 #[gtest]
 fn an_order_in_doubt_is_never_followed_by_a_higher_count() {
-    let _mark = base::ExpectedMark::new("order_in_doubt");
+    let _mark = base::ExpectedMark::new("order_outcome_unknown");
     let mut world = World::new(1);
     world.want(&["m/a"]);
     assert_that!(world.end(Ended::Unknown).expected, eq(0));
@@ -262,7 +262,7 @@
 /// for.
 #[gtest]
 fn an_uncounted_drop_after_a_doubt_is_looked_into() {
-    let _mark = base::ExpectedMark::new("order_in_doubt");
+    let _mark = base::ExpectedMark::new("order_outcome_unknown");
     let mut world = World::new(1);
     world.list(&["m/a", "m/b", "m/c"]);
     world.want(&["m/x"]);
