--- a/crates/frontd/src/control/shell.rs
+++ b/crates/frontd/src/control/shell.rs
@@ -17,9 +17,9 @@
 use daemon::{Clock, Links};
 use disk::Writer;
 use gateway::{
-    zone_owner::{self, Holder},
+    zone_owner::{self, ZoneOwner},
     revisions::Revisions,
-    zone_lease::{Granter, Tenure},
+    zone_lease::{LeaseGranter, ZoneLease},
 };
 use replog::HaltReason;
 use telemetry::event;
@@ -125,7 +125,7 @@
 
 pub(crate) struct Shell {
     control: Control,
-    holder: Holder,
+    holder: ZoneOwner,
     handout: Handout,
     revisions: Revisions,
     writer: Writer,
@@ -139,8 +139,8 @@
     next_list: Time,
     next_seeds: Time,
     next_renew: Time,
-    granter: Granter,
-    tenure: Tenure,
+    granter: LeaseGranter,
+    tenure: ZoneLease,
     /// Zones whose next owner is on its way through the log.
     moving: BTreeSet<String>,
     zone: String,
@@ -189,7 +189,7 @@
         };
         Shell {
             control,
-            holder: Holder::new(config, serial),
+            holder: ZoneOwner::new(config, serial),
             handout: Handout::default(),
             revisions: Revisions::new(rand::random::<u64>() >> 2),
             writer,
@@ -203,8 +203,8 @@
             next_list: Time::ZERO,
             next_seeds: Time::ZERO,
             next_renew: Time::ZERO,
-            granter: Granter::default(),
-            tenure: Tenure::default(),
+            granter: LeaseGranter::default(),
+            tenure: ZoneLease::default(),
             moving: BTreeSet::new(),
             zone: setup.zone.clone(),
             zones: setup.zones.clone(),
@@ -231,7 +231,7 @@
             let wake = stop_at.map_or(self.wake, |at| self.wake.min(at));
             let wake = wake.min(self.next_seeds).min(self.next_renew);
             let wake = wake.min(self.tick);
-            let wake = self.holder.next().map_or(wake, |at| wake.min(at));
+            let wake = self.holder.next_due().map_or(wake, |at| wake.min(at));
             tokio::select! {
                 count = queue.recv_many(&mut burst, BURST) => {
                     if count == 0 {
--- a/crates/frontd/src/control/shell/orders.rs
+++ b/crates/frontd/src/control/shell/orders.rs
@@ -1,7 +1,7 @@
 //! What goes to the holder of orders, and what it wants done.
 
 use base::Ticket;
-use gateway::zone_owner::{self, Act, Ended, Order};
+use gateway::zone_owner::{self, Action, OrderOutcome, Order};
 use telemetry::{event, exposed};
 use wire::{
     call::Reply,
@@ -28,7 +28,7 @@
 
     /// Hands one input to the holder; what follows from it is due with [`Self::order`].
     pub(super) fn hold(&mut self, input: zone_owner::Input) {
-        self.holder.take(self.clock.now(), input);
+        self.holder.apply(self.clock.now(), input);
     }
 
     /// Gives the orders and answers that follow from all that came together.
@@ -38,7 +38,7 @@
     /// answers of engines were read too late.
     pub(super) fn order(&mut self) {
         let mut outputs = Vec::new();
-        self.holder.act(self.clock.now(), &mut outputs);
+        self.holder.poll(self.clock.now(), &mut outputs);
         for output in outputs {
             self.carry_out(output);
         }
@@ -47,15 +47,15 @@
     /// Logs what was learned of the store, once a second at most and only while
     /// adapters wait for it.
     pub(super) fn note_store(&mut self) {
-        let learned = self.holder.learned();
+        let learned = self.holder.load_stats();
         if learned.waiting == 0 {
             return;
         }
         event!(
             telemetry::Event::StoreThrottled,
             waiting = learned.waiting,
-            coming = learned.coming,
-            idle = learned.idle,
+            coming = learned.loading,
+            idle = learned.available,
             full = learned.full,
             load_ms = learned.load.as_millis(),
             loads = learned.loads,
@@ -93,7 +93,7 @@
                     note_order(&order, ended);
                     exposed().order(ended.as_str());
                     let id = order.id;
-                    jobs.send(Job::Holder(zone_owner::Input::Ended { id, ended }))
+                    jobs.send(Job::Holder(zone_owner::Input::OrderEnded { id, outcome: ended }))
                         .ok();
                 });
             }
@@ -126,7 +126,7 @@
     pub(super) fn named_changed(&mut self) {
         self.take_newest();
         let versions = self.control.state().editions().versions().clone();
-        self.revisions.take(&versions);
+        self.revisions.update(&versions);
         self.hold(zone_owner::Input::Versions(versions));
     }
 
@@ -151,12 +151,12 @@
 }
 
 /// Logs what came of an order, so that a refused request's adapter can be followed.
-fn note_order(order: &Order, ended: Ended) {
+fn note_order(order: &Order, ended: OrderOutcome) {
     use telemetry::Event as Line;
     let (id, expected, how) = (&order.id, order.expected, ended.as_str());
-    let taken = matches!(ended, Ended::Accepted | Ended::Done);
-    match &order.act {
-        Act::Load { adapter, .. } if taken => {
+    let taken = matches!(ended, OrderOutcome::Accepted | OrderOutcome::Done);
+    match &order.action {
+        Action::Load { adapter, .. } if taken => {
             event!(
                 Line::AdapterLoaded,
                 engine = id,
@@ -165,7 +165,7 @@
                 how = how
             );
         }
-        Act::Evict(adapter) if taken => {
+        Action::Evict(adapter) if taken => {
             event!(
                 Line::AdapterUnloaded,
                 engine = id,
@@ -174,7 +174,7 @@
                 how = how
             );
         }
-        Act::LoadModel(_) if taken => {}
+        Action::LoadModel(_) if taken => {}
         act => event!(
             Line::LoadFailed,
             engine = id,
--- a/crates/frontd/src/control/shell/zones.rs
+++ b/crates/frontd/src/control/shell/zones.rs
@@ -67,7 +67,7 @@
             self.next_list = Time::ZERO;
         }
         let tenure = self.tenure.clone();
-        self.hold(zone_owner::Input::Tenure(tenure));
+        self.hold(zone_owner::Input::Lease(tenure));
     }
 
     fn give_zones(&mut self, now: Time) {
--- a/crates/frontd/src/entry/editions.rs
+++ b/crates/frontd/src/entry/editions.rs
@@ -8,7 +8,7 @@
 
 use base::Time;
 use daemon::lock;
-use gateway::download::{Ask, Download, Got};
+use gateway::download::{Download, PartRequest, PartResult};
 use telemetry::event;
 use tokio::{sync::Notify, time::sleep};
 use wire::call::{Call, Reply};
@@ -35,17 +35,17 @@
     /// Takes the newest edition of a control instance; those of a lower rank are asked
     /// first.
     pub(super) fn told(&self, source: SocketAddr, newest: u64, rank: u64) {
-        lock(&self.download).told(source, newest, rank);
+        lock(&self.download).announced(source, newest, rank);
         self.told.notify_one();
     }
 
     /// Notes that a control instance isn't heard any more.
     pub(super) fn lost(&self, source: SocketAddr) {
-        lock(&self.download).lost(source);
+        lock(&self.download).remove_source(source);
     }
 
-    fn ask(&self, now: Time) -> Option<Ask<SocketAddr>> {
-        lock(&self.download).ask(now)
+    fn ask(&self, now: Time) -> Option<PartRequest<SocketAddr>> {
+        lock(&self.download).next_request(now)
     }
 }
 
@@ -59,19 +59,19 @@
     }
 }
 
-async fn get(state: &State, ask: Ask<SocketAddr>) {
+async fn get(state: &State, ask: PartRequest<SocketAddr>) {
     let call = Call::Edition {
         number: ask.number,
         from: ask.from,
     };
     let link = state.links.to(ask.source);
     let got = match link.call(call, LIMIT).await {
-        Ok(Reply::Edition(Some(part))) => Got::Part(part),
-        Ok(Reply::Edition(None)) => Got::Without,
-        _ => Got::Nothing,
+        Ok(Reply::Edition(Some(part))) => PartResult::Part(part),
+        Ok(Reply::Edition(None)) => PartResult::Missing,
+        _ => PartResult::Failed,
     };
-    let nothing = matches!(got, Got::Nothing);
-    let answered = lock(&state.editions.download).answered(state.now(), got);
+    let nothing = matches!(got, PartResult::Failed);
+    let answered = lock(&state.editions.download).handle_result(state.now(), got);
     match answered {
         Ok(Some((number, text))) => put_in_force(state, number, &text),
         Ok(None) if nothing => sleep(PAUSE).await,
--- a/crates/frontd/src/entry/forward.rs
+++ b/crates/frontd/src/entry/forward.rs
@@ -77,7 +77,7 @@
         let dialect = Arc::clone(&self.state.outside.dialect);
         self.state.request(&self.service);
         if !self.adapter.is_empty() {
-            self.state.view().count(&self.adapter);
+            self.state.view().count_request(&self.adapter);
         }
         match self.until_answered(None).await {
             Ok((answer, place)) => {
@@ -200,7 +200,7 @@
     }
 
     fn may_run_again(&self) -> bool {
-        self.route.kind.repeatable() && self.ran < self.route.attempts
+        self.route.kind.retryable() && self.ran < self.route.attempts
     }
 
     /// Notes that a stream broke off at a target.
--- a/crates/frontd/src/entry/forward/send.rs
+++ b/crates/frontd/src/entry/forward/send.rs
@@ -52,7 +52,7 @@
         let tokens = std::mem::take(&mut self.unread);
         let mut view = self.state.view();
         view.read(&self.id, tokens);
-        view.answered(&self.id, self.ahead, self.sent.elapsed());
+        view.add_speed_sample(&self.id, self.ahead, self.sent.elapsed());
     }
 }
 
@@ -182,7 +182,7 @@
         let now = self.state.now();
         let heard = self.state.sources.zones(now);
         let view = self.state.view();
-        view.restores(now, &self.adapter, backup)?;
+        view.check_restore(now, &self.adapter, backup)?;
         let zone = view.zone_of(&backup.target).unwrap_or_default();
         if !heard.iter().any(|own| own == zone) {
             return Err(Unused::Silent);
@@ -251,7 +251,7 @@
             return self.refused(target, &answer);
         }
         place.begun();
-        state.view().used(target, &self.adapter);
+        state.view().answer_started(target, &self.adapter);
         let good = !answer.status.is_server_error();
         state.view().outcome(state.now(), target, good);
         Sent::Answer(Box::new(answer), place)
@@ -262,7 +262,7 @@
         let ran = broken.verdict != base::Verdict::NotRun;
         let now = self.state.now();
         if ran && matches!(broken.cause, Cause::Cut(_)) {
-            self.state.view().broke_off(now, target);
+            self.state.view().answer_lost(now, target);
         } else {
             self.state.view().unreachable(now, target);
         }
@@ -273,12 +273,12 @@
         let mut view = self.state.view();
         let now = self.state.now();
         if answer.status == StatusCode::MISDIRECTED_REQUEST {
-            view.lacks(now, target, &self.adapter);
+            view.adapter_missing(now, target, &self.adapter);
             return Sent::NotRun {
                 lacks: !self.adapter.is_empty(),
             };
         }
-        view.not_yet(now, target, &self.adapter, REFUSED_PAUSE);
+        view.adapter_not_ready(now, target, &self.adapter, REFUSED_PAUSE);
         Sent::NotRun { lacks: false }
     }
 
--- a/crates/frontd/src/entry/forward/wait.rs
+++ b/crates/frontd/src/entry/forward/wait.rs
@@ -69,13 +69,13 @@
                     return Ok(target);
                 }
                 Choice::Wait(wait) => sleep(wait.max(Duration::from_millis(1))).await,
-                Choice::Nobody | Choice::Missing if now < told && self.state.settling() => {
+                Choice::NoTarget | Choice::Missing if now < told && self.state.settling() => {
                     tokio::select! {
                         () = changed => {}
                         () = sleep_until(told) => {}
                     }
                 }
-                Choice::Nobody => return Err(self.given_up(Why::NoTarget)),
+                Choice::NoTarget => return Err(self.given_up(Why::NoTarget)),
                 Choice::Missing if now >= give_up => return Err(self.given_up(Why::Waited)),
                 Choice::Missing if !self.state.orderable(&self.service) => {
                     return Err(self.come_back(NO_ORDERS, Why::NoOrders));
--- a/crates/frontd/src/entry/state.rs
+++ b/crates/frontd/src/entry/state.rs
@@ -11,7 +11,7 @@
 
 use base::{InstanceName, Seed, Time, stable_hash};
 use daemon::{Clock, Links, lock};
-use gateway::{budget::Budget, home::home, warmup::Settle, table::Table, view::View};
+use gateway::{budget::Budget, home::home, warmup::Warmup, table::Table, view::View};
 use tokio::sync::Notify;
 use web::client::Client;
 use wire::fleet::Target;
@@ -33,7 +33,7 @@
     entries: AtomicU32,
     table: Mutex<Option<(u64, Arc<Table>)>>,
     view: Mutex<View>,
-    settle: Mutex<Settle>,
+    settle: Mutex<Warmup>,
     budget: Mutex<Budget>,
     pub(super) sources: Sources,
     pub(super) editions: Editions,
@@ -62,7 +62,7 @@
             outside,
             client: Client::default(),
             changed: Notify::new(),
-            settle: Mutex::new(Settle::new(clock.now(), &setup.zones)),
+            settle: Mutex::new(Warmup::new(clock.now(), &setup.zones)),
             clock,
             stopping: AtomicBool::new(false),
             entries: AtomicU32::new(ENTRIES_AT_FIRST),
@@ -146,7 +146,7 @@
     /// Tells whether a request may be sent once more, and counts it if so.
     pub(super) fn repeat(&self, service: &str) -> bool {
         let entries = self.entries.load(Ordering::Relaxed);
-        lock(&self.budget).repeat(self.now(), service, entries)
+        lock(&self.budget).try_retry(self.now(), service, entries)
     }
 
     /// Tells whether an adapter of `service` that nobody holds can be ordered
@@ -168,7 +168,7 @@
     pub(super) fn spread(&self, service: &str, adapter: &str) {
         let now = self.now();
         let view = self.view();
-        let zone = view.crowded(now, service, adapter, COPY_AFTER);
+        let zone = view.zone_for_copy(now, service, adapter, COPY_AFTER);
         let zone = zone.map(str::to_owned);
         drop(view);
         if let Some(zone) = zone {
--- a/crates/frontd/src/entry/sync.rs
+++ b/crates/frontd/src/entry/sync.rs
@@ -15,8 +15,8 @@
 use base::{Time, stable_hash};
 use daemon::lock;
 use gateway::{
-    list_fallback::{Alone, Read},
-    zone_owner::Listed,
+    list_fallback::{ListFallback, Read},
+    zone_owner::ListedTarget,
 };
 use telemetry::event;
 use tokio::{
@@ -159,7 +159,7 @@
 pub(super) async fn run(state: Arc<State>) {
     let mut tick = interval(EVERY);
     let spread = stable_hash(&[state.name.as_str().as_bytes()]);
-    let mut alone = Alone::new(state.now(), &state.zones, spread);
+    let mut alone = ListFallback::new(state.now(), &state.zones, spread);
     loop {
         tick.tick().await;
         for ip in state.seeds() {
@@ -273,7 +273,7 @@
         edition: state.edition(),
         revision: inner.revision,
         news: inner.news,
-        again: view.take_doubted(&inner.zones),
+        again: view.take_stale(&inner.zones),
         brief: !regular,
         running: load.0,
         unread: load.1,
@@ -287,7 +287,7 @@
         } else {
             Vec::new()
         },
-        elsewhere: (!state.settling()).then(|| view.elsewhere(state.now(), &inner.zones)),
+        elsewhere: (!state.settling()).then(|| view.loading_outside(state.now(), &inner.zones)),
     }
 }
 
@@ -328,7 +328,7 @@
     }
     let mut view = state.view();
     if !brief {
-        view.set_others(&synced.zones, synced.running);
+        view.set_other_running(&synced.zones, synced.running);
         view.set_unread(&synced.zones, synced.unread);
     }
     view.set_waits(now, synced.waits);
@@ -350,11 +350,11 @@
             return;
         };
         let own = list.iter().filter(|listed| zones.contains(&listed.zone));
-        targets.extend(own.map(Listed::target));
+        targets.extend(own.map(ListedTarget::target));
     }
     let mut view = state.view();
     view.set_targets(now, &zones, targets);
-    view.set_others(&zones, []);
+    view.set_other_running(&zones, []);
     view.set_unread(&zones, []);
     drop(view);
     state.sources.forget_news(&zones);
--- a/crates/frontd/src/outside.rs
+++ b/crates/frontd/src/outside.rs
@@ -4,7 +4,7 @@
 
 use futures::future::BoxFuture;
 use gateway::{
-    zone_owner::{Ended, Listed, Order, Report},
+    zone_owner::{OrderOutcome, ListedTarget, Order, Report},
     table::Table,
 };
 use hyper::header::HeaderName;
@@ -54,9 +54,9 @@
 /// Reads the list of targets, of one zone or of all; nothing if it can't be
 /// had.
 pub type List =
-    Arc<dyn Fn(Option<String>) -> BoxFuture<'static, Option<Vec<Listed>>> + Send + Sync>;
+    Arc<dyn Fn(Option<String>) -> BoxFuture<'static, Option<Vec<ListedTarget>>> + Send + Sync>;
 /// Gives an order to an engine.
-pub type Give = Arc<dyn Fn(Order) -> BoxFuture<'static, Ended> + Send + Sync>;
+pub type Give = Arc<dyn Fn(Order) -> BoxFuture<'static, OrderOutcome> + Send + Sync>;
 /// Asks the engine with this id at this address for its report.
 pub type Ask = Arc<dyn Fn(String, String) -> BoxFuture<'static, Option<Report>> + Send + Sync>;
 /// Reads where control instances are to be looked for.
--- a/crates/frontd/tests/editions/world.rs
+++ b/crates/frontd/tests/editions/world.rs
@@ -396,7 +396,7 @@
         }),
         decode: Arc::new(decode),
         list: Arc::new(|_| async { Some(Vec::new()) }.boxed()),
-        give: Arc::new(|_| async { gateway::zone_owner::Ended::Refused }.boxed()),
+        give: Arc::new(|_| async { gateway::zone_owner::OrderOutcome::Refused }.boxed()),
         ask: Arc::new(|_, _| async { None }.boxed()),
         seeds: Arc::new(move || Some(seeds.clone())),
     }
--- a/crates/frontd/tests/memory/world.rs
+++ b/crates/frontd/tests/memory/world.rs
@@ -15,7 +15,7 @@
 use futures::FutureExt;
 use gateway::{
     budget,
-    zone_owner::{Ended, Held, Listed, Report},
+    zone_owner::{OrderOutcome, Held, ListedTarget, Report},
     table::{Engine as Spec, Kind, Model, RawTable, Route, Service, Table},
 };
 use hyper::{HeaderMap, Method, Request, Response, StatusCode, body::Incoming, header::HeaderName};
@@ -313,9 +313,9 @@
     resp
 }
 
-fn listed(fleet: &Fleet) -> Vec<Listed> {
+fn listed(fleet: &Fleet) -> Vec<ListedTarget> {
     let engines = fleet.engines.iter().enumerate();
-    let listed = engines.map(|(no, engine)| Listed {
+    let listed = engines.map(|(no, engine)| ListedTarget {
         id: format!("e{no}"),
         born: 1,
         service: "s".to_owned(),
@@ -395,7 +395,7 @@
             let list = listed(&list);
             async { Some(list) }.boxed()
         }),
-        give: Arc::new(|_| async { Ended::Refused }.boxed()),
+        give: Arc::new(|_| async { OrderOutcome::Refused }.boxed()),
         ask: Arc::new(move |id, _| {
             let listed = listed(&ask).into_iter().find(|listed| listed.id == id);
             let report = listed.map(|listed| Report {
--- a/crates/frontd/tests/unit/state.rs
+++ b/crates/frontd/tests/unit/state.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use futures::FutureExt;
-use gateway::{zone_owner::Ended, table::RawTable};
+use gateway::{zone_owner::OrderOutcome, table::RawTable};
 use googletest::prelude::*;
 use hyper::header::HeaderName;
 
@@ -33,7 +33,7 @@
             Ok(Decoded { number: 0, table })
         }),
         list: Arc::new(|_| async { None }.boxed()),
-        give: Arc::new(|_| async { Ended::Refused }.boxed()),
+        give: Arc::new(|_| async { OrderOutcome::Refused }.boxed()),
         ask: Arc::new(|_, _| async { None }.boxed()),
         seeds: Arc::new(|| None),
     }
--- a/crates/gateway/src/budget.rs
+++ b/crates/gateway/src/budget.rs
@@ -60,7 +60,7 @@
 
     /// Returns whether one more retry is allowed while `instances` share the budget, and
     /// counts it if so.
-    pub fn repeat(&mut self, now: Time, service: &str, instances: u32) -> bool {
+    pub fn try_retry(&mut self, now: Time, service: &str, instances: u32) -> bool {
         let limits = self.limits;
         let counts = self.counts(now, service);
         let own = limits.ratio * counts.requests.len() as f64;
--- a/crates/gateway/src/download.rs
+++ b/crates/gateway/src/download.rs
@@ -22,7 +22,7 @@
 
 /// A request for a part.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Ask<K> {
+pub struct PartRequest<K> {
     /// The source to ask.
     pub source: K,
     /// Number of the edition.
@@ -31,15 +31,15 @@
     pub from: u64,
 }
 
-/// Result of an [`Ask`].
+/// Result of a [`PartRequest`].
 #[derive(Clone, Debug)]
-pub enum Got {
+pub enum PartResult {
     /// The part.
     Part(Part),
     /// The source does not have the edition any more.
-    Without,
+    Missing,
     /// No answer, or an unreadable one.
-    Nothing,
+    Failed,
 }
 
 /// Reason for which the parts of an edition are dropped.
@@ -54,7 +54,7 @@
     OtherText,
     /// All parts have arrived, but the text does not have the announced hash.
     #[error("hash of the downloaded text differs from the announced one")]
-    NotWhole,
+    HashMismatch,
 }
 
 /// Downloads newer editions from sources identified by `K`.
@@ -64,7 +64,7 @@
     complete: u64,
     sources: BTreeMap<K, Source>,
     current: Option<InProgress<K>>,
-    awaited: Option<Ask<K>>,
+    awaited: Option<PartRequest<K>>,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -102,7 +102,7 @@
 impl<K: Copy + Ord> Download<K> {
     /// Records the newest edition that a source announces, and its rank; sources of a
     /// lower rank are asked first.
-    pub fn told(&mut self, source: K, newest: u64, rank: u64) {
+    pub fn announced(&mut self, source: K, newest: u64, rank: u64) {
         let failed = self.sources.get(&source).and_then(|state| state.failed);
         let told = Source {
             newest,
@@ -113,7 +113,7 @@
     }
 
     /// Removes a source that is not heard from any more.
-    pub fn lost(&mut self, source: K) {
+    pub fn remove_source(&mut self, source: K) {
         self.sources.remove(&source);
     }
 
@@ -125,7 +125,7 @@
     /// Failure: operators change the configuration faster than a slow link carries it. If
     /// each newer edition started a new download, none would be in force before the last
     /// change.
-    pub fn ask(&mut self, now: Time) -> Option<Ask<K>> {
+    pub fn next_request(&mut self, now: Time) -> Option<PartRequest<K>> {
         if self.awaited.is_some() {
             return None;
         }
@@ -140,23 +140,23 @@
         self.awaited
     }
 
-    /// Applies the result of the last [`Self::ask`]. Returns number and text of an
+    /// Applies the result of the last [`Self::next_request`]. Returns number and text of an
     /// edition that is now complete.
     ///
     /// # Errors
     ///
     /// Fails if the received parts are unusable; they are dropped and requested again.
-    pub fn answered(&mut self, now: Time, got: Got) -> Result<Option<(u64, String)>, BadPart> {
+    pub fn handle_result(&mut self, now: Time, got: PartResult) -> Result<Option<(u64, String)>, BadPart> {
         let Some(ask) = self.awaited.take() else {
             return Ok(None);
         };
         match got {
-            Got::Part(part) => self.add(now, ask, &part),
-            Got::Without => {
+            PartResult::Part(part) => self.add(now, ask, &part),
+            PartResult::Missing => {
                 self.edition_missing(ask);
                 Ok(None)
             }
-            Got::Nothing => {
+            PartResult::Failed => {
                 self.failed(now, ask.source);
                 Ok(None)
             }
@@ -169,7 +169,7 @@
     /// Their old announcement was still trusted, and they were asked for it again and
     /// again, as fast as messages travel. So a source that lacks the edition it announced
     /// as its newest is not asked until it announces one again.
-    fn edition_missing(&mut self, ask: Ask<K>) {
+    fn edition_missing(&mut self, ask: PartRequest<K>) {
         if let Some(current) = &mut self.current {
             current.missing_at.insert(ask.source);
         }
@@ -200,13 +200,13 @@
 
     /// Returns a request for the next part of the current download, to the preferred
     /// source.
-    fn next_part(&self, now: Time) -> Option<Ask<K>> {
+    fn next_part(&self, now: Time) -> Option<PartRequest<K>> {
         let current = self.current.as_ref()?;
         let able = self.sources.iter().filter(|(source, state)| {
             state.newest >= current.number && !current.missing_at.contains(source)
         });
         let (source, _) = able.min_by_key(|(_, state)| (state.failed_recently(now), state.rank))?;
-        Some(Ask {
+        Some(PartRequest {
             source: *source,
             number: current.number,
             from: current.text.len() as u64,
@@ -216,7 +216,7 @@
     fn add(
         &mut self,
         now: Time,
-        ask: Ask<K>,
+        ask: PartRequest<K>,
         part: &Part,
     ) -> Result<Option<(u64, String)>, BadPart> {
         let Some(current) = &mut self.current else {
@@ -270,6 +270,6 @@
         }
         let text = String::from_utf8(std::mem::take(&mut self.text));
         let text = text.ok().filter(|text| digest(text) == part.digest);
-        text.map(Some).ok_or(BadPart::NotWhole)
+        text.map(Some).ok_or(BadPart::HashMismatch)
     }
 }
--- a/crates/gateway/src/list_fallback.rs
+++ b/crates/gateway/src/list_fallback.rs
@@ -29,19 +29,19 @@
 
 /// Zones by when their owners were last heard from.
 #[derive(Clone, Debug)]
-pub struct Alone {
+pub struct ListFallback {
     heard: BTreeMap<String, Time>,
     next: Time,
 }
 
-impl Alone {
+impl ListFallback {
     /// Starts with all `zones` heard from now. `spread` has to differ between instances,
     /// so that they read at different times.
     #[must_use]
     pub fn new(now: Time, zones: &[String], spread: StableHash) -> Self {
         let heard = zones.iter().map(|zone| (zone.clone(), now));
         let micros = spread % READ_INTERVAL.as_micros() as u64;
-        Alone {
+        ListFallback {
             heard: heard.collect(),
             next: now + Duration::from_micros(micros),
         }
--- a/crates/gateway/src/revisions.rs
+++ b/crates/gateway/src/revisions.rs
@@ -9,7 +9,7 @@
 
 /// Maximum number of versions in one answer: some 20 KB, which a link of 10 Mbit/s
 /// carries in 16 ms.
-pub const TOLD_MAX: usize = 1_000;
+pub const MAX_PER_ANSWER: usize = 1_000;
 
 /// The newest version of each adapter, in the order of the changes.
 #[derive(Clone, Debug)]
@@ -31,7 +31,7 @@
 
 /// The changes that a requester does not know yet.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Told {
+pub struct NewVersions {
     /// Adapters and their newest versions.
     pub versions: Vec<(String, u32)>,
     /// The number of the last change that the requester knows once it has these.
@@ -53,7 +53,7 @@
     }
 
     /// Applies the newest version of each adapter and numbers those that have changed.
-    pub fn take(&mut self, versions: &BTreeMap<String, u32>) {
+    pub fn update(&mut self, versions: &BTreeMap<String, u32>) {
         for (adapter, version) in versions {
             let old = self.versions.get(adapter);
             if old.is_some_and(|old| old.version == *version) {
@@ -72,20 +72,20 @@
         }
     }
 
-    /// Returns the changes after `known`, oldest first and at most [`TOLD_MAX`]; all
+    /// Returns the changes after `known`, oldest first and at most [`MAX_PER_ANSWER`]; all
     /// changes from the first one on if `known` is from another incarnation.
     #[must_use]
-    pub fn since(&self, known: u64) -> Told {
+    pub fn since(&self, known: u64) -> NewVersions {
         let valid = (self.first..=self.last).contains(&known);
         let from = if valid { known } else { self.first };
-        let newer = self.by_change.range(from + 1..).take(TOLD_MAX);
+        let newer = self.by_change.range(from + 1..).take(MAX_PER_ANSWER);
         let newer: Vec<_> = newer.collect();
         let known = newer.last().map_or(self.last, |(change, _)| **change);
         let versions = newer.into_iter().map(|(_, adapter)| {
             let version = self.versions[adapter].version;
             (adapter.clone(), version)
         });
-        Told {
+        NewVersions {
             versions: versions.collect(),
             known,
         }
--- a/crates/gateway/src/table.rs
+++ b/crates/gateway/src/table.rs
@@ -34,9 +34,9 @@
         }
     }
 
-    /// Tells whether a request that may have run may be sent again.
+    /// Returns whether a request that may have run may be retried.
     #[must_use]
-    pub fn repeatable(self) -> bool {
+    pub fn retryable(self) -> bool {
         matches!(self, Kind::Safe | Kind::Stream { resumable: true })
     }
 }
@@ -141,7 +141,7 @@
     },
     /// Two routes have the same host and prefix.
     #[error("two routes have the host and prefix `{host}{prefix}`")]
-    SamePlace {
+    DuplicateRoute {
         /// The host.
         host: String,
         /// The prefix.
@@ -152,7 +152,7 @@
     NoWeight(String),
     /// A route's time limit is zero.
     #[error("the time limit of route `{0}` is 0")]
-    NoTime(String),
+    NoTimeLimit(String),
     /// A prefix doesn't begin and end with a slash.
     #[error("the prefix of route `{0}` must begin and end with a slash")]
     BadPrefix(String),
@@ -162,11 +162,11 @@
     type Error = BadTable;
 
     fn try_from(raw: RawTable) -> Result<Self, BadTable> {
-        let mut places = BTreeSet::new();
+        let mut seen = BTreeSet::new();
         for route in &raw.routes {
             check(route, &raw.services)?;
-            if !places.insert((route.host.clone(), route.prefix.clone())) {
-                return Err(BadTable::SamePlace {
+            if !seen.insert((route.host.clone(), route.prefix.clone())) {
+                return Err(BadTable::DuplicateRoute {
                     host: route.host.clone(),
                     prefix: route.prefix.clone(),
                 });
@@ -202,7 +202,7 @@
         return Err(BadTable::NoWeight(route.name.clone()));
     }
     if route.limit.is_zero() {
-        return Err(BadTable::NoTime(route.name.clone()));
+        return Err(BadTable::NoTimeLimit(route.name.clone()));
     }
     if !route.prefix.starts_with('/') || !route.prefix.ends_with('/') {
         return Err(BadTable::BadPrefix(route.name.clone()));
--- a/crates/gateway/src/view.rs
+++ b/crates/gateway/src/view.rs
@@ -54,7 +54,7 @@
     /// No target has the adapter or is loading it.
     Missing,
     /// The service has no target that takes requests.
-    Nobody,
+    NoTarget,
 }
 
 /// An entry instance's view of the targets.
@@ -181,7 +181,7 @@
 
     /// Removes and returns the targets of `zones` that the zone owner has to send again,
     /// as part of their announced state was dropped here.
-    pub fn take_doubted(&mut self, zones: &[String]) -> Vec<String> {
+    pub fn take_stale(&mut self, zones: &[String]) -> Vec<String> {
         let targets = &self.targets;
         let in_zones = |id: &String| {
             targets
@@ -212,7 +212,7 @@
 
     /// Replaces the numbers of requests that other instances run at the targets of
     /// `zones`.
-    pub fn set_others(
+    pub fn set_other_running(
         &mut self,
         zones: &[String],
         others: impl IntoIterator<Item = (String, u32)>,
@@ -261,7 +261,7 @@
     }
 
     /// Counts a request for an adapter.
-    pub fn count(&mut self, adapter: &str) {
+    pub fn count_request(&mut self, adapter: &str) {
         *self.demand.entry(adapter.to_owned()).or_default() += 1;
     }
 
@@ -279,7 +279,7 @@
 
     /// Returns the number of adapters being loaded by targets outside `zones`.
     #[must_use]
-    pub fn elsewhere(&self, now: Time, zones: &[String]) -> u32 {
+    pub fn loading_outside(&self, now: Time, zones: &[String]) -> u32 {
         let others = self.targets.values();
         let others = others.filter(|known| !zones.contains(&known.target.zone));
         let loading = others.flat_map(|known| known.residents.values());
@@ -318,7 +318,7 @@
             .filter(|k| k.target.service == service && k.target.ready)
             .collect();
         if ready.is_empty() {
-            return Choice::Nobody;
+            return Choice::NoTarget;
         }
         let holders = ready.iter().filter(|k| self.holds(k, adapter));
         // Failure: the only holder of an adapter has crashed, but is listed for seconds
@@ -399,12 +399,12 @@
     /// Failure: a target loses its answers but executes its requests. If it counted as
     /// unreachable, its adapters would be loaded again elsewhere, and half of the engines
     /// of a zone were idle meanwhile.
-    pub fn broke_off(&mut self, now: Time, id: &str) {
+    pub fn answer_lost(&mut self, now: Time, id: &str) {
         self.outcome(now, id, false);
     }
 
     /// Notes that a target holds an adapter but can't use it within `wait`.
-    pub fn not_yet(&mut self, now: Time, id: &str, adapter: &str, wait: Duration) {
+    pub fn adapter_not_ready(&mut self, now: Time, id: &str, adapter: &str, wait: Duration) {
         if let Some(known) = self.targets.get_mut(id)
             && let Some(held) = known.residents.get_mut(adapter)
         {
--- a/crates/gateway/src/view/backlog.rs
+++ b/crates/gateway/src/view/backlog.rs
@@ -64,7 +64,7 @@
 
     /// Updates the speed of targets from a request whose answer began `after` it was
     /// sent, to a target that had `tokens` to read, its own included.
-    pub fn answered(&mut self, id: &str, tokens: u64, after: Duration) {
+    pub fn add_speed_sample(&mut self, id: &str, tokens: u64, after: Duration) {
         if tokens < MIN_SAMPLE_TOKENS {
             return;
         }
@@ -106,7 +106,7 @@
     /// a load, a new copy serves callers sooner; it goes to the zone of the target with
     /// the smallest backlog.
     #[must_use]
-    pub fn crowded(&self, now: Time, service: &str, adapter: &str, load: Duration) -> Option<&str> {
+    pub fn zone_for_copy(&self, now: Time, service: &str, adapter: &str, load: Duration) -> Option<&str> {
         if adapter.is_empty() {
             return None;
         }
--- a/crates/gateway/src/view/backup.rs
+++ b/crates/gateway/src/view/backup.rs
@@ -81,7 +81,7 @@
     /// # Errors
     ///
     /// Fails with the reason if the target doesn't, or if that isn't known.
-    pub fn restores(&self, now: Time, adapter: &str, backup: &Backup) -> Result<(), Unused> {
+    pub fn check_restore(&self, now: Time, adapter: &str, backup: &Backup) -> Result<(), Unused> {
         let known = self.targets.get(&backup.target).ok_or(Unused::Gone)?;
         let weights = known.weights(adapter);
         let version = known.version(adapter);
--- a/crates/gateway/src/view/held.rs
+++ b/crates/gateway/src/view/held.rs
@@ -55,7 +55,7 @@
     /// asked for again, and with the next list the request was sent again at once; each
     /// time it was refused, until the retry budget was exhausted and one caller in four
     /// was rejected.
-    pub fn lacks(&mut self, now: Time, id: &str, adapter: &str) {
+    pub fn adapter_missing(&mut self, now: Time, id: &str, adapter: &str) {
         let Some(known) = self.targets.get_mut(id) else {
             return;
         };
@@ -77,7 +77,7 @@
     }
 
     /// Notes that a target has started to answer a request that uses an adapter.
-    pub fn used(&mut self, id: &str, adapter: &str) {
+    pub fn answer_started(&mut self, id: &str, adapter: &str) {
         let Some(known) = self.targets.get_mut(id) else {
             return;
         };
--- a/crates/gateway/src/warmup.rs
+++ b/crates/gateway/src/warmup.rs
@@ -17,16 +17,16 @@
 
 /// The zones that a restarted entry instance has not heard from.
 #[derive(Clone, Debug)]
-pub struct Settle {
+pub struct Warmup {
     until: Time,
     unheard: BTreeSet<String>,
 }
 
-impl Settle {
+impl Warmup {
     /// Starts with no zone of `zones` heard from.
     #[must_use]
     pub fn new(now: Time, zones: &[String]) -> Self {
-        Settle {
+        Warmup {
             until: now + MAX_WAIT,
             unheard: zones.iter().cloned().collect(),
         }
--- a/crates/gateway/src/zone_lease.rs
+++ b/crates/gateway/src/zone_lease.rs
@@ -18,14 +18,14 @@
 /// How long an owner may give orders after it sent the last request that the leader
 /// granted. Partitions and elections last some five seconds in the deployments that this
 /// is made for.
-pub const TENURE: Duration = Duration::from_secs(8);
+pub const LEASE_TIME: Duration = Duration::from_secs(8);
 
 /// Returns how long a leader waits after it last heard from an owner before it appoints
 /// another one: the lease, a twentieth of it for clocks that run at different speeds, and
 /// `owner_gap`, the time within which engines without fencing must not get orders from two
 /// owners.
-pub fn takeover(owner_gap: Duration) -> Duration {
-    TENURE + TENURE / 20 + owner_gap
+pub fn takeover_time(owner_gap: Duration) -> Duration {
+    LEASE_TIME + LEASE_TIME / 20 + owner_gap
 }
 
 /// A control instance not heard from within this time is not made owner of a zone.
@@ -38,13 +38,13 @@
 /// The leader's side: decides which zones need an owner and which instance that should
 /// be.
 #[derive(Debug, Default)]
-pub struct Granter {
+pub struct LeaseGranter {
     leading_since: Option<Time>,
     /// Instances by name: their zone, and when they last renewed their leases.
     heard: BTreeMap<InstanceName, (String, Time)>,
 }
 
-impl Granter {
+impl LeaseGranter {
     /// Starts leading. Discards what was heard before, as another leader may have renewed
     /// leases since.
     pub fn lead(&mut self, now: Time) {
@@ -64,7 +64,7 @@
     }
 
     /// Returns the zones that need an owner, each with the instance to appoint. For
-    /// `owner_gap` see [`takeover`].
+    /// `owner_gap` see [`takeover_time`].
     #[must_use]
     pub fn due(
         &self,
@@ -113,20 +113,20 @@
     /// alternately.
     fn has_expired(&self, now: Time, since: Time, owner: &InstanceName, owner_gap: Duration) -> bool {
         let last = self.heard.get(owner).map_or(since, |(_, at)| *at);
-        now.since(last.max(since)) >= takeover(owner_gap)
+        now.since(last.max(since)) >= takeover_time(owner_gap)
     }
 }
 
 /// The owner's side: the zones that an instance owns, and until when.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Tenure {
+pub struct ZoneLease {
     /// Owned zones, with the fencing number of each.
     zones: BTreeMap<String, u64>,
     /// When the last request was sent that the leader granted.
     requested: Option<Time>,
 }
 
-impl Tenure {
+impl ZoneLease {
     /// Applies a leader's answer to a request sent at `asked`; ignores it if an answer to
     /// a later request was applied before.
     pub fn granted(&mut self, asked: Time, zones: impl IntoIterator<Item = (String, u64)>) {
@@ -140,7 +140,7 @@
     /// Returns the fencing number of a zone if this instance may give orders there now.
     #[must_use]
     pub fn fence(&self, now: Time, zone: &str) -> Option<u64> {
-        let valid = self.requested.is_some_and(|asked| now < asked + TENURE);
+        let valid = self.requested.is_some_and(|asked| now < asked + LEASE_TIME);
         valid.then(|| self.zones.get(zone).copied()).flatten()
     }
 
--- a/crates/gateway/src/zone_owner.rs
+++ b/crates/gateway/src/zone_owner.rs
@@ -25,7 +25,7 @@
 use base::{InstanceName, Ticket, Time};
 use wire::fleet::{First, Resident, Sync, Synced, Target, Weights};
 
-pub use self::message::{Act, Ended, Held, Input, Listed, Order, Output, Report};
+pub use self::message::{Action, OrderOutcome, Held, Input, ListedTarget, Order, Output, Report};
 use self::{
     placement::Placement,
     demand::Demand,
@@ -36,7 +36,7 @@
     traffic::Traffic,
     aging::Aging,
 };
-use crate::{table, zone_lease::Tenure};
+use crate::{table, zone_lease::ZoneLease};
 
 /// An entry instance not heard from for this long is ignored: its requests have ended or
 /// its connections are gone.
@@ -128,7 +128,7 @@
 
 /// Statistics of adapter loads in the zones of this owner, for logs and metrics.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Learned {
+pub struct LoadStats {
     /// Estimated duration of a load from the store.
     pub load: Duration,
     /// Estimated number of loads over all zones that the store serves concurrently at
@@ -139,20 +139,20 @@
     /// Adapters that callers wait for and whose load is not ordered yet.
     pub waiting: usize,
     /// Adapters being loaded.
-    pub coming: usize,
+    pub loading: usize,
     /// Engines that could take an order at the last plan.
-    pub idle: usize,
+    pub available: usize,
     /// Those of them that had no free slot and no adapter that could be evicted.
     pub full: usize,
 }
 
 /// Decides on the orders to the engines of the zones that this instance owns.
 #[derive(Debug)]
-pub struct Holder {
+pub struct ZoneOwner {
     config: Config,
     /// Capacity of the engines of each service.
     specs: BTreeMap<String, table::Engine>,
-    targets: BTreeMap<String, Listed>,
+    targets: BTreeMap<String, ListedTarget>,
     engines: BTreeMap<String, Engine>,
     traffic: Traffic,
     demand: Demand,
@@ -174,7 +174,7 @@
     /// said so.
     elsewhere: Option<(Time, u32)>,
     versions: BTreeMap<String, u32>,
-    tenure: Tenure,
+    lease: ZoneLease,
     /// Owned zones at the time of the last answer.
     answered_zones: Vec<String>,
     updates: TargetUpdates,
@@ -189,18 +189,18 @@
     /// Engines and adapters examined by plans so far.
     steps: u64,
     /// See [`LoadStats`].
-    idle: usize,
+    available: usize,
     full: usize,
     pending: Vec<PendingSync>,
 }
 
-impl Holder {
+impl ZoneOwner {
     /// Creates a zone owner without any state. `serial` is the start of its update
     /// numbers and has to differ between incarnations of the process, so that a number
     /// from an earlier incarnation never matches.
     #[must_use]
     pub fn new(config: Config, serial: u64) -> Self {
-        Holder {
+        ZoneOwner {
             config,
             specs: BTreeMap::new(),
             targets: BTreeMap::new(),
@@ -218,7 +218,7 @@
             failing: BTreeMap::new(),
             elsewhere: None,
             versions: BTreeMap::new(),
-            tenure: Tenure::default(),
+            lease: ZoneLease::default(),
             answered_zones: Vec::new(),
             updates: TargetUpdates::new(serial),
             changed: BTreeSet::new(),
@@ -226,7 +226,7 @@
             plan_due: true,
             next_plan: None,
             steps: 0,
-            idle: 0,
+            available: 0,
             full: 0,
             pending: Vec::new(),
         }
@@ -240,14 +240,14 @@
     /// Returns the current estimates of the store's speed and the engines' host memory,
     /// and the state of the last plan.
     #[must_use]
-    pub fn learned(&self) -> Learned {
-        Learned {
+    pub fn load_stats(&self) -> LoadStats {
+        LoadStats {
             load: self.store.time(),
             loads: self.store.window() as usize,
             memory: self.memory.size(),
             waiting: self.queue.len(),
-            coming: self.placement.as_ref().map_or(0, |placement| placement.loading),
-            idle: self.idle,
+            loading: self.placement.as_ref().map_or(0, |placement| placement.loading),
+            available: self.available,
             full: self.full,
         }
     }
@@ -271,21 +271,21 @@
 
     /// Returns when [`Self::poll`] has to be called if no input arrives before.
     #[must_use]
-    pub fn next(&self) -> Option<Time> {
+    pub fn next_due(&self) -> Option<Time> {
         self.next_plan
     }
 
     /// Applies one input and appends the resulting orders and answers to `out`.
     pub fn handle(&mut self, now: Time, input: Input, out: &mut Vec<Output>) {
-        self.take(now, input);
-        self.act(now, out);
+        self.apply(now, input);
+        self.poll(now, out);
     }
 
     /// Applies one input without acting on it, so that several inputs that arrive
     /// together are followed by a single [`Self::poll`].
-    pub fn take(&mut self, now: Time, input: Input) {
+    pub fn apply(&mut self, now: Time, input: Input) {
         match input {
-            Input::Tenure(tenure) => self.take_tenure(now, tenure),
+            Input::Lease(lease) => self.set_lease(now, lease),
             Input::Listed { asked, zones, list } => self.listed(now, asked, &zones, list),
             Input::Versions(versions) => {
                 self.versions = versions;
@@ -293,14 +293,14 @@
                 self.plan_due = true;
             }
             Input::Sync(ticket, sync) => self.sync(now, ticket, sync),
-            Input::Ended { id, ended } => self.order_ended(now, &id, ended),
+            Input::OrderEnded { id, outcome } => self.order_ended(now, &id, outcome),
             Input::Reported { id, report } => self.reported(now, &id, report),
             Input::Wake => self.plan_due = true,
         }
     }
 
     /// Appends the orders and answers that result from the inputs applied so far.
-    pub fn act(&mut self, now: Time, out: &mut Vec<Output>) {
+    pub fn poll(&mut self, now: Time, out: &mut Vec<Output>) {
         self.expire(now);
         self.compare_engines(now);
         if self.plan_due || self.next_plan.is_some_and(|at| now >= at) {
@@ -312,21 +312,21 @@
 
     /// Sets the zone lease of this instance. State about engines is discarded for zones
     /// that are new or were owned by another instance in the meantime.
-    fn take_tenure(&mut self, now: Time, tenure: Tenure) {
-        let same = |zone: &String| tenure.fence(now, zone) == self.tenure.fence(now, zone);
-        let zones = tenure.zones(now);
+    fn set_lease(&mut self, now: Time, lease: ZoneLease) {
+        let same = |zone: &String| lease.fence(now, zone) == self.lease.fence(now, zone);
+        let zones = lease.zones(now);
         let gained: Vec<_> = zones.into_iter().filter(|zone| !same(zone)).collect();
         let targets = &self.targets;
         self.engines.retain(|id, _| {
             let zone = targets.get(id).map(|t| &t.zone);
             zone.is_none_or(|zone| !gained.contains(zone))
         });
-        self.tenure = tenure;
+        self.lease = lease;
         self.placement = None;
         self.plan_due = true;
     }
 
-    fn listed(&mut self, now: Time, asked: Time, zones: &[String], list: Vec<Listed>) {
+    fn listed(&mut self, now: Time, asked: Time, zones: &[String], list: Vec<ListedTarget>) {
         let mut targets = std::mem::take(&mut self.targets);
         targets.retain(|_, listed| !zones.contains(&listed.zone));
         for listed in list {
@@ -423,11 +423,11 @@
         }
     }
 
-    fn order_ended(&mut self, now: Time, id: &str, ended: Ended) {
+    fn order_ended(&mut self, now: Time, id: &str, outcome: OrderOutcome) {
         self.config.adapter_load = self.store.time();
         self.config.memory = self.memory.size();
         if let Some(engine) = self.engines.get_mut(id) {
-            engine.order_ended(now, ended, &self.config);
+            engine.order_ended(now, outcome, &self.config);
             self.engine_changed(id);
         }
     }
@@ -475,7 +475,7 @@
     /// Answers each exchange whose missing adapters are all ordered, far back in the
     /// queue, or whose waiting time is over.
     fn answer(&mut self, now: Time, out: &mut Vec<Output>) {
-        let zones = self.tenure.zones(now);
+        let zones = self.lease.zones(now);
         if zones != self.answered_zones {
             self.answered_zones.clone_from(&zones);
             self.updates.reset();
--- a/crates/gateway/src/zone_owner/engine.rs
+++ b/crates/gateway/src/zone_owner/engine.rs
@@ -8,7 +8,7 @@
 use base::Time;
 use wire::fleet::{First, Resident, Weights};
 
-use super::{Act, Config, Ended, Held, Listed, Report};
+use super::{Action, Config, OrderOutcome, Held, ListedTarget, Report};
 
 /// Number of evicted adapters that are remembered per engine. How many of them the engine
 /// still has in host memory is estimated, see [`MemoryEstimate`](super::estimate::MemoryEstimate).
@@ -44,7 +44,7 @@
     /// Number of orders that the engine has accepted in this incarnation, if known.
     pub(super) seq: Option<u64>,
     /// The order without an answer so far.
-    pub(super) order: Option<Act>,
+    pub(super) order: Option<Action>,
     /// The order count expected by orders with an unknown outcome. While the engine may
     /// still be at this count, one of them may be executed.
     unknown_seq: Option<u64>,
@@ -128,7 +128,7 @@
 
 impl Engine {
     /// Applies the engine's entry in the platform's target list.
-    pub(super) fn listed(&mut self, now: Time, asked: Time, listed: &Listed, times: &Config) {
+    pub(super) fn listed(&mut self, now: Time, asked: Time, listed: &ListedTarget, times: &Config) {
         if listed.born > self.born {
             self.restarted(listed.born);
         }
@@ -163,28 +163,28 @@
         self.suspect |= now.since(self.answered_at) >= ALIVE_WITHIN;
     }
 
-    pub(super) fn order_ended(&mut self, now: Time, ended: Ended, times: &Config) {
+    pub(super) fn order_ended(&mut self, now: Time, outcome: OrderOutcome, times: &Config) {
         let lag = times.report_lag;
-        let Some(act) = self.order.take() else {
+        let Some(action) = self.order.take() else {
             return;
         };
-        if ended == Ended::Unknown {
+        if outcome == OrderOutcome::Unknown {
             self.suspect = true;
         } else {
             self.answered_at = now;
         }
-        match ended {
-            Ended::Accepted | Ended::Done => {
-                if self.is_counted(&act, ended) {
+        match outcome {
+            OrderOutcome::Accepted | OrderOutcome::Done => {
+                if self.is_counted(&action, outcome) {
                     self.unknown_seq = None;
                     self.seq = self.seq.map(|seq| seq + 1);
                 } else {
                     self.seq = None;
                     self.paused_until = now + lag;
                 }
-                self.confirmed(now, act, ended, times);
+                self.confirmed(now, action, outcome, times);
             }
-            Ended::Refused => {
+            OrderOutcome::Refused => {
                 self.next_load = None;
                 self.paused_until = now + lag;
             }
@@ -193,7 +193,7 @@
             // it only if the earlier one was not executed before, and will then refuse
             // the earlier one. So orders go on without waiting for the outcome, and no
             // slot is filled twice.
-            Ended::Unknown => {
+            OrderOutcome::Unknown => {
                 base::hit!(order_outcome_unknown);
                 self.unknown_seq = self.seq;
                 self.next_load = None;
@@ -201,7 +201,7 @@
             }
             // The engine has accepted an order that this zone owner doesn't know of. The
             // report is requested once it is recent enough to show that order.
-            Ended::Conflict => {
+            OrderOutcome::Conflict => {
                 self.next_load = None;
                 self.seq = None;
                 self.paused_until = now + lag;
@@ -216,26 +216,26 @@
     /// counting it, and the zone owner's count is one too high. The late load then makes
     /// the counts equal again, and one more load is accepted for which there is no room.
     /// Only adapters that this zone owner has loaded itself are known to be there.
-    fn is_counted(&self, act: &Act, ended: Ended) -> bool {
-        match act {
-            _ if ended == Ended::Accepted => true,
-            Act::Evict(adapter) => {
+    fn is_counted(&self, action: &Action, outcome: OrderOutcome) -> bool {
+        match action {
+            _ if outcome == OrderOutcome::Accepted => true,
+            Action::Evict(adapter) => {
                 let loaded = self
                     .adapters
                     .get(adapter)
                     .is_some_and(|slot| slot.source.is_some());
                 loaded || self.unknown_seq.is_none()
             }
-            Act::Load { .. } => false,
-            Act::LoadModel(_) => true,
+            Action::Load { .. } => false,
+            Action::LoadModel(_) => true,
         }
     }
 
-    fn confirmed(&mut self, now: Time, act: Act, ended: Ended, times: &Config) {
+    fn confirmed(&mut self, now: Time, action: Action, outcome: OrderOutcome, times: &Config) {
         let load = times.adapter_load;
-        match act {
-            Act::LoadModel(model) => {
-                let wait = if ended == Ended::Done {
+        match action {
+            Action::LoadModel(model) => {
+                let wait = if outcome == OrderOutcome::Done {
                     Duration::ZERO
                 } else {
                     times.model_load
@@ -243,13 +243,13 @@
                 self.models.insert(model, now + wait);
                 self.paused_until = now + wait;
             }
-            Act::Load { adapter, version } => {
+            Action::Load { adapter, version } => {
                 let source = match self.depth(&adapter, version) {
                     Some(depth) if depth < times.memory => Source::Memory { depth },
                     _ => Source::Store,
                 };
-                let wait = match (ended, source) {
-                    (Ended::Done, _) => Duration::ZERO,
+                let wait = match (outcome, source) {
+                    (OrderOutcome::Done, _) => Duration::ZERO,
                     (_, Source::Memory { .. }) => load / MEMORY_SPEEDUP + LOAD_SLACK,
                     (_, Source::Store) => load + LOAD_SLACK,
                 };
@@ -263,14 +263,14 @@
                     ready: now + wait,
                     ordered: Some(now),
                     evicting: false,
-                    source: (ended == Ended::Accepted).then_some(source),
+                    source: (outcome == OrderOutcome::Accepted).then_some(source),
                 };
                 self.adapters.insert(adapter, slot);
             }
-            Act::Evict(adapter) if ended == Ended::Done => self.evict(now, adapter),
+            Action::Evict(adapter) if outcome == OrderOutcome::Done => self.evict(now, adapter),
             // The eviction waits for the adapter's requests to end; the slot stays taken
             // until a report or list shows that the adapter is gone.
-            Act::Evict(adapter) => {
+            Action::Evict(adapter) => {
                 if let Some(slot) = self.adapters.get_mut(&adapter) {
                     slot.evicting = true;
                     slot.ordered = Some(now);
@@ -467,7 +467,7 @@
         let models = self.models.iter();
         let models = models.map(|(model, ready)| resident(model, 0, *ready));
         let evicting: BTreeSet<_> = match &self.order {
-            Some(Act::Evict(adapter)) => BTreeSet::from([adapter]),
+            Some(Action::Evict(adapter)) => BTreeSet::from([adapter]),
             _ => BTreeSet::new(),
         };
         let adapters = self.adapters.iter();
--- a/crates/gateway/src/zone_owner/message.rs
+++ b/crates/gateway/src/zone_owner/message.rs
@@ -5,11 +5,11 @@
 use base::{Ticket, Time};
 use wire::fleet::{Resident, Sync, Synced, Target, Weights};
 
-use crate::zone_lease::Tenure;
+use crate::zone_lease::ZoneLease;
 
 /// A target as the platform's list describes it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Listed {
+pub struct ListedTarget {
     /// Platform-wide id; may stay the same over a restart.
     pub id: String,
     /// Start time as given by the platform, only compared; distinguishes incarnations
@@ -55,7 +55,7 @@
 
 /// The action that an order asks for.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Act {
+pub enum Action {
     /// Load a base model.
     LoadModel(String),
     /// Load an adapter, in a given version if there is one.
@@ -77,7 +77,7 @@
     /// IP address and port of the engine.
     pub addr: String,
     /// The action.
-    pub act: Act,
+    pub action: Action,
     /// Number of orders that the engine must have accepted so far; otherwise it refuses
     /// this one.
     pub expected: u64,
@@ -87,7 +87,7 @@
 
 /// Outcome of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ended {
+pub enum OrderOutcome {
     /// The engine executes it.
     Accepted,
     /// The engine was already in the requested state, or is now.
@@ -101,16 +101,16 @@
     Unknown,
 }
 
-impl Ended {
+impl OrderOutcome {
     /// Returns the value of the metrics label.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
-            Ended::Accepted => "accepted",
-            Ended::Done => "done",
-            Ended::Conflict => "conflict",
-            Ended::Refused => "refused",
-            Ended::Unknown => "unknown",
+            OrderOutcome::Accepted => "accepted",
+            OrderOutcome::Done => "done",
+            OrderOutcome::Conflict => "conflict",
+            OrderOutcome::Refused => "refused",
+            OrderOutcome::Unknown => "unknown",
         }
     }
 }
@@ -119,7 +119,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Input {
     /// The zone lease: where and until when this instance may give orders.
-    Tenure(Tenure),
+    Lease(ZoneLease),
     /// The platform's list of all targets of some zones.
     Listed {
         /// When the list was requested.
@@ -127,18 +127,18 @@
         /// The zones.
         zones: Vec<String>,
         /// All their targets.
-        list: Vec<Listed>,
+        list: Vec<ListedTarget>,
     },
     /// Adapter versions set by operators.
     Versions(BTreeMap<String, u32>),
     /// An entry instance's exchange, answered by [`Output::Answer`].
     Sync(Ticket, Sync),
     /// The outcome of an order.
-    Ended {
+    OrderEnded {
         /// Id of the engine.
         id: String,
-        /// How.
-        ended: Ended,
+        /// The outcome.
+        outcome: OrderOutcome,
     },
     /// A report request was answered or failed.
     Reported {
@@ -154,7 +154,7 @@
 /// An output of the zone owner, to be carried out by the caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Output {
-    /// Send an order, and pass its outcome to [`Input::Ended`].
+    /// Send an order, and pass its outcome to [`Input::OrderEnded`].
     Order(Order),
     /// Request an engine's report, and pass the answer to [`Input::Reported`].
     Report {
@@ -172,7 +172,7 @@
     },
 }
 
-impl Listed {
+impl ListedTarget {
     /// Returns the target as entry instances see it if no zone owner reports it.
     #[must_use]
     pub fn target(&self) -> Target {
--- a/crates/gateway/src/zone_owner/placement.rs
+++ b/crates/gateway/src/zone_owner/placement.rs
@@ -5,7 +5,7 @@
 
 use base::Time;
 
-use super::Holder;
+use super::ZoneOwner;
 
 /// How long after a copy was loaded no further one is: requests that were sent to the
 /// other holders before have to be processed first.
@@ -68,7 +68,7 @@
     }
 }
 
-impl Holder {
+impl ZoneOwner {
     /// Counts copies at all engines.
     pub(super) fn count_copies(\&mut self, now: Time) -> Placement {
         let mut placement = Placement::default();
--- a/crates/gateway/src/zone_owner/plan.rs
+++ b/crates/gateway/src/zone_owner/plan.rs
@@ -5,7 +5,7 @@
 use base::Time;
 
 use super::{
-    Act, Holder, Order, Output, MIN_PLAN_INTERVAL,
+    Action, ZoneOwner, Order, Output, MIN_PLAN_INTERVAL,
     placement::Placement,
     engine::{ReportReason, Engine},
 };
@@ -49,7 +49,7 @@
     victim: Option<String>,
 }
 
-impl Holder {
+impl ZoneOwner {
     pub(super) fn current(&self, engine: &Engine, adapter: &str) -> bool {
         let named = self.versions.get(adapter).copied().unwrap_or(0);
         let slot = engine.adapters.get(adapter);
@@ -60,7 +60,7 @@
     pub(super) fn plan(&mut self, now: Time, out: &mut Vec<Output>) {
         self.request_reports(now, out);
         self.load_models(now, out);
-        let own = self.tenure.zones(now).len().max(1);
+        let own = self.lease.zones(now).len().max(1);
         let engines = self.engines.len() * self.config.zones.max(1) / own;
         self.store.raise_window(engines as f64 * INITIAL_LOADS_PER_ENGINE);
         let limit = self.loads_at_once(now);
@@ -94,7 +94,7 @@
         let full = candidates
             .iter()
             .filter(|candidate| !candidate.room && candidate.victim.is_none());
-        (self.idle, self.full) = (candidates.len(), full.count());
+        (self.available, self.full) = (candidates.len(), full.count());
         let mut waiting = Vec::new();
         for adapter in missing {
             let use_store = placement.loading < limit;
@@ -140,7 +140,7 @@
     /// time, and the store slows down for all if they use more than there is.
     fn loads_at_once(&self, now: Time) -> usize {
         let zones = self.config.zones.max(1) as f64;
-        let own = self.tenure.zones(now).len().max(1) as f64;
+        let own = self.lease.zones(now).len().max(1) as f64;
         let all = self.store.window();
         let share = ((all * own / zones) as usize).max(1);
         let all = all as usize;
@@ -158,7 +158,7 @@
             let Some(listed) = self.targets.get(id).filter(|t| t.ready) else {
                 continue;
             };
-            if self.tenure.fence(now, &listed.zone).is_none() {
+            if self.lease.fence(now, &listed.zone).is_none() {
                 continue;
             }
             let why = if engine.seq.is_none() {
@@ -182,7 +182,7 @@
     fn load_models(&mut self, now: Time, out: &mut Vec<Output>) {
         let loading = |engine: &Engine| {
             let on_its_way = engine.models.values().any(|ready| *ready > now);
-            on_its_way || matches!(engine.order, Some(Act::LoadModel(_)))
+            on_its_way || matches!(engine.order, Some(Action::LoadModel(_)))
         };
         let mut busy = self.engines.values().filter(|e| loading(e)).count();
         let ids: Vec<_> = self.engines.keys().cloned().collect();
@@ -199,7 +199,7 @@
                 continue;
             };
             busy += 1;
-            self.order(now, &id, Act::LoadModel(model), out);
+            self.order(now, &id, Action::LoadModel(model), out);
         }
     }
 
@@ -261,7 +261,7 @@
             Some(victim) => {
                 let engine = self.engines.get_mut(&candidate.id).expect("was just chosen");
                 engine.next_load = Some(adapter.to_owned());
-                self.order(now, &candidate.id, Act::Evict(victim), out);
+                self.order(now, &candidate.id, Action::Evict(victim), out);
             }
         }
         placement.ordered(adapter);
@@ -362,14 +362,14 @@
 
     fn load(&mut self, now: Time, id: &str, adapter: String, out: &mut Vec<Output>) {
         let version = self.versions.get(&adapter).copied();
-        self.order(now, id, Act::Load { adapter, version }, out);
+        self.order(now, id, Action::Load { adapter, version }, out);
     }
 
     fn fence(&self, now: Time, id: &str) -> Option<u64> {
-        self.tenure.fence(now, &self.targets.get(id)?.zone)
+        self.lease.fence(now, &self.targets.get(id)?.zone)
     }
 
-    fn order(&mut self, now: Time, id: &str, act: Act, out: &mut Vec<Output>) {
+    fn order(&mut self, now: Time, id: &str, action: Action, out: &mut Vec<Output>) {
         let Some(listed) = self.targets.get(id) else {
             return;
         };
@@ -384,12 +384,12 @@
         let Some(expected) = engine.seq else {
             return;
         };
-        engine.order = Some(act.clone());
+        engine.order = Some(action.clone());
         self.changed.insert(id.to_owned());
         out.push(Output::Order(Order {
             id: id.to_owned(),
             addr,
-            act,
+            action,
             expected,
             fence,
         }));
@@ -399,7 +399,7 @@
 impl Engine {
     /// Returns the number of adapters being loaded, ordered or about to be ordered.
     pub(super) fn loading(&self, now: Time) -> usize {
-        let ordered = matches!(self.order, Some(Act::Load { .. }));
+        let ordered = matches!(self.order, Some(Action::Load { .. }));
         self.loads_in_flight(now) + usize::from(ordered || self.next_load.is_some())
     }
 
@@ -413,7 +413,7 @@
     /// free.
     pub(super) fn about_to_load(&self) -> Option<&str> {
         match &self.order {
-            Some(Act::Load { adapter, .. }) => Some(adapter),
+            Some(Action::Load { adapter, .. }) => Some(adapter),
             _ => self.next_load.as_deref(),
         }
     }
--- a/crates/gateway/src/zone_owner/queue.rs
+++ b/crates/gateway/src/zone_owner/queue.rs
@@ -9,7 +9,7 @@
 
 use base::Time;
 
-use super::{Holder, Output, placement::Placement, plan::Candidate};
+use super::{ZoneOwner, Output, placement::Placement, plan::Candidate};
 
 /// Waiting time of a caller from which a load can't serve it in time any more: callers
 /// expect the first token within some 800 ms, of which a load takes 250 and reading the
@@ -24,7 +24,7 @@
 /// for callers whom nobody can serve: the former are served in any case, only later.
 const COPY_GAIN: f64 = 0.3;
 
-impl Holder {
+impl ZoneOwner {
     /// Returns the adapters to load, ranked by how many of the requests of the last
     /// seconds each load would serve: adapters that callers wait for, and adapters whose
     /// holders have a backlog, where one more copy gets an even share of the requests.
--- a/crates/gateway/tests/backup.rs
+++ b/crates/gateway/tests/backup.rs
@@ -91,8 +91,8 @@
 fn a_target_that_is_busy_still_takes_what_goes_on() {
     let mut view = view(&[("a", (4, 2)), ("b", (4, 2))]);
     let backup = view.backup(NOW, "s", "m/x", "a").unwrap();
-    view.not_yet(NOW, "b", "m/x", Duration::from_millis(30));
-    assert_that!(view.restores(NOW, "m/x", &backup), eq(Ok(())));
+    view.adapter_not_ready(NOW, "b", "m/x", Duration::from_millis(30));
+    assert_that!(view.check_restore(NOW, "m/x", &backup), eq(Ok(())));
 }
 
 /// The least loaded engine has other weights, and isn't chosen.
@@ -120,7 +120,7 @@
         target: "b".to_owned(),
         origin: ORIGIN,
     };
-    assert_that!(view(&targets).restores(NOW, "m/x", &backup), eq(expected));
+    assert_that!(view(&targets).check_restore(NOW, "m/x", &backup), eq(expected));
 }
 
 base::cases! {
@@ -142,10 +142,10 @@
     let backup = view.backup(NOW, "s", "m/x", "a").unwrap();
     let at = |ms| NOW + Duration::from_millis(ms);
     view.set_versions(at(1_000), [("m/x".to_owned(), 2)]);
-    assert_that!(view.restores(at(9_000), "m/x", &backup), eq(Ok(())));
+    assert_that!(view.check_restore(at(9_000), "m/x", &backup), eq(Ok(())));
     view.set_versions(at(10_000), [("m/x".to_owned(), 3)]);
-    assert_that!(view.restores(at(12_900), "m/x", &backup), eq(Ok(())));
+    assert_that!(view.check_restore(at(12_900), "m/x", &backup), eq(Ok(())));
     view.set_versions(at(12_950), [("m/x".to_owned(), 3)]);
-    let later = view.restores(at(13_000), "m/x", &backup);
+    let later = view.check_restore(at(13_000), "m/x", &backup);
     assert_that!(later, eq(Err(Unused::Outdated)));
 }
--- a/crates/gateway/tests/budget.rs
+++ b/crates/gateway/tests/budget.rs
@@ -28,7 +28,7 @@
                 budget.request(now, "s");
                 requests += 1.0;
             }
-            if budget.repeat(now, "s", instances) {
+            if budget.try_retry(now, "s", instances) {
                 repeats += 1.0;
             }
         }
@@ -40,7 +40,7 @@
 #[gtest]
 fn what_is_past_the_window_counts_no_more() {
     let mut budget = Budget::new(LIMITS);
-    let spend = |budget: &mut Budget, at| (0..99).filter(|_| budget.repeat(at, "s", 1)).count();
+    let spend = |budget: &mut Budget, at| (0..99).filter(|_| budget.try_retry(at, "s", 1)).count();
     let first = spend(&mut budget, Time::from_millis(0));
     assert_that!(first, eq(35));
     assert_that!(spend(&mut budget, Time::from_millis(9_000)), eq(0));
--- a/crates/gateway/tests/download.rs
+++ b/crates/gateway/tests/download.rs
@@ -3,7 +3,7 @@
 use std::{collections::BTreeMap, time::Duration};
 
 use base::Time;
-use gateway::download::{BadPart, Download, Got};
+use gateway::download::{BadPart, Download, PartResult};
 use googletest::prelude::*;
 use wire::{
     fleet::{Edition, PART_SIZE, Part},
@@ -28,10 +28,10 @@
 /// Asks and answers until nothing more is asked for; returns what came whole.
 fn get(download: &mut Download<u8>, editions: &[Edition]) -> Vec<u64> {
     let mut whole = Vec::new();
-    while let Some(ask) = download.ask(NOW) {
+    while let Some(ask) = download.next_request(NOW) {
         let held = editions.iter().find(|e| e.number == ask.number);
-        let got = held.map_or(Got::Without, |e| Got::Part(part(e, ask.from)));
-        if let Some((number, text)) = download.answered(NOW, got).expect("sound parts") {
+        let got = held.map_or(PartResult::Missing, |e| PartResult::Part(part(e, ask.from)));
+        if let Some((number, text)) = download.handle_result(NOW, got).expect("sound parts") {
             assert_that!(Some(&text), eq(held.map(|e| &e.body)));
             whole.push(number);
         }
@@ -42,25 +42,25 @@
 #[gtest]
 fn an_edition_comes_whole() {
     let mut download = Download::default();
-    download.told(1, 7, 0);
+    download.announced(1, 7, 0);
     assert_that!(get(&mut download, &[edition(7, 4)]), elements_are![eq(&7)]);
-    assert_that!(download.ask(NOW), none());
+    assert_that!(download.next_request(NOW), none());
 }
 
 #[gtest]
 fn an_empty_edition_comes_too() {
     let mut download = Download::default();
-    download.told(1, 7, 0);
+    download.announced(1, 7, 0);
     assert_that!(get(&mut download, &[edition(7, 0)]), elements_are![eq(&7)]);
 }
 
 #[gtest]
 fn nothing_is_asked_for_twice_at_once() {
     let mut download = Download::default();
-    download.told(1, 7, 0);
-    download.told(2, 7, 1);
-    assert_that!(download.ask(NOW), some(anything()));
-    assert_that!(download.ask(NOW), none());
+    download.announced(1, 7, 0);
+    download.announced(2, 7, 1);
+    assert_that!(download.next_request(NOW), some(anything()));
+    assert_that!(download.next_request(NOW), none());
 }
 
 /// A control instance is cut off in the middle of an edition. The entry instance
@@ -70,15 +70,15 @@
 fn what_has_come_is_kept_when_its_source_falls_silent() {
     let edition = edition(7, 4);
     let mut download = Download::default();
-    download.told(1, 7, 0);
-    download.told(2, 7, 1);
-    let first = download.ask(NOW).expect("a source");
+    download.announced(1, 7, 0);
+    download.announced(2, 7, 1);
+    let first = download.next_request(NOW).expect("a source");
     assert_that!(first.source, eq(1));
-    let come = download.answered(NOW, Got::Part(part(&edition, 0)));
+    let come = download.handle_result(NOW, PartResult::Part(part(&edition, 0)));
     assert_that!(come, ok(none()));
-    download.ask(NOW);
-    assert_that!(download.answered(NOW, Got::Nothing), ok(none()));
-    let next = download.ask(NOW).expect("another source");
+    download.next_request(NOW);
+    assert_that!(download.handle_result(NOW, PartResult::Failed), ok(none()));
+    let next = download.next_request(NOW).expect("another source");
     assert_that!((next.source, next.from), eq((2, PART_SIZE as u64)));
 }
 
@@ -88,14 +88,14 @@
 fn what_has_come_is_kept_while_nobody_is_heard() {
     let edition = edition(7, 4);
     let mut download = Download::default();
-    download.told(1, 7, 0);
-    download.ask(NOW);
-    let come = download.answered(NOW, Got::Part(part(&edition, 0)));
+    download.announced(1, 7, 0);
+    download.next_request(NOW);
+    let come = download.handle_result(NOW, PartResult::Part(part(&edition, 0)));
     assert_that!(come, ok(none()));
-    download.lost(1);
-    assert_that!(download.ask(NOW), none());
-    download.told(1, 7, 0);
-    let next = download.ask(NOW).expect("the source is back");
+    download.remove_source(1);
+    assert_that!(download.next_request(NOW), none());
+    download.announced(1, 7, 0);
+    let next = download.next_request(NOW).expect("the source is back");
     assert_that!(next.from, eq(PART_SIZE as u64));
 }
 
@@ -105,11 +105,11 @@
 fn an_edition_that_was_begun_is_finished() {
     let editions = [edition(7, 3), edition(8, 3)];
     let mut download = Download::default();
-    download.told(1, 7, 0);
-    download.ask(NOW);
-    let come = download.answered(NOW, Got::Part(part(&editions[0], 0)));
+    download.announced(1, 7, 0);
+    download.next_request(NOW);
+    let come = download.handle_result(NOW, PartResult::Part(part(&editions[0], 0)));
     assert_that!(come, ok(none()));
-    download.told(1, 8, 0);
+    download.announced(1, 8, 0);
     assert_that!(get(&mut download, &editions), elements_are![eq(&7), eq(&8)]);
 }
 
@@ -118,11 +118,11 @@
 #[gtest]
 fn an_edition_that_is_gone_gives_way_to_the_newest() {
     let mut download = Download::default();
-    download.told(1, 7, 0);
-    download.ask(NOW);
-    let come = download.answered(NOW, Got::Part(part(&edition(7, 3), 0)));
+    download.announced(1, 7, 0);
+    download.next_request(NOW);
+    let come = download.handle_result(NOW, PartResult::Part(part(&edition(7, 3), 0)));
     assert_that!(come, ok(none()));
-    download.told(1, 9, 0);
+    download.announced(1, 9, 0);
     assert_that!(get(&mut download, &[edition(9, 2)]), elements_are![eq(&9)]);
 }
 
@@ -132,18 +132,18 @@
 #[gtest]
 fn a_source_without_what_it_told_is_not_asked_again_until_it_tells_anew() {
     let mut download = Download::default();
-    download.told(1, 9, 0);
-    download.told(2, 9, 1);
-    download.told(3, 7, 2);
+    download.announced(1, 9, 0);
+    download.announced(2, 9, 1);
+    download.announced(3, 7, 2);
     let mut asked = 0;
-    while let Some(ask) = download.ask(NOW).filter(|ask| ask.number == 9) {
+    while let Some(ask) = download.next_request(NOW).filter(|ask| ask.number == 9) {
         asked += 1;
         assert_that!(asked, le(2), "asked {:?}", ask.source);
-        assert_that!(download.answered(NOW, Got::Without), ok(none()));
+        assert_that!(download.handle_result(NOW, PartResult::Missing), ok(none()));
     }
-    let come = download.answered(NOW, Got::Part(part(&edition(7, 1), 0)));
+    let come = download.handle_result(NOW, PartResult::Part(part(&edition(7, 1), 0)));
     assert_that!(come, ok(some(anything())));
-    download.told(1, 9, 0);
+    download.announced(1, 9, 0);
     assert_that!(get(&mut download, &[edition(9, 1)]), elements_are![eq(&9)]);
 }
 
@@ -156,10 +156,10 @@
     forged.number = 7;
     forged.digest = part(&one, 0).digest;
     let mut download = Download::default();
-    download.told(1, 7, 0);
-    download.ask(NOW);
-    let come = download.answered(NOW, Got::Part(forged));
-    assert_that!(come, err(eq(&BadPart::NotWhole)));
+    download.announced(1, 7, 0);
+    download.next_request(NOW);
+    let come = download.handle_result(NOW, PartResult::Part(forged));
+    assert_that!(come, err(eq(&BadPart::HashMismatch)));
 }
 
 /// Two control instances hold different texts under one number. Joined they would
@@ -169,14 +169,14 @@
     let (one, mut other) = (edition(7, 3), edition(8, 3));
     other.number = 7;
     let mut download = Download::default();
-    download.told(1, 7, 0);
-    download.ask(NOW);
-    let come = download.answered(NOW, Got::Part(part(&one, 0)));
+    download.announced(1, 7, 0);
+    download.next_request(NOW);
+    let come = download.handle_result(NOW, PartResult::Part(part(&one, 0)));
     assert_that!(come, ok(none()));
-    let next = download.ask(NOW).expect("the second part");
-    let come = download.answered(NOW, Got::Part(part(&other, next.from)));
+    let next = download.next_request(NOW).expect("the second part");
+    let come = download.handle_result(NOW, PartResult::Part(part(&other, next.from)));
     assert_that!(come, err(eq(&BadPart::OtherText)));
-    let anew = download.ask(NOW).expect("it is asked for anew");
+    let anew = download.next_request(NOW).expect("it is asked for anew");
     assert_that!(anew.from, eq(0));
 }
 
@@ -185,9 +185,9 @@
     let mut damaged = part(&edition(7, 1), 0);
     damaged.packed = damaged.packed.slice(..damaged.packed.len() / 2);
     let mut download = Download::default();
-    download.told(1, 7, 0);
-    download.ask(NOW);
-    let come = download.answered(NOW, Got::Part(damaged));
+    download.announced(1, 7, 0);
+    download.next_request(NOW);
+    let come = download.handle_result(NOW, PartResult::Part(damaged));
     assert_that!(come, err(anything()));
 }
 
@@ -196,11 +196,11 @@
 #[gtest]
 fn a_source_that_failed_comes_last_for_a_while() {
     let mut download = Download::default();
-    download.told(1, 7, 0);
-    download.told(2, 7, 9);
+    download.announced(1, 7, 0);
+    download.announced(2, 7, 9);
     let source = |download: &mut Download<u8>, now| {
-        let ask = download.ask(now).expect("a source");
-        assert_that!(download.answered(now, Got::Nothing), ok(none()));
+        let ask = download.next_request(now).expect("a source");
+        assert_that!(download.handle_result(now, PartResult::Failed), ok(none()));
         ask.source
     };
     assert_that!(source(&mut download, NOW), eq(1));
@@ -239,7 +239,7 @@
         }
         let source = draw.below(3) as u8;
         if !calm && draw.below(5) == 0 {
-            download.lost(source);
+            download.remove_source(source);
         } else {
             let known = at.get_mut(&source).unwrap();
             *known += draw.below((published.len() - *known + 1) as u64) as usize;
@@ -247,20 +247,20 @@
                 *known = published.len();
             }
             let newest = known.checked_sub(1).map_or(0, |i| published[i].number);
-            download.told(source, newest, u64::from(source));
+            download.announced(source, newest, u64::from(source));
         }
-        let Some(ask) = download.ask(now) else {
+        let Some(ask) = download.next_request(now) else {
             continue;
         };
         let kept = &published[..at[&ask.source]];
         let kept = &kept[kept.len().saturating_sub(KEPT)..];
         let found = kept.iter().find(|e| e.number == ask.number);
         let got = match (found, draw.below(4)) {
-            (_, 0) if !calm => Got::Nothing,
-            (Some(found), _) => Got::Part(part(found, ask.from)),
-            (None, _) => Got::Without,
+            (_, 0) if !calm => PartResult::Failed,
+            (Some(found), _) => PartResult::Part(part(found, ask.from)),
+            (None, _) => PartResult::Missing,
         };
-        let come = download.answered(now, got).expect("sound parts");
+        let come = download.handle_result(now, got).expect("sound parts");
         if let Some((number, text)) = come {
             assert!(number > held, "seed {seed}: {number} after {held}");
             let meant = published.iter().find(|e| e.number == number).unwrap();
--- a/crates/gateway/tests/list_fallback.rs
+++ b/crates/gateway/tests/list_fallback.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use base::Time;
-use gateway::list_fallback::{Alone, Read};
+use gateway::list_fallback::{ListFallback, Read};
 use googletest::prelude::*;
 
 const STEP: Duration = Duration::from_millis(250);
@@ -25,7 +25,7 @@
     let mut now = Time::from_millis(1_000);
     let spread = |n: u64| base::stable_hash(&[&n.to_le_bytes()]);
     let mut all: Vec<_> = (0..INSTANCES)
-        .map(|n| Alone::new(now, &zones, spread(n)))
+        .map(|n| ListFallback::new(now, &zones, spread(n)))
         .collect();
     let steps = (0..40).map(|_| {
         now = now + STEP;
--- a/crates/gateway/tests/revisions.rs
+++ b/crates/gateway/tests/revisions.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use gateway::revisions::{Revisions, TOLD_MAX};
+use gateway::revisions::{Revisions, MAX_PER_ANSWER};
 use googletest::prelude::*;
 
 fn versions(named: &[(&str, u32)]) -> BTreeMap<String, u32> {
@@ -13,11 +13,11 @@
 #[gtest]
 fn a_version_is_told_once() {
     let mut revisions = Revisions::new(70);
-    revisions.take(&versions(&[("a", 1), ("b", 1)]));
+    revisions.update(&versions(&[("a", 1), ("b", 1)]));
     let told = revisions.since(0);
     assert_that!(told.versions, len(eq(2)));
     assert_that!(revisions.since(told.known).versions, is_empty());
-    revisions.take(&versions(&[("a", 1), ("b", 2)]));
+    revisions.update(&versions(&[("a", 1), ("b", 2)]));
     let told = revisions.since(told.known);
     assert_that!(told.versions, elements_are![eq(&("b".to_owned(), 2))]);
 }
@@ -27,10 +27,10 @@
 #[gtest]
 fn another_life_tells_all_again() {
     let mut before = Revisions::new(7_000);
-    before.take(&versions(&[("a", 1)]));
+    before.update(&versions(&[("a", 1)]));
     let known = before.since(0).known;
     let mut after = Revisions::new(90);
-    after.take(&versions(&[("a", 1), ("b", 1)]));
+    after.update(&versions(&[("a", 1), ("b", 1)]));
     assert_that!(after.since(known).versions, len(eq(2)));
 }
 
@@ -40,16 +40,16 @@
 fn many_versions_come_in_parts() {
     let mut all: BTreeMap<String, u32> = (0..10_000).map(|n| (format!("a{n}"), 1)).collect();
     let mut revisions = Revisions::new(5);
-    revisions.take(&all);
+    revisions.update(&all);
     let mut known = 0;
     let mut got = BTreeMap::new();
     for round in 0..=12 {
         let told = revisions.since(known);
-        assert_that!(told.versions.len(), le(TOLD_MAX));
+        assert_that!(told.versions.len(), le(MAX_PER_ANSWER));
         known = told.known;
         got.extend(told.versions);
         all.insert(format!("a{}", round * 700), 2);
-        revisions.take(&all);
+        revisions.update(&all);
     }
     got.extend(revisions.since(known).versions);
     assert_that!(got, eq(&all));
--- a/crates/gateway/tests/spread.rs
+++ b/crates/gateway/tests/spread.rs
@@ -37,7 +37,7 @@
     for seed in 0..INSTANCES {
         let mut view = View::new("za", Seed(seed));
         view.set_targets(NOW, &zones, (0..TARGETS).map(target).collect());
-        view.set_others(&zones, running.iter().cloned());
+        view.set_other_running(&zones, running.iter().cloned());
         let choice = view.choose(NOW, "s", "m/x", &BTreeSet::new());
         let Choice::Send(id) = choice else {
             panic!("nothing chosen: {choice:?}");
@@ -143,6 +143,6 @@
         view.set_targets(NOW, &zones, vec![slow, idle]);
         // 0.13 s of prompts for a target of the usual speed.
         view.begin("e0", "m/x", 4_000);
-        expect_that!(view.crowded(NOW, "s", "m/x", load), eq(zone));
+        expect_that!(view.zone_for_copy(NOW, "s", "m/x", load), eq(zone));
     }
 }
--- a/crates/gateway/tests/view.rs
+++ b/crates/gateway/tests/view.rs
@@ -51,7 +51,7 @@
     view.begin("a", "", 0);
     assert_that!(choose(&view, ""), eq(&send("b")));
     view.end("a", "");
-    view.set_others(&["za".to_owned()], [("a".to_owned(), 5)]);
+    view.set_other_running(&["za".to_owned()], [("a".to_owned(), 5)]);
     assert_that!(choose(&view, ""), eq(&send("b")));
 }
 
@@ -95,7 +95,7 @@
 #[gtest]
 fn a_target_that_breaks_off_is_still_a_holder() {
     let mut view = view(vec![target("a", "za", &[("m/x", 1, 0)])]);
-    view.broke_off(NOW, "a");
+    view.answer_lost(NOW, "a");
     assert_that!(choose(&view, "m/x"), eq(&send("a")));
     assert_that!(view.failing(NOW), is_empty());
 }
@@ -148,13 +148,13 @@
     let _mark = base::ExpectedMark::new("sent_too_early");
     let mut view = view(vec![target("a", "za", &[("m/x", 1, 250)])]);
     let due = NOW + Duration::from_millis(250);
-    view.lacks(due, "a", "m/x");
+    view.adapter_missing(due, "a", "m/x");
     let choice = view.choose(due, "s", "m/x", &BTreeSet::new());
     assert_that!(choice, matches_pattern!(Choice::Wait(gt(&Duration::ZERO))));
     let firsts = view.take_firsts(&["za".to_owned()]);
     assert_that!(firsts.len(), eq(1));
     assert_that!(firsts[0].held, eq(false));
-    view.used("a", "m/x");
+    view.answer_started("a", "m/x");
     assert_that!(view.take_firsts(&["za".to_owned()]), is_empty());
 }
 
@@ -163,15 +163,15 @@
 #[gtest]
 fn an_adapter_that_was_there_and_is_refused_is_missing() {
     let mut view = view(vec![target("a", "za", &[("m/x", 1, 0)])]);
-    view.lacks(NOW, "a", "m/x");
+    view.adapter_missing(NOW, "a", "m/x");
     assert_that!(choose(&view, "m/x"), eq(&Choice::Missing));
 }
 
 #[gtest]
 fn the_first_request_after_a_load_is_told_once() {
     let mut view = view(vec![target("a", "za", &[("m/x", 1, 250)])]);
-    view.used("a", "m/x");
-    view.used("a", "m/x");
+    view.answer_started("a", "m/x");
+    view.answer_started("a", "m/x");
     let firsts = view.take_firsts(&["za".to_owned()]);
     assert_that!(firsts.len(), eq(1));
     assert_that!(firsts[0].held, eq(true));
@@ -183,7 +183,7 @@
 fn a_copy_is_asked_for_once_all_holders_are_behind() {
     let load = Duration::from_millis(250);
     let crowded = |view: &View| {
-        let zone = view.crowded(NOW, "s", "m/x", load);
+        let zone = view.zone_for_copy(NOW, "s", "m/x", load);
         zone.map(str::to_owned)
     };
     let mut view = view(vec![
@@ -218,11 +218,11 @@
         target("b", "za", &[]),
     ]);
     view.begin("a", "m/x", 12_000);
-    assert_that!(view.crowded(NOW, "s", "m/x", load), some(eq("za")));
+    assert_that!(view.zone_for_copy(NOW, "s", "m/x", load), some(eq("za")));
     for _ in 0..200 {
-        view.answered("a", 6_000, Duration::from_millis(100));
+        view.add_speed_sample("a", 6_000, Duration::from_millis(100));
     }
-    assert_that!(view.crowded(NOW, "s", "m/x", load), none());
+    assert_that!(view.zone_for_copy(NOW, "s", "m/x", load), none());
 }
 
 /// What the holder says of an adapter that isn't on its way counts until it would
@@ -254,7 +254,7 @@
     assert_that!(choose(&view, "m/y"), eq(&send("b")));
     assert_that!(view.running(&["za".to_owned()]).len(), eq(1));
     view.change_targets(NOW, Vec::new(), &["a".to_owned(), "b".to_owned()]);
-    assert_that!(choose(&view, "m/z"), eq(&Choice::Nobody));
+    assert_that!(choose(&view, "m/z"), eq(&Choice::NoTarget));
     assert_that!(view.running(&["za".to_owned()]).len(), eq(1));
     view.end("a", "m/x");
     assert_that!(view.running(&["za".to_owned()]), is_empty());
@@ -268,13 +268,13 @@
         target("a", "za", &[("m/x", 1, 0)]),
         target("b", "zb", &[("m/x", 1, 0)]),
     ]);
-    view.lacks(NOW, "a", "m/x");
-    view.lacks(NOW, "b", "m/x");
+    view.adapter_missing(NOW, "a", "m/x");
+    view.adapter_missing(NOW, "b", "m/x");
     let own = ["za".to_owned()];
-    assert_that!(view.take_doubted(&own), eq(&vec!["a".to_owned()]));
-    assert_that!(view.take_doubted(&own), is_empty());
+    assert_that!(view.take_stale(&own), eq(&vec!["a".to_owned()]));
+    assert_that!(view.take_stale(&own), is_empty());
     assert_that!(
-        view.take_doubted(&["zb".to_owned()]),
+        view.take_stale(&["zb".to_owned()]),
         eq(&vec!["b".to_owned()])
     );
 }
--- a/crates/gateway/tests/warmup.rs
+++ b/crates/gateway/tests/warmup.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use base::Time;
-use gateway::warmup::Settle;
+use gateway::warmup::Warmup;
 use googletest::prelude::*;
 use wire::fleet::Target;
 
@@ -23,27 +23,27 @@
     }
 }
 
-fn settle() -> Settle {
-    Settle::new(NOW, &["za".to_owned(), "zb".to_owned()])
+fn warmup() -> Warmup {
+    Warmup::new(NOW, &["za".to_owned(), "zb".to_owned()])
 }
 
 /// All processes restart. The owner of a zone answers before it has read which
 /// targets it has; callers were told that there are none.
 #[gtest]
 fn an_owner_without_targets_leaves_it_open() {
-    let mut settle = settle();
-    settle.heard(&[]);
-    settle.heard(&[target("za")]);
-    assert_that!(settle.pending(NOW), eq(true));
-    settle.heard(&[target("zb")]);
-    assert_that!(settle.pending(NOW), eq(false));
+    let mut warmup = warmup();
+    warmup.heard(&[]);
+    warmup.heard(&[target("za")]);
+    assert_that!(warmup.pending(NOW), eq(true));
+    warmup.heard(&[target("zb")]);
+    assert_that!(warmup.pending(NOW), eq(false));
 }
 
 /// A zone is cut off for long. Callers of what only it serves aren't kept
 /// waiting for that.
 #[gtest]
 fn a_silent_zone_is_given_up() {
-    let settle = settle();
-    assert_that!(settle.pending(NOW + Duration::from_secs(2)), eq(true));
-    assert_that!(settle.pending(NOW + Duration::from_secs(4)), eq(false));
+    let warmup = warmup();
+    assert_that!(warmup.pending(NOW + Duration::from_secs(2)), eq(true));
+    assert_that!(warmup.pending(NOW + Duration::from_secs(4)), eq(false));
 }
--- a/crates/gateway/tests/zone_lease.rs
+++ b/crates/gateway/tests/zone_lease.rs
@@ -6,10 +6,10 @@
 };
 
 use base::{InstanceName, Time};
-use gateway::zone_lease::{Granter, TENURE, Tenure, takeover};
+use gateway::zone_lease::{LeaseGranter, LEASE_TIME, ZoneLease, takeover_time};
 use googletest::prelude::*;
 
-const TURNS: Duration = Duration::from_millis(3_400);
+const OWNER_GAP: Duration = Duration::from_millis(3_400);
 
 fn name(raw: &str) -> InstanceName {
     raw.parse().unwrap()
@@ -25,13 +25,13 @@
 
 #[gtest]
 fn a_zone_goes_to_its_own_instance_first() {
-    let mut granter = Granter::default();
+    let mut granter = LeaseGranter::default();
     granter.lead(at(0));
     granter.renew(at(100), &name("a"), "za");
-    let due = granter.due(at(200), &zones(), &BTreeMap::new(), TURNS);
+    let due = granter.due(at(200), &zones(), &BTreeMap::new(), OWNER_GAP);
     assert_that!(due, eq(&vec![("za".to_owned(), name("a"))]));
     granter.renew(at(1_500), &name("a"), "za");
-    let due = granter.due(at(1_600), &zones(), &BTreeMap::new(), TURNS);
+    let due = granter.due(at(1_600), &zones(), &BTreeMap::new(), OWNER_GAP);
     assert_that!(due.len(), eq(2));
 }
 
@@ -41,9 +41,9 @@
 /// passed in which engines must not see two holders.
 #[gtest]
 fn a_new_leader_waits_out_a_tenure_it_never_saw() {
-    let mut owner = Tenure::default();
+    let mut owner = ZoneLease::default();
     owner.granted(at(1_000), [("za".to_owned(), 7)]);
-    let mut granter = Granter::default();
+    let mut granter = LeaseGranter::default();
     granter.lead(at(1_001));
     let owners = BTreeMap::from([("za".to_owned(), name("a"))]);
     let only = BTreeSet::from(["za".to_owned()]);
@@ -53,8 +53,8 @@
             last = at(ms);
         }
         granter.renew(at(ms), &name("b"), "zb");
-        if !granter.due(at(ms), &only, &owners, TURNS).is_empty() {
-            assert_that!(at(ms).since(last), ge(TURNS));
+        if !granter.due(at(ms), &only, &owners, OWNER_GAP).is_empty() {
+            assert_that!(at(ms).since(last), ge(OWNER_GAP));
             return;
         }
     }
@@ -63,23 +63,23 @@
 
 #[gtest]
 fn an_owner_that_is_heard_keeps_its_zone() {
-    let mut granter = Granter::default();
+    let mut granter = LeaseGranter::default();
     granter.lead(at(0));
     let owners = BTreeMap::from([("za".to_owned(), name("a"))]);
     let only = BTreeSet::from(["za".to_owned()]);
     for ms in (0..60_000).step_by(400) {
         granter.renew(at(ms), &name("a"), "za");
         granter.renew(at(ms), &name("b"), "zb");
-        assert_that!(granter.due(at(ms), &only, &owners, TURNS), is_empty());
+        assert_that!(granter.due(at(ms), &only, &owners, OWNER_GAP), is_empty());
     }
-    assert_that!(takeover(TURNS), gt(TENURE + TURNS));
+    assert_that!(takeover_time(OWNER_GAP), gt(LEASE_TIME + OWNER_GAP));
 }
 
 /// A machine is frozen while it owns a zone. It wakes up after its tenure has
 /// ended and has not heard yet that another owns the zone.
 #[gtest]
 fn a_tenure_ends_by_the_clock_alone() {
-    let mut owner = Tenure::default();
+    let mut owner = ZoneLease::default();
     owner.granted(at(1_000), [("za".to_owned(), 7)]);
     assert_that!(owner.fence(at(8_999), "za"), some(eq(7)));
     assert_that!(owner.fence(at(9_000), "za"), none());
@@ -90,7 +90,7 @@
 /// the newer one doesn't name.
 #[gtest]
 fn an_older_grant_changes_nothing() {
-    let mut owner = Tenure::default();
+    let mut owner = ZoneLease::default();
     owner.granted(at(2_000), []);
     owner.granted(at(1_000), [("za".to_owned(), 7)]);
     assert_that!(owner.zones(at(2_100)), is_empty());
--- a/crates/gateway/tests/zone_owner.rs
+++ b/crates/gateway/tests/zone_owner.rs
@@ -16,7 +16,7 @@
 use std::time::Duration;
 
 use base::Ticket;
-use gateway::zone_owner::{Act, Config, Ended, Input, Report};
+use gateway::zone_owner::{Action, Config, OrderOutcome, Input, Report};
 use googletest::prelude::*;
 use wire::fleet::{Running, Sync};
 use world::{World, held, load, told_for};
@@ -28,9 +28,9 @@
     world.want(&["m/x"]);
     assert_that!(world.orders.len(), eq(1));
     assert_that!(world.answers, is_empty());
-    let order = world.end(Ended::Accepted);
+    let order = world.end(OrderOutcome::Accepted);
     assert_that!(
-        (order.act, order.expected, order.fence),
+        (order.action, order.expected, order.fence),
         eq(&(load("m/x"), 0, 9))
     );
     assert_that!(world.answers.len(), eq(2));
@@ -51,7 +51,7 @@
     let mut world = World::new(1);
     for adapter in ["m/a", "m/b", "m/c"] {
         world.want(&[adapter]);
-        world.end(Ended::Accepted);
+        world.end(OrderOutcome::Accepted);
         world.pass(300);
     }
     let running = vec![Running {
@@ -70,10 +70,10 @@
     world.want(&["m/x"]);
     assert_that!(world.orders.len(), eq(1));
     assert_that!(
-        world.end(Ended::Done).act,
-        eq(&Act::Evict("m/c".to_owned()))
+        world.end(OrderOutcome::Done).action,
+        eq(&Action::Evict("m/c".to_owned()))
     );
-    assert_that!(world.end(Ended::Accepted).act, eq(&load("m/x")));
+    assert_that!(world.end(OrderOutcome::Accepted).action, eq(&load("m/x")));
 }
 
 /// An order gets no answer: it may have been carried out, or may be seconds
@@ -84,11 +84,11 @@
     let _mark = base::ExpectedMark::new("order_outcome_unknown");
     let mut world = World::new(1);
     world.want(&["m/a"]);
-    assert_that!(world.end(Ended::Unknown).expected, eq(0));
+    assert_that!(world.end(OrderOutcome::Unknown).expected, eq(0));
     assert_that!(world.orders, is_empty());
     world.pass(60);
     assert_that!(world.orders[0].expected, eq(0));
-    world.end(Ended::Conflict);
+    world.end(OrderOutcome::Conflict);
     world.want(&["m/b"]);
     assert_that!(world.orders, is_empty());
     world.pass(400);
@@ -101,7 +101,7 @@
 fn a_restart_under_the_same_id_forgets_all() {
     let mut world = World::new(1);
     world.want(&["m/a"]);
-    world.end(Ended::Accepted);
+    world.end(OrderOutcome::Accepted);
     world.pass(300);
     world.born = 2;
     world.list(&[]);
@@ -138,7 +138,7 @@
     world.want(&wants);
     let mut loads = 0;
     while !world.orders.is_empty() {
-        world.end(Ended::Accepted);
+        world.end(OrderOutcome::Accepted);
         loads += 1;
     }
     assert_that!(loads, eq(4));
@@ -176,7 +176,7 @@
     let mut world = World::new(1);
     world.list(&["m/a", "m/b", "m/c"]);
     world.want(&["m/x"]);
-    let Act::Evict(gone) = world.end(Ended::Done).act else {
+    let Action::Evict(gone) = world.end(OrderOutcome::Done).action else {
         panic!("no room was made");
     };
     world.pass(400);
@@ -189,7 +189,7 @@
     });
     let id = "e1".to_owned();
     world.give(Input::Reported { id, report });
-    assert_that!(world.end(Ended::Accepted).act, eq(&load("m/x")));
+    assert_that!(world.end(OrderOutcome::Accepted).action, eq(&load("m/x")));
     world.pass(200);
     world.list(&["m/a", "m/b", "m/c"]);
     world.want(&[&gone]);
@@ -230,7 +230,7 @@
         world.give(Input::Sync(Ticket(6), sync));
         let mut loads = 0;
         while !world.orders.is_empty() {
-            world.end(Ended::Accepted);
+            world.end(OrderOutcome::Accepted);
             loads += 1;
         }
         expect_that!(loads, eq(most), "with {elsewhere:?} elsewhere");
@@ -247,13 +247,13 @@
     world.pass(10);
     for adapter in ["m/a", "m/b", "m/c"] {
         world.want(&[adapter]);
-        world.end(Ended::Accepted);
+        world.end(OrderOutcome::Accepted);
     }
     world.now = world.now + Duration::from_secs(5);
     world.list_asked(asked, &[]);
     world.want(&["m/x"]);
     assert_that!(world.orders.len(), eq(1));
-    assert_that!(world.orders[0].act, matches_pattern!(Act::Evict(_)));
+    assert_that!(world.orders[0].action, matches_pattern!(Action::Evict(_)));
 }
 
 /// A load gets no answer and is carried out seconds later. The next order drops
@@ -266,10 +266,10 @@
     let mut world = World::new(1);
     world.list(&["m/a", "m/b", "m/c"]);
     world.want(&["m/x"]);
-    world.end(Ended::Unknown);
+    world.end(OrderOutcome::Unknown);
     world.pass(20);
     world.report_all();
-    assert_that!(world.end(Ended::Done).act, matches_pattern!(Act::Evict(_)));
+    assert_that!(world.end(OrderOutcome::Done).action, matches_pattern!(Action::Evict(_)));
     assert_that!(world.orders, is_empty());
     world.pass(400);
     assert_that!(world.reports, eq(&vec!["e1".to_owned()]));
@@ -283,7 +283,7 @@
     let mut world = World::new(1);
     world.list(&["m/a", "m/b", "m/c"]);
     world.want(&["m/x"]);
-    assert_that!(world.end(Ended::Done).act, matches_pattern!(Act::Evict(_)));
+    assert_that!(world.end(OrderOutcome::Done).action, matches_pattern!(Action::Evict(_)));
     assert_that!(world.orders, is_empty());
     world.pass(400);
     assert_that!(world.reports, eq(&vec!["e1".to_owned()]));
@@ -300,7 +300,7 @@
     world.pass(500);
     world.own_zone();
     world.want(&["m/x"]);
-    let Act::Evict(gone) = world.end(Ended::Accepted).act else {
+    let Action::Evict(gone) = world.end(OrderOutcome::Accepted).action else {
         panic!("no room was made");
     };
     world.give(Input::Sync(Ticket(14), Sync::default()));
@@ -310,7 +310,7 @@
     // Its place is still taken: nothing is loaded there.
     world.want(&["m/x"]);
     assert_that!(
-        world.orders.iter().all(|o| matches!(o.act, Act::Evict(_))),
+        world.orders.iter().all(|o| matches!(o.action, Action::Evict(_))),
         eq(true)
     );
 }
--- a/crates/gateway/tests/zone_owner/aging.rs
+++ b/crates/gateway/tests/zone_owner/aging.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use base::Time;
-use gateway::zone_owner::{Act, Config, Ended};
+use gateway::zone_owner::{Action, Config, OrderOutcome};
 use googletest::prelude::*;
 
 use crate::world::World;
@@ -21,9 +21,9 @@
 fn carry_out(world: &mut World) -> Vec<String> {
     let mut loaded = Vec::new();
     while let Some(order) = world.orders.first() {
-        let drops = matches!(order.act, Act::Evict(_));
-        let order = world.end(if drops { Ended::Done } else { Ended::Accepted });
-        if let Act::Load { adapter, .. } = order.act {
+        let drops = matches!(order.action, Action::Evict(_));
+        let order = world.end(if drops { OrderOutcome::Done } else { OrderOutcome::Accepted });
+        if let Action::Load { adapter, .. } = order.action {
             loaded.push(adapter);
         }
     }
--- a/crates/gateway/tests/zone_owner/loads.rs
+++ b/crates/gateway/tests/zone_owner/loads.rs
@@ -3,7 +3,7 @@
 use std::{collections::BTreeMap, time::Duration};
 
 use base::Ticket;
-use gateway::zone_owner::{Act, Config, Ended, Input};
+use gateway::zone_owner::{Action, Config, OrderOutcome, Input};
 use googletest::prelude::*;
 use wire::fleet::{First, Sync};
 
@@ -18,8 +18,8 @@
     let mut given = 0;
     world.own_zone();
     while let Some(order) = world.orders.first() {
-        let drops = matches!(order.act, Act::Evict(_));
-        world.end(if drops { Ended::Done } else { Ended::Accepted });
+        let drops = matches!(order.action, Action::Evict(_));
+        world.end(if drops { OrderOutcome::Done } else { OrderOutcome::Accepted });
         given += usize::from(!drops);
     }
     world.give(Input::Sync(Ticket(10), Sync::default()));
@@ -109,7 +109,7 @@
 fn a_copy_of_a_busy_adapter_goes_before_a_rare_one() {
     let mut world = World::new(2);
     world.want(&["m/busy"]);
-    world.end(Ended::Accepted);
+    world.end(OrderOutcome::Accepted);
     world.pass(2_000);
     let sync = Sync {
         demand: vec![("m/busy".to_owned(), 30), ("m/rare".to_owned(), 1)],
@@ -118,10 +118,10 @@
         ..Sync::default()
     };
     world.give(Input::Sync(Ticket(7), sync));
-    let given: Vec<_> = world.orders.iter().map(|o| o.act.clone()).collect();
+    let given: Vec<_> = world.orders.iter().map(|o| o.action.clone()).collect();
     assert_that!(given.first(), some(eq(&load("m/busy"))));
     while !world.orders.is_empty() {
-        world.end(Ended::Accepted);
+        world.end(OrderOutcome::Accepted);
     }
     let again = Sync {
         copies: vec!["m/busy".to_owned()],
@@ -262,15 +262,15 @@
         world.want(&["m/old"]);
         world.pass(250);
     }
-    world.end(Ended::Accepted);
+    world.end(OrderOutcome::Accepted);
     world.pass(10);
     while !world.orders.is_empty() {
-        world.end(Ended::Unknown);
+        world.end(OrderOutcome::Unknown);
     }
     world.want(&["m/old"]);
     world.want(&["m/new"]);
     world.pass(300);
-    let next = world.orders.iter().map(|o| o.act.clone()).next();
+    let next = world.orders.iter().map(|o| o.action.clone()).next();
     assert_that!(next, some(eq(&load("m/new"))));
 }
 
@@ -285,7 +285,7 @@
     };
     let mut world = World::new(1);
     world.give(Input::Sync(Ticket(16), busy()));
-    assert_that!(world.orders[0].act, eq(&load("m/busy")));
+    assert_that!(world.orders[0].action, eq(&load("m/busy")));
 
     let config = Config {
         zones: 16,
@@ -293,9 +293,9 @@
     };
     let mut world = World::with(1, config);
     world.want(&["m/a", "m/b", "m/c"]);
-    world.end(Ended::Accepted);
+    world.end(OrderOutcome::Accepted);
     world.give(Input::Sync(Ticket(17), busy()));
-    let given: Vec<_> = world.orders.iter().map(|o| o.act.clone()).collect();
+    let given: Vec<_> = world.orders.iter().map(|o| o.action.clone()).collect();
     assert_that!(given, not(contains(eq(&load("m/busy")))));
 }
 
--- a/crates/gateway/tests/zone_owner/many.rs
+++ b/crates/gateway/tests/zone_owner/many.rs
@@ -8,9 +8,9 @@
 
 use base::{Ticket, Time};
 use gateway::{
-    zone_owner::{Config, Ended, Holder, Input, Listed, Order, Output, Report},
+    zone_owner::{Config, OrderOutcome, ZoneOwner, Input, ListedTarget, Order, Output, Report},
     table::{Engine, Model},
-    zone_lease::Tenure,
+    zone_lease::ZoneLease,
 };
 use googletest::prelude::*;
 use wire::fleet::{Running, Sync};
@@ -22,7 +22,7 @@
 
 /// A holder of one zone whose engines are full, with many entry instances.
 struct Crowd {
-    holder: Holder,
+    owner: ZoneOwner,
     now: Time,
     orders: Vec<Order>,
     answers: usize,
@@ -31,7 +31,7 @@
 impl Crowd {
     /// Makes a holder whose engines hold so many adapters each.
     fn new(engines: usize, full: usize) -> Self {
-        let mut holder = Holder::new(Config::default(), 1);
+        let mut owner = ZoneOwner::new(Config::default(), 1);
         let spec = Engine {
             models: vec![Model {
                 name: "m".to_owned(),
@@ -41,16 +41,16 @@
             adapter_slots: PLACES,
             memory_mb: 100.0,
         };
-        holder.set_specs(BTreeMap::from([("s".to_owned(), spec)]));
+        owner.set_specs(BTreeMap::from([("s".to_owned(), spec)]));
         let mut crowd = Crowd {
-            holder,
+            owner,
             now: Time::from_millis(1_000),
             orders: Vec::new(),
             answers: 0,
         };
-        let mut tenure = Tenure::default();
-        tenure.granted(crowd.now, [("za".to_owned(), 9)]);
-        crowd.give(Input::Tenure(tenure));
+        let mut lease = ZoneLease::default();
+        lease.granted(crowd.now, [("za".to_owned(), 9)]);
+        crowd.give(Input::Lease(lease));
         crowd.list(engines, full);
         crowd
     }
@@ -60,7 +60,7 @@
             let names: Vec<_> = (0..full).map(|p| format!("m/held-{n}-{p}")).collect();
             held(&names.iter().map(String::as_str).collect::<Vec<_>>())
         };
-        let listed = (0..engines).map(|n| Listed {
+        let listed = (0..engines).map(|n| ListedTarget {
             id: format!("e{n}"),
             addr: format!("e{n}:1"),
             born: 1,
@@ -86,7 +86,7 @@
 
     fn give(&mut self, input: Input) {
         let mut out = Vec::new();
-        self.holder.handle(self.now, input, &mut out);
+        self.owner.handle(self.now, input, &mut out);
         for output in out {
             match output {
                 Output::Order(order) => self.orders.push(order),
@@ -116,13 +116,13 @@
 
     /// Every entry instance exchanges once, and a tenth of a second passes.
     fn round(&mut self, engines: usize, waiting: usize) -> u64 {
-        let before = self.holder.steps();
+        let before = self.owner.steps();
         for entry in 0..ENTRIES {
             self.exchange(entry, engines, waiting);
         }
         self.now = self.now + Duration::from_millis(100);
         self.give(Input::Wake);
-        self.holder.steps() - before
+        self.owner.steps() - before
     }
 }
 
@@ -165,22 +165,22 @@
     crowd.round(engines, 600);
     let given = std::mem::take(&mut crowd.orders);
     expect_that!(given.len(), gt(5));
-    let before = crowd.holder.steps();
+    let before = crowd.owner.steps();
     for order in &given {
-        let (id, ended) = (order.id.clone(), Ended::Accepted);
-        crowd.holder.take(crowd.now, Input::Ended { id, ended });
+        let (id, outcome) = (order.id.clone(), OrderOutcome::Accepted);
+        crowd.owner.apply(crowd.now, Input::OrderEnded { id, outcome });
     }
     for entry in 0..ENTRIES {
         let sync = Input::Sync(Ticket(entry as u64), Sync::default());
-        crowd.holder.take(crowd.now, sync);
+        crowd.owner.apply(crowd.now, sync);
     }
     let mut out = Vec::new();
-    crowd.holder.act(crowd.now, &mut out);
+    crowd.owner.poll(crowd.now, &mut out);
     // The next ones are due once these have come.
     crowd.now = crowd.now + Duration::from_millis(300);
-    crowd.holder.act(crowd.now, &mut out);
+    crowd.owner.poll(crowd.now, &mut out);
     let orders = out.iter().filter(|o| matches!(o, Output::Order(_))).count();
     expect_that!(orders, ge(given.len()));
     let most = 2 * 600 + (orders + 6) * engines * (PLACES + 2);
-    expect_that!(crowd.holder.steps() - before, lt(most as u64));
+    expect_that!(crowd.owner.steps() - before, lt(most as u64));
 }
--- a/crates/gateway/tests/zone_owner/target_updates.rs
+++ b/crates/gateway/tests/zone_owner/target_updates.rs
@@ -5,7 +5,7 @@
 //! sender's processor; so each listener names what it has.
 
 use base::Ticket;
-use gateway::zone_owner::{Ended, Held, Input, Report};
+use gateway::zone_owner::{OrderOutcome, Held, Input, Report};
 use googletest::prelude::*;
 use wire::fleet::{Sync, Synced};
 
@@ -43,7 +43,7 @@
     assert_that!(same.whole, eq(false));
     assert_that!(same.targets, none());
     world.want(&["m/x"]);
-    let order = world.end(Ended::Accepted);
+    let order = world.end(OrderOutcome::Accepted);
     let one = ask(&mut world, all.news);
     assert_that!(one.whole, eq(false));
     assert_that!(ids(&one), eq(&vec![order.id.as_str()]));
--- a/crates/gateway/tests/zone_owner/world.rs
+++ b/crates/gateway/tests/zone_owner/world.rs
@@ -4,9 +4,9 @@
 
 use base::{Ticket, Time};
 use gateway::{
-    zone_owner::{Act, Config, Ended, Held, Holder, Input, Listed, Order, Output, Report},
+    zone_owner::{Action, Config, OrderOutcome, Held, ZoneOwner, Input, ListedTarget, Order, Output, Report},
     table::{Engine, Model},
-    zone_lease::Tenure,
+    zone_lease::ZoneLease,
 };
 use wire::fleet::{Sync, Synced};
 
@@ -14,7 +14,7 @@
 
 /// A holder of one zone with engines `e1`, `e2`, and so on.
 pub(crate) struct World {
-    pub(crate) holder: Holder,
+    pub(crate) owner: ZoneOwner,
     pub(crate) now: Time,
     pub(crate) engines: usize,
     pub(crate) born: u64,
@@ -29,7 +29,7 @@
     }
 
     pub(crate) fn with(engines: usize, config: Config) -> Self {
-        let mut holder = Holder::new(config, 1);
+        let mut owner = ZoneOwner::new(config, 1);
         let spec = Engine {
             models: vec![Model {
                 name: "m".to_owned(),
@@ -39,9 +39,9 @@
             adapter_slots: SLOTS,
             memory_mb: 100.0,
         };
-        holder.set_specs(BTreeMap::from([("s".to_owned(), spec)]));
+        owner.set_specs(BTreeMap::from([("s".to_owned(), spec)]));
         let mut world = World {
-            holder,
+            owner,
             now: Time::from_millis(1_000),
             engines,
             born: 1,
@@ -57,14 +57,14 @@
 
     /// Renews the right to give orders to the zone.
     pub(crate) fn own_zone(&mut self) {
-        let mut tenure = Tenure::default();
-        tenure.granted(self.now, [("za".to_owned(), 9)]);
-        self.give(Input::Tenure(tenure));
+        let mut lease = ZoneLease::default();
+        lease.granted(self.now, [("za".to_owned(), 9)]);
+        self.give(Input::Lease(lease));
     }
 
     pub(crate) fn give(&mut self, input: Input) {
         let mut out = Vec::new();
-        self.holder.handle(self.now, input, &mut out);
+        self.owner.handle(self.now, input, &mut out);
         for output in out {
             match output {
                 Output::Order(order) => self.orders.push(order),
@@ -90,7 +90,7 @@
 
     fn list_of(&mut self, asked: Time, held: &Held) {
         let ids = (1..=self.engines).map(|n| format!("e{n}"));
-        let listed = ids.map(|id| Listed {
+        let listed = ids.map(|id| ListedTarget {
             addr: format!("{id}:1"),
             id,
             born: self.born,
@@ -137,10 +137,10 @@
     }
 
     /// Carries out the oldest order.
-    pub(crate) fn end(&mut self, ended: Ended) -> Order {
+    pub(crate) fn end(&mut self, outcome: OrderOutcome) -> Order {
         let order = self.orders.remove(0);
         let id = order.id.clone();
-        self.give(Input::Ended { id, ended });
+        self.give(Input::OrderEnded { id, outcome });
         order
     }
 
@@ -157,8 +157,8 @@
     }
 }
 
-pub(crate) fn load(adapter: &str) -> Act {
-    Act::Load {
+pub(crate) fn load(adapter: &str) -> Action {
+    Action::Load {
         adapter: adapter.to_owned(),
         version: None,
     }
@@ -167,8 +167,8 @@
 /// Gives every order its usual end until none is left.
 pub(crate) fn settle_orders(world: &mut World) {
     while let Some(order) = world.orders.first() {
-        let drops = matches!(order.act, Act::Evict(_));
-        world.end(if drops { Ended::Done } else { Ended::Accepted });
+        let drops = matches!(order.action, Action::Evict(_));
+        world.end(if drops { OrderOutcome::Done } else { OrderOutcome::Accepted });
     }
 }
 
