--- a/crates/gateway/tests/backup.rs
+++ b/crates/gateway/tests/backup.rs
@@ -1,4 +1,4 @@
-//! Where the memory of a run is kept as well, and when it may be used.
+//! Choice of targets for copies of KV caches, and when the copies may be used.
 
 use std::time::Duration;
 
@@ -9,7 +9,8 @@
 
 const NOW: Time = Time(1_000_000);
 
-/// What a target holds: weights of `m`, version of the adapter `m/x`; zero is not known.
+/// What a target holds: version of the weights of `m` and of the adapter `m/x`; zero
+/// means unknown.
 type Held = (u32, u32);
 
 const ORIGIN: Origin = Origin {
@@ -59,7 +60,8 @@
 }
 
 base::cases! {
-    /// Guards against memory that is kept where it means something else.
+    /// Guards against a copy at a target with other weights or another version, where it
+    /// is useless.
     memory_is_kept_where_the_same_would_be_made: check_kept => {
         alike: (((4, 2), (4, 2)), Some(4)),
         other_weights: (((4, 2), (1, 2)), None),
@@ -74,7 +76,7 @@
 /// A copy is kept in another zone rather than nowhere, and not at a nearer engine without
 /// the adapter.
 #[gtest]
-fn a_second_holder_keeps_the_memory_of_a_run() {
+fn a_second_holder_keeps_a_copy_of_the_kv_cache() {
     let mut targets: Vec<_> = ["a", "b", "c"].map(|id| target(id, (4, 2))).into();
     targets[1].zone = "zb".to_owned();
     targets[2].residents.pop();
@@ -85,17 +87,17 @@
     assert_that!(kept("m/y"), none());
 }
 
-/// Guards against a stream that breaks off as the target of its copy has just refused
-/// another request for a moment.
+/// Guards against a stream that is cut because the target of its copy has refused another
+/// request for the adapter a moment ago.
 #[gtest]
-fn a_target_that_is_busy_still_takes_what_goes_on() {
+fn a_busy_target_still_takes_a_continued_stream() {
     let mut view = view(&[("a", (4, 2)), ("b", (4, 2))]);
     let backup = view.backup(NOW, "s", "m/x", "a").unwrap();
     view.adapter_not_ready(NOW, "b", "m/x", Duration::from_millis(30));
     assert_that!(view.check_restore(NOW, "m/x", &backup), eq(Ok(())));
 }
 
-/// The least loaded engine has other weights, and isn't chosen.
+/// The least loaded engine has other weights and is not chosen.
 #[gtest]
 fn another_holder_of_the_same_is_found_among_many() {
     let held = [("a", (4, 2)), ("b", (1, 2)), ("c", (4, 2)), ("d", (4, 3))];
@@ -106,9 +108,9 @@
     assert_that!(view.backup(NOW, "s", "m/y", "a"), none());
 }
 
-/// The base model itself is told apart by its weights alone.
+/// For the base model itself only the version of its weights counts.
 #[gtest]
-fn runs_of_the_base_model_have_its_weights_as_version() {
+fn streams_of_the_base_model_have_its_weights_as_version() {
     let view = view(&[("a", (4, 2)), ("b", (4, 9))]);
     let backup = view.backup(NOW, "s", "m", "a").unwrap();
     assert_that!((backup.origin.weights, backup.origin.version), eq((4, 4)));
@@ -124,7 +126,8 @@
 }
 
 base::cases! {
-    /// Guards against a copy whose engine has changed since the run began.
+    /// Guards against use of a copy whose engine has changed weights or version since the
+    /// stream started.
     a_copy_is_used_only_where_nothing_has_changed: check_restores => {
         as_it_was: (Some((4, 2)), Ok(())),
         restarted_with_other_weights: (Some((7, 2)), Err(Unused::Weights)),
@@ -134,10 +137,10 @@
     }
 }
 
-/// Guards against the rest of a run that begins on an old version of its adapter, seconds
-/// after a newer one was acknowledged.
+/// Guards against a stream that continues on an old version of its adapter seconds after
+/// a newer one was acknowledged.
 #[gtest]
-fn a_run_goes_on_under_an_old_version_for_three_seconds_only() {
+fn a_stream_continues_on_an_old_version_for_three_seconds_only() {
     let mut view = view(&[("a", (4, 2)), ("b", (4, 2))]);
     let backup = view.backup(NOW, "s", "m/x", "a").unwrap();
     let at = |ms| NOW + Duration::from_millis(ms);
--- a/crates/gateway/tests/budget.rs
+++ b/crates/gateway/tests/budget.rs
@@ -1,4 +1,4 @@
-//! The budget of repeats that all instances share without hearing each other.
+//! The retry budget that all instances share without communicating.
 
 use std::time::Duration;
 
@@ -12,9 +12,8 @@
     window: Duration::from_secs(10),
 };
 
-/// Every target fails, and every instance would repeat each of its requests.
-/// Each knows only its own requests. Together they stay within the shared
-/// budget at any moment.
+/// Every target fails, and every instance would retry each of its requests. Each knows
+/// only its own requests; together they must stay within the shared budget at any moment.
 #[gtest]
 fn instances_together_stay_within_the_budget() {
     let instances = 7;
@@ -38,7 +37,7 @@
 }
 
 #[gtest]
-fn what_is_past_the_window_counts_no_more() {
+fn requests_before_the_window_do_not_count() {
     let mut budget = Budget::new(LIMITS);
     let spend = |budget: &mut Budget, at| (0..99).filter(|_| budget.try_retry(at, "s", 1)).count();
     let first = spend(&mut budget, Time::from_millis(0));
--- a/crates/gateway/tests/download.rs
+++ b/crates/gateway/tests/download.rs
@@ -1,4 +1,4 @@
-//! How newer editions come, part by part.
+//! Download of newer editions, part by part.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -12,7 +12,7 @@
 
 const NOW: Time = Time(1_000_000);
 
-/// Editions that a source kept besides its newest one.
+/// Older editions that a source keeps besides its newest one.
 const KEPT: usize = 3;
 
 fn edition(number: u64, parts: usize) -> Edition {
@@ -25,7 +25,8 @@
     Part::of(edition, digest(&edition.body), from).expect("a part of the text")
 }
 
-/// Asks and answers until nothing more is asked for; returns what came whole.
+/// Requests and answers until no more is requested; returns the numbers of the complete
+/// editions.
 fn get(download: &mut Download<u8>, editions: &[Edition]) -> Vec<u64> {
     let mut whole = Vec::new();
     while let Some(ask) = download.next_request(NOW) {
@@ -40,7 +41,7 @@
 }
 
 #[gtest]
-fn an_edition_comes_whole() {
+fn an_edition_arrives_complete() {
     let mut download = Download::default();
     download.announced(1, 7, 0);
     assert_that!(get(&mut download, &[edition(7, 4)]), elements_are![eq(&7)]);
@@ -48,7 +49,7 @@
 }
 
 #[gtest]
-fn an_empty_edition_comes_too() {
+fn an_empty_edition_arrives() {
     let mut download = Download::default();
     download.announced(1, 7, 0);
     assert_that!(get(&mut download, &[edition(7, 0)]), elements_are![eq(&7)]);
@@ -63,9 +64,8 @@
     assert_that!(download.next_request(NOW), none());
 }
 
-/// A control instance is cut off in the middle of an edition. The entry instance
-/// goes on with the next part from another one; it doesn't begin anew, which would
-/// take it the whole time once more.
+/// A control instance is cut off in the middle of an edition. The entry instance requests
+/// the next part from another one; starting over would take the full time once more.
 #[gtest]
 fn what_has_come_is_kept_when_its_source_falls_silent() {
     let edition = edition(7, 4);
@@ -74,24 +74,24 @@
     download.announced(2, 7, 1);
     let first = download.next_request(NOW).expect("a source");
     assert_that!(first.source, eq(1));
-    let come = download.handle_result(NOW, PartResult::Part(part(&edition, 0)));
-    assert_that!(come, ok(none()));
+    let received = download.handle_result(NOW, PartResult::Part(part(&edition, 0)));
+    assert_that!(received, ok(none()));
     download.next_request(NOW);
     assert_that!(download.handle_result(NOW, PartResult::Failed), ok(none()));
     let next = download.next_request(NOW).expect("another source");
     assert_that!((next.source, next.from), eq((2, PART_SIZE as u64)));
 }
 
-/// All exchanges are lost for a moment, as on a link that is full. What had come of
-/// an edition was dropped with its sources, and it began anew each time.
+/// All exchanges are lost for a moment, as on a saturated link. The received parts were
+/// dropped together with their sources, and the download started over each time.
 #[gtest]
 fn what_has_come_is_kept_while_nobody_is_heard() {
     let edition = edition(7, 4);
     let mut download = Download::default();
     download.announced(1, 7, 0);
     download.next_request(NOW);
-    let come = download.handle_result(NOW, PartResult::Part(part(&edition, 0)));
-    assert_that!(come, ok(none()));
+    let received = download.handle_result(NOW, PartResult::Part(part(&edition, 0)));
+    assert_that!(received, ok(none()));
     download.remove_source(1);
     assert_that!(download.next_request(NOW), none());
     download.announced(1, 7, 0);
@@ -99,38 +99,39 @@
     assert_that!(next.from, eq(PART_SIZE as u64));
 }
 
-/// Operators change the configuration again and again. What was begun is finished
-/// before the newer one is begun; each would else be overtaken, and none in force.
+/// Operators change the configuration repeatedly. A download is finished before a newer
+/// edition is started; otherwise each would be overtaken and none put into force.
 #[gtest]
 fn an_edition_that_was_begun_is_finished() {
     let editions = [edition(7, 3), edition(8, 3)];
     let mut download = Download::default();
     download.announced(1, 7, 0);
     download.next_request(NOW);
-    let come = download.handle_result(NOW, PartResult::Part(part(&editions[0], 0)));
-    assert_that!(come, ok(none()));
+    let received = download.handle_result(NOW, PartResult::Part(part(&editions[0], 0)));
+    assert_that!(received, ok(none()));
     download.announced(1, 8, 0);
     assert_that!(get(&mut download, &editions), elements_are![eq(&7), eq(&8)]);
 }
 
-/// The edition that was begun is kept nowhere any more: the newest one is begun
-/// instead of asking for ever.
+/// No source keeps the started edition any more: the newest one is started instead of
+/// requesting the old one forever.
 #[gtest]
 fn an_edition_that_is_gone_gives_way_to_the_newest() {
     let mut download = Download::default();
     download.announced(1, 7, 0);
     download.next_request(NOW);
-    let come = download.handle_result(NOW, PartResult::Part(part(&edition(7, 3), 0)));
-    assert_that!(come, ok(none()));
+    let received = download.handle_result(NOW, PartResult::Part(part(&edition(7, 3), 0)));
+    assert_that!(received, ok(none()));
     download.announced(1, 9, 0);
     assert_that!(get(&mut download, &[edition(9, 2)]), elements_are![eq(&9)]);
 }
 
-/// All control instances have come back without the edition that they told of, after
-/// their disks were lost. Asked for it again at once, as fast as messages travel, they
-/// had no time for what they were restoring; and what they do have was never got.
+/// All control instances are back without the edition that they announced, after losing
+/// their disks. When they were asked for it again at once, as fast as messages travel,
+/// they had no time to restore their state, and the edition that they do have was never
+/// downloaded.
 #[gtest]
-fn a_source_without_what_it_told_is_not_asked_again_until_it_tells_anew() {
+fn a_source_without_its_announced_edition_is_not_asked_until_it_announces_again() {
     let mut download = Download::default();
     download.announced(1, 9, 0);
     download.announced(2, 9, 1);
@@ -141,14 +142,14 @@
         assert_that!(asked, le(2), "asked {:?}", ask.source);
         assert_that!(download.handle_result(NOW, PartResult::Missing), ok(none()));
     }
-    let come = download.handle_result(NOW, PartResult::Part(part(&edition(7, 1), 0)));
-    assert_that!(come, ok(some(anything())));
+    let received = download.handle_result(NOW, PartResult::Part(part(&edition(7, 1), 0)));
+    assert_that!(received, ok(some(anything())));
     download.announced(1, 9, 0);
     assert_that!(get(&mut download, &[edition(9, 1)]), elements_are![eq(&9)]);
 }
 
-/// All parts have come, and the text isn't what was meant: a part was changed on its
-/// way by somebody who wrote a sound one. Nothing of it is put into force.
+/// All parts have arrived, but the text does not have the announced hash: a part was
+/// replaced by another valid one on its way. Nothing of it is put into force.
 #[gtest]
 fn parts_that_make_another_text_are_dropped() {
     let (one, other) = (edition(7, 1), edition(8, 1));
@@ -158,12 +159,12 @@
     let mut download = Download::default();
     download.announced(1, 7, 0);
     download.next_request(NOW);
-    let come = download.handle_result(NOW, PartResult::Part(forged));
-    assert_that!(come, err(eq(&BadPart::HashMismatch)));
+    let received = download.handle_result(NOW, PartResult::Part(forged));
+    assert_that!(received, err(eq(&BadPart::HashMismatch)));
 }
 
-/// Two control instances hold different texts under one number. Joined they would
-/// make routes that no operator wrote.
+/// Two control instances hold different texts under one number. Joined they would make
+/// routes that no operator wrote.
 #[gtest]
 fn parts_of_two_texts_are_not_joined() {
     let (one, mut other) = (edition(7, 3), edition(8, 3));
@@ -171,12 +172,12 @@
     let mut download = Download::default();
     download.announced(1, 7, 0);
     download.next_request(NOW);
-    let come = download.handle_result(NOW, PartResult::Part(part(&one, 0)));
-    assert_that!(come, ok(none()));
+    let received = download.handle_result(NOW, PartResult::Part(part(&one, 0)));
+    assert_that!(received, ok(none()));
     let next = download.next_request(NOW).expect("the second part");
-    let come = download.handle_result(NOW, PartResult::Part(part(&other, next.from)));
-    assert_that!(come, err(eq(&BadPart::OtherText)));
-    let anew = download.next_request(NOW).expect("it is asked for anew");
+    let received = download.handle_result(NOW, PartResult::Part(part(&other, next.from)));
+    assert_that!(received, err(eq(&BadPart::OtherText)));
+    let anew = download.next_request(NOW).expect("it is requested again");
     assert_that!(anew.from, eq(0));
 }
 
@@ -187,12 +188,12 @@
     let mut download = Download::default();
     download.announced(1, 7, 0);
     download.next_request(NOW);
-    let come = download.handle_result(NOW, PartResult::Part(damaged));
-    assert_that!(come, err(anything()));
+    let received = download.handle_result(NOW, PartResult::Part(damaged));
+    assert_that!(received, err(anything()));
 }
 
-/// A source refuses connections. The others are asked until it has had time to
-/// come back; where there is no other it is asked all the same.
+/// A source refuses connections. The others are asked until it has had time to recover;
+/// if there is no other, it is asked nevertheless.
 #[gtest]
 fn a_source_that_failed_comes_last_for_a_while() {
     let mut download = Download::default();
@@ -210,7 +211,7 @@
     assert_that!(source(&mut download, later), eq(1));
 }
 
-/// A small generator, so that a failing run can be repeated by its seed.
+/// A pseudo-random generator, so that a failing run can be reproduced by its seed.
 struct Draw(u64);
 
 impl Draw {
@@ -220,9 +221,9 @@
     }
 }
 
-/// Sources that forget old editions, lag behind each other, refuse and fall silent,
-/// while new editions come. Whatever came whole is as published, numbers only rise,
-/// and in the end the newest is there.
+/// Sources forget old editions, lag behind each other, refuse and do not answer, while
+/// new editions are published. Every complete edition is as published, numbers only rise,
+/// and in the end the newest one is there.
 fn random(seed: u64) {
     let mut draw = Draw(seed);
     let mut published: Vec<Edition> = Vec::new();
@@ -260,8 +261,8 @@
             (Some(found), _) => PartResult::Part(part(found, ask.from)),
             (None, _) => PartResult::Missing,
         };
-        let come = download.handle_result(now, got).expect("sound parts");
-        if let Some((number, text)) = come {
+        let received = download.handle_result(now, got).expect("sound parts");
+        if let Some((number, text)) = received {
             assert!(number > held, "seed {seed}: {number} after {held}");
             let meant = published.iter().find(|e| e.number == number).unwrap();
             assert_eq!(text, meant.body, "seed {seed}");
@@ -269,7 +270,7 @@
         }
     }
     let newest = published.last().map_or(0, |e| e.number);
-    assert_eq!(held, newest, "seed {seed}: the newest came");
+    assert_eq!(held, newest, "seed {seed}: the newest edition arrived");
 }
 
 #[gtest]
--- a/crates/gateway/tests/home.rs
+++ b/crates/gateway/tests/home.rs
@@ -1,4 +1,4 @@
-//! Which zone loads an adapter that nobody holds.
+//! Home zones of adapters that no target holds.
 
 use gateway::home::home;
 use googletest::prelude::*;
@@ -7,8 +7,8 @@
     names.iter().map(|name| (*name).to_owned()).collect()
 }
 
-/// A zone's owner is lost. Only the adapters at home there may move, or all
-/// other zones would load what they have never held.
+/// A zone's owner is lost. Only the adapters whose home is that zone may move, or all
+/// other zones would load adapters they have never held.
 #[gtest]
 fn a_lost_zone_moves_only_its_own_adapters() {
     let all = zones(&["za", "zb", "zc", "zd"]);
--- a/crates/gateway/tests/list_fallback.rs
+++ b/crates/gateway/tests/list_fallback.rs
@@ -1,4 +1,4 @@
-//! When an entry instance reads the platform's list itself.
+//! Reads of the platform's target list by entry instances.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 const STEP: Duration = Duration::from_millis(250);
 const INSTANCES: u64 = 200;
 
-/// Calls a second that the platform allows to all instances together.
+/// Calls per second that the platform allows to all instances together.
 const ALLOWED: usize = 260;
 
 fn zones() -> Vec<String> {
@@ -18,9 +18,9 @@
         .to_vec()
 }
 
-/// Plays ten seconds in which the owners of some zones are silent; returns for each step
-/// what each instance reads.
-fn play(silent: usize) -> Vec<Vec<Option<Read>>> {
+/// Simulates ten seconds in which the owners of some zones are not heard from; returns
+/// for each step what each instance reads.
+fn simulate(unheard: usize) -> Vec<Vec<Option<Read>>> {
     let zones = zones();
     let mut now = Time::from_millis(1_000);
     let spread = |n: u64| base::stable_hash(&[&n.to_le_bytes()]);
@@ -30,7 +30,7 @@
     let steps = (0..40).map(|_| {
         now = now + STEP;
         let each = all.iter_mut().map(|alone| {
-            alone.heard(now, &zones[silent..]);
+            alone.heard(now, &zones[unheard..]);
             alone.due(now)
         });
         each.collect()
@@ -39,10 +39,10 @@
 }
 
 /// The owner of one zone is lost. Every instance read the lists of all zones each second:
-/// more calls than the platform takes, and most were refused.
+/// more calls than the platform allows, and most were refused.
 #[gtest]
 fn the_loss_of_an_owner_costs_few_calls() {
-    let steps = play(1);
+    let steps = simulate(1);
     for second in steps.windows(4) {
         let reads = second.iter().flatten().flatten();
         let calls: usize = reads
@@ -55,10 +55,10 @@
     }
 }
 
-/// A zone that nobody speaks for is read often enough for what leaves there.
+/// A zone without an owner is read often enough to notice targets that leave.
 #[gtest]
 fn a_silent_zone_is_read_every_two_seconds() {
-    let steps = play(1);
+    let steps = simulate(1);
     for instance in 0..INSTANCES as usize {
         let reads: Vec<_> = steps.iter().map(|step| step[instance].clone()).collect();
         let at = reads.iter().position(Option::is_some);
@@ -71,14 +71,14 @@
 
 #[gtest]
 fn nothing_is_read_while_all_owners_speak() {
-    expect_that!(play(0).iter().flatten().flatten().count(), eq(0));
+    expect_that!(simulate(0).iter().flatten().flatten().count(), eq(0));
 }
 
 #[gtest]
 fn most_zones_are_read_in_one_list() {
-    let steps = play(5);
+    let steps = simulate(5);
     let reads: Vec<_> = steps.into_iter().flatten().flatten().collect();
-    let silent = zones()[..5].to_vec();
+    let unheard = zones()[..5].to_vec();
     expect_that!(reads, not(is_empty()));
-    expect_that!(reads, each(eq(&Read::All(silent))));
+    expect_that!(reads, each(eq(&Read::All(unheard))));
 }
--- a/crates/gateway/tests/revisions.rs
+++ b/crates/gateway/tests/revisions.rs
@@ -1,4 +1,4 @@
-//! How named versions are told.
+//! Delivery of adapter versions set by operators.
 
 use std::collections::BTreeMap;
 
@@ -22,10 +22,11 @@
     assert_that!(told.versions, elements_are![eq(&("b".to_owned(), 2))]);
 }
 
-/// A control instance has restarted. What the asker knew of its life before matches
-/// nothing, and it is told all again; it would else miss versions named in between.
+/// A control instance has restarted. A number known from its previous incarnation matches
+/// nothing, so the requester gets all versions again; otherwise it would miss versions
+/// set in between.
 #[gtest]
-fn another_life_tells_all_again() {
+fn another_incarnation_sends_all_again() {
     let mut before = Revisions::new(7_000);
     before.update(&versions(&[("a", 1)]));
     let known = before.since(0).known;
@@ -34,8 +35,8 @@
     assert_that!(after.since(known).versions, len(eq(2)));
 }
 
-/// Ten thousand versions have been named when an entry instance starts. They come in
-/// parts that its link can carry, while versions go on changing, and all come.
+/// Ten thousand versions have been set when an entry instance starts. They are sent in
+/// parts that its link can carry, while versions go on changing, and all of them arrive.
 #[gtest]
 fn many_versions_come_in_parts() {
     let mut all: BTreeMap<String, u32> = (0..10_000).map(|n| (format!("a{n}"), 1)).collect();
--- a/crates/gateway/tests/spread.rs
+++ b/crates/gateway/tests/spread.rs
@@ -1,4 +1,4 @@
-//! Where the requests of many instances go that all heard the same loads.
+//! Choice of targets by many instances that know the same loads.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -29,8 +29,8 @@
     }
 }
 
-/// Returns how many requests each target gets when each instance sends one, all by the
-/// same word of how much runs where.
+/// Returns how many requests each target gets when each instance sends one, all with the
+/// same information on running requests.
 fn sent(running: &[(String, u32)]) -> BTreeMap<String, usize> {
     let zones = ["za".to_owned()];
     let mut sent = BTreeMap::new();
@@ -47,9 +47,9 @@
     sent
 }
 
-/// A busy adapter has eight holders, and one of them has a request less than the others.
-/// All instances send there until they hear of each other: its queue takes seconds, while
-/// the other seven are idle.
+/// A busy adapter has eight holders, and one of them has one request less than the
+/// others. All instances sent there until they heard of each other's requests: its queue
+/// took seconds to process, while the other seven were idle.
 #[gtest]
 fn instances_do_not_all_choose_the_same_target() {
     let running: Vec<_> = (0..TARGETS)
@@ -61,7 +61,7 @@
     expect_that!(sent.values().max(), some(le(&(mean * 3))));
 }
 
-/// One holder is behind by more than instances can add at once. Nobody is sent there.
+/// One holder has a larger backlog than instances can add at once. It gets no requests.
 #[gtest]
 fn a_target_that_is_clearly_fuller_is_left_alone() {
     let running: Vec<_> = (0..TARGETS)
@@ -70,7 +70,7 @@
     expect_that!(sent(&running).get("e5"), none());
 }
 
-/// One instance sends many requests. It knows of its own, and fills all alike.
+/// One instance sends many requests. It knows of its own and fills all targets evenly.
 #[gtest]
 fn one_instance_fills_targets_alike() {
     let zones = ["za".to_owned()];
@@ -88,8 +88,8 @@
     expect_that!(counts.values().min(), some(ge(&4)));
 }
 
-/// All holders but one can't be reached, or have refused the request. Drawn by chance
-/// alone, they would be asked again.
+/// All holders but one can't be reached, or have refused the request. A purely random
+/// choice would send it to them again.
 #[gtest]
 fn what_is_clearly_worse_is_not_drawn() {
     let zones = ["za".to_owned()];
@@ -109,8 +109,8 @@
     }
 }
 
-/// One engine takes three times as long as the others. It gets about a third of what they
-/// get, and not nothing: it can serve that much in time.
+/// One engine takes three times as long as the others. It gets about a third of their
+/// requests, not none: it can serve that many in time.
 #[gtest]
 fn a_slow_target_gets_what_it_can_serve() {
     let zones = ["za".to_owned()];
@@ -129,7 +129,7 @@
     expect_that!(counts.get("e2"), some(all!(ge(&1), le(&6))));
 }
 
-/// What a slow target has before it counts for as long as it takes there.
+/// The backlog of a slow target counts with the time that this target needs for it.
 #[gtest]
 fn a_copy_is_due_where_the_only_holder_is_slow() {
     let zones = ["za".to_owned(), "zb".to_owned()];
@@ -141,7 +141,7 @@
         idle.residents.clear();
         let mut view = View::new("za", Seed(1));
         view.set_targets(NOW, &zones, vec![slow, idle]);
-        // 0.13 s of prompts for a target of the usual speed.
+        // 0.13 s of prompts for a target of typical speed.
         view.begin("e0", "m/x", 4_000);
         expect_that!(view.zone_for_copy(NOW, "s", "m/x", load), eq(zone));
     }
--- a/crates/gateway/tests/table.rs
+++ b/crates/gateway/tests/table.rs
@@ -1,4 +1,4 @@
-//! Routes: what a table refuses, and which route a request finds.
+//! Route tables: which ones are refused, and which route a request gets.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -35,7 +35,7 @@
 }
 
 base::cases! {
-    /// One wrong thing each.
+    /// Each case has a single fault.
     a_bad_table_is_refused: refused => {
         unknown_service: (|r| r.split[0].0 = "x".to_owned(), "unknown service"),
         same_place: (|r| r.prefix = "/b/".to_owned(), "two routes"),
--- a/crates/gateway/tests/view.rs
+++ b/crates/gateway/tests/view.rs
@@ -1,4 +1,4 @@
-//! Which target an entry instance chooses.
+//! Choice of a target by an entry instance.
 
 use std::{collections::BTreeSet, time::Duration};
 
@@ -76,9 +76,9 @@
     assert_that!(choose(&view, "m/x"), eq(&Choice::Wait(wait)));
 }
 
-/// The only holder of an adapter crashes. It is listed for seconds more, and
-/// refuses connections within a millisecond: six requests in 20 ms went to it
-/// and none was served, although another engine could have loaded the adapter.
+/// The only holder of an adapter crashes. It is listed for seconds more and refuses
+/// connections within a millisecond: six requests in 20 ms went to it and none was
+/// served, although another engine could have loaded the adapter.
 #[gtest]
 fn a_holder_out_of_reach_counts_as_none() {
     let mut view = view(vec![target("a", "za", &[("m/x", 1, 0)])]);
@@ -90,8 +90,8 @@
     assert_that!(choice, eq(&send("a")));
 }
 
-/// A target runs what it is sent and loses every answer. It counted as out of
-/// reach, so that the adapters it holds were loaded again elsewhere.
+/// A target executes its requests and loses every answer. It counted as unreachable, so
+/// the adapters it holds were loaded again elsewhere.
 #[gtest]
 fn a_target_that_breaks_off_is_still_a_holder() {
     let mut view = view(vec![target("a", "za", &[("m/x", 1, 0)])]);
@@ -100,8 +100,8 @@
     assert_that!(view.failing(NOW), is_empty());
 }
 
-/// A target fails half of its requests while its health is good. It keeps its
-/// place in the list, and requests go on failing there.
+/// A target fails half of its requests while its health check succeeds. It stays in the
+/// list, and requests kept failing there.
 #[gtest]
 fn a_target_that_fails_often_is_avoided_and_tried_again() {
     let mut view = view(vec![target("a", "za", &[]), target("b", "zb", &[])]);
@@ -114,8 +114,8 @@
     assert_that!(choice, eq(&send("a")));
 }
 
-/// Long prompts for a busy adapter come to one engine together. It reads them
-/// between the steps of its running streams, which pause for over 300 ms.
+/// Long prompts for a busy adapter are sent to one engine together. It reads them between
+/// the decoding steps of its running streams, which stalled for over 300 ms.
 #[gtest]
 fn unread_prompts_count_as_load() {
     let held = [("m/x", 1, 0)];
@@ -126,10 +126,10 @@
     assert_that!(choose(&view, "m/x"), eq(&send("a")));
 }
 
-/// The owner of one zone tells its targets; those of the other zone stay as its
-/// own owner told them, and a request that still runs keeps its count.
+/// The owner of one zone reports its targets; those of the other zone stay as reported by
+/// their own owner, and a request that still runs keeps its count.
 #[gtest]
-fn news_of_one_zone_leaves_the_others_alone() {
+fn updates_of_one_zone_leave_the_others_unchanged() {
     let mut view = view(vec![target("a", "za", &[]), target("b", "zb", &[])]);
     view.begin("a", "", 0);
     view.set_targets(NOW, &["za".to_owned()], Vec::new());
@@ -140,9 +140,10 @@
     assert_that!(view.running(&["za".to_owned()]), is_empty());
 }
 
-/// A load takes longer than told, and the engine refuses the first request. Taken
-/// for dropped, the adapter was asked for again and the request sent again at once,
-/// until the budget of repeats was used up. It is on its way, and waited for.
+/// A load takes longer than announced, and the engine refuses the first request. The
+/// adapter was taken for evicted and asked for again, and the request was sent again at
+/// once, until the retry budget was exhausted. It must count as loading, and be waited
+/// for.
 #[gtest]
 fn an_adapter_that_is_late_is_still_on_its_way() {
     let _mark = base::ExpectedMark::new("sent_too_early");
@@ -158,8 +159,8 @@
     assert_that!(view.take_firsts(&["za".to_owned()]), is_empty());
 }
 
-/// An adapter that was there is dropped, and its engine refuses. Nothing is on its
-/// way; it has to be asked for at once.
+/// An adapter that was usable is evicted, and its engine refuses a request. No load is in
+/// progress; it has to be asked for at once.
 #[gtest]
 fn an_adapter_that_was_there_and_is_refused_is_missing() {
     let mut view = view(vec![target("a", "za", &[("m/x", 1, 0)])]);
@@ -177,8 +178,8 @@
     assert_that!(firsts[0].held, eq(true));
 }
 
-/// One adapter gets a fifth of all requests. Its only holder had three seconds of
-/// prompts to read while other engines were idle, and each caller came late.
+/// One adapter gets a fifth of all requests. Its only holder had a backlog of three
+/// seconds of prompts while other engines were idle, and each caller was served late.
 #[gtest]
 fn a_copy_is_asked_for_once_all_holders_are_behind() {
     let load = Duration::from_millis(250);
@@ -195,12 +196,12 @@
     assert_that!(crowded(&view), none());
     view.set_unread(&["za".to_owned()], [("b".to_owned(), 20_000)]);
     assert_that!(crowded(&view), some(eq("zb")));
-    // Elsewhere is no place for it either.
+    // The other zone has no suitable target either.
     view.set_unread(&["zb".to_owned()], [("c".to_owned(), 20_000)]);
     assert_that!(crowded(&view), none());
 }
 
-/// What others have sent to a target counts in the choice of one.
+/// Prompts that other instances have sent to a target count in the choice.
 #[gtest]
 fn unread_prompts_of_others_are_avoided() {
     let held = &[("m/x", 1, 0)];
@@ -209,7 +210,7 @@
     assert_that!(choose(&view, "m/x"), eq(&send("b")));
 }
 
-/// Engines that read twice as fast are behind with twice as many tokens only.
+/// Engines that read twice as fast have a backlog only with twice as many tokens.
 #[gtest]
 fn how_fast_targets_read_is_learned() {
     let load = Duration::from_millis(250);
@@ -225,10 +226,10 @@
     assert_that!(view.zone_for_copy(NOW, "s", "m/x", load), none());
 }
 
-/// What the holder says of an adapter that isn't on its way counts until it would
-/// have been said anew.
+/// The zone owner's announced wait for an adapter whose load is not ordered yet is valid
+/// until a newer one is due.
 #[gtest]
-fn the_word_on_a_missing_adapter_ages() {
+fn the_announced_wait_for_a_missing_adapter_expires() {
     let mut view = view(vec![target("a", "za", &[])]);
     let wait = Duration::from_secs(2);
     view.set_waits(NOW, vec![("m/x".to_owned(), wait)]);
@@ -239,8 +240,8 @@
     assert_that!(view.expected(late, "m/x"), none());
 }
 
-/// Only what has changed at targets is told. The others stay as they are, and so do the
-/// requests under way at those that changed or are gone.
+/// Only changed targets are sent. The others stay unchanged, and so do the counts of
+/// requests running at those that changed or are gone.
 #[gtest]
 fn a_change_at_one_target_leaves_the_others() {
     let mut view = view(vec![
@@ -260,10 +261,11 @@
     assert_that!(view.running(&["za".to_owned()]), is_empty());
 }
 
-/// An engine refuses a request for what it is said to hold. What is dropped here has to be
-/// told again, or the engine would hold it for nobody.
+/// An engine refuses a request for an adapter that it is said to hold. The adapter is
+/// dropped from the view and has to be announced again, or no request would use it there
+/// any more.
 #[gtest]
-fn a_target_that_showed_otherwise_is_doubted_once() {
+fn a_target_that_lacks_an_announced_adapter_is_requested_again_once() {
     let mut view = view(vec![
         target("a", "za", &[("m/x", 1, 0)]),
         target("b", "zb", &[("m/x", 1, 0)]),
--- a/crates/gateway/tests/warmup.rs
+++ b/crates/gateway/tests/warmup.rs
@@ -1,4 +1,4 @@
-//! Whether a restarted entry instance knows what it can serve.
+//! Whether a restarted entry instance already knows its targets.
 
 use std::time::Duration;
 
@@ -27,10 +27,10 @@
     Warmup::new(NOW, &["za".to_owned(), "zb".to_owned()])
 }
 
-/// All processes restart. The owner of a zone answers before it has read which
-/// targets it has; callers were told that there are none.
+/// All processes restart. The owner of a zone answers before it has read its list of
+/// targets; callers were told that there are none.
 #[gtest]
-fn an_owner_without_targets_leaves_it_open() {
+fn an_owner_without_targets_does_not_end_warmup() {
     let mut warmup = warmup();
     warmup.heard(&[]);
     warmup.heard(&[target("za")]);
@@ -39,8 +39,8 @@
     assert_that!(warmup.pending(NOW), eq(false));
 }
 
-/// A zone is cut off for long. Callers of what only it serves aren't kept
-/// waiting for that.
+/// A zone is cut off for long. Callers of services that only it has must not be kept
+/// waiting for it.
 #[gtest]
 fn a_silent_zone_is_given_up() {
     let warmup = warmup();
--- a/crates/gateway/tests/zone_lease.rs
+++ b/crates/gateway/tests/zone_lease.rs
@@ -1,4 +1,5 @@
-//! Owners of zones: never two that may give orders, and no zone without one.
+//! Zone leases: never two owners that may give orders in a zone, and no zone without an
+//! owner.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -35,12 +36,12 @@
     assert_that!(due.len(), eq(2));
 }
 
-/// An owner renews its tenure at one leader and is then cut off. Another
-/// leader is elected at once and knows nothing of that renewal. The zone must
-/// not get a new owner before the old one has surely stopped, and the time has
-/// passed in which engines must not see two holders.
+/// An owner renews its lease at one leader and is then cut off. Another leader is elected
+/// at once and knows nothing of that renewal. The zone must not get a new owner before
+/// the old lease has certainly expired, plus the time within which engines must not get
+/// orders from two owners.
 #[gtest]
-fn a_new_leader_waits_out_a_tenure_it_never_saw() {
+fn a_new_leader_waits_out_a_lease_it_never_saw() {
     let mut owner = ZoneLease::default();
     owner.granted(at(1_000), [("za".to_owned(), 7)]);
     let mut granter = LeaseGranter::default();
@@ -75,10 +76,10 @@
     assert_that!(takeover_time(OWNER_GAP), gt(LEASE_TIME + OWNER_GAP));
 }
 
-/// A machine is frozen while it owns a zone. It wakes up after its tenure has
-/// ended and has not heard yet that another owns the zone.
+/// A machine is frozen while it owns a zone. It resumes after its lease has expired and
+/// has not heard yet that another instance owns the zone.
 #[gtest]
-fn a_tenure_ends_by_the_clock_alone() {
+fn a_lease_expires_by_the_clock_alone() {
     let mut owner = ZoneLease::default();
     owner.granted(at(1_000), [("za".to_owned(), 7)]);
     assert_that!(owner.fence(at(8_999), "za"), some(eq(7)));
@@ -86,8 +87,8 @@
     assert_that!(owner.zones(at(9_000)), is_empty());
 }
 
-/// Answers of two leaders cross. The older one must not bring back a zone that
-/// the newer one doesn't name.
+/// Answers of two leaders arrive out of order. The older one must not bring back a zone
+/// that the newer one doesn't list.
 #[gtest]
 fn an_older_grant_changes_nothing() {
     let mut owner = ZoneLease::default();
--- a/crates/gateway/tests/zone_owner.rs
+++ b/crates/gateway/tests/zone_owner.rs
@@ -1,4 +1,4 @@
-//! The holder of orders: what it orders, and that no engine is overfilled.
+//! The zone owner: what it orders, and that no engine is overfilled.
 
 #[path = "zone_owner/loads.rs"]
 mod loads;
@@ -19,10 +19,10 @@
 use gateway::zone_owner::{Action, Config, OrderOutcome, Input, Report};
 use googletest::prelude::*;
 use wire::fleet::{Running, Sync};
-use world::{World, held, load, told_for};
+use world::{World, held, load, announced_wait};
 
 #[gtest]
-fn a_wanted_adapter_is_loaded_once_and_told() {
+fn a_wanted_adapter_is_loaded_once_and_announced() {
     let mut world = World::new(2);
     world.want(&["m/x"]);
     world.want(&["m/x"]);
@@ -43,9 +43,9 @@
     );
 }
 
-/// All places of an engine are taken. A load would crash it with all its
-/// requests, so the adapter that is missed least and that nobody uses goes
-/// first, and the load follows only when the engine says that it is gone.
+/// All slots of an engine are taken. A load would crash it with all its requests, so the
+/// unused adapter with the least demand is evicted first, and the load follows only once
+/// the engine reports that it is gone.
 #[gtest]
 fn room_is_made_before_a_load() {
     let mut world = World::new(1);
@@ -76,11 +76,10 @@
     assert_that!(world.end(OrderOutcome::Accepted).action, eq(&load("m/x")));
 }
 
-/// An order gets no answer: it may have been carried out, or may be seconds
-/// later. The next order says the same count, so the engine takes only one of
-/// the two.
+/// An order gets no answer: it may have been executed, or may be seconds later. The next
+/// order carries the same expected count, so the engine accepts only one of the two.
 #[gtest]
-fn an_order_in_doubt_is_never_followed_by_a_higher_count() {
+fn an_order_of_unknown_outcome_is_never_followed_by_a_higher_count() {
     let _mark = base::ExpectedMark::new("order_outcome_unknown");
     let mut world = World::new(1);
     world.want(&["m/a"]);
@@ -95,8 +94,8 @@
     assert_that!(world.reports, eq(&vec!["e1".to_owned()]));
 }
 
-/// An engine restarts under its old id and holds nothing, while its holder
-/// still sends requests for what it held.
+/// An engine restarts under its old id and holds nothing, while requests for what it held
+/// are still sent to it.
 #[gtest]
 fn a_restart_under_the_same_id_forgets_all() {
     let mut world = World::new(1);
@@ -114,7 +113,7 @@
 }
 
 #[gtest]
-fn nothing_is_ordered_without_tenure() {
+fn nothing_is_ordered_without_a_lease() {
     let mut world = World::new(1);
     world.pass(9_000);
     world.want(&["m/a"]);
@@ -124,10 +123,10 @@
     assert_that!(answer.zones, is_empty());
 }
 
-/// Four holders order at once for four zones. Were each to use what the store
-/// gives to all, every load would take several times as long as told.
+/// Four owners order loads at once for four zones. If each used the full capacity of the
+/// shared store, every load would take several times as long as announced.
 #[gtest]
-fn a_holder_keeps_to_its_part_of_the_store() {
+fn an_owner_keeps_to_its_share_of_the_store() {
     let config = Config {
         zones: 4,
         ..Config::default()
@@ -144,19 +143,19 @@
     assert_that!(loads, eq(4));
 }
 
-/// One entry instance is cut off from an engine and says so. The engine was out
-/// of use for everybody for two seconds, what it held was loaded again
-/// elsewhere, and the last engine of the zone had more adapters in use than
-/// room. Only an engine that doesn't answer its holder either is out of use.
+/// One entry instance is cut off from an engine and reports that. The engine was out of
+/// use for all instances for two seconds, the adapters it held were loaded again
+/// elsewhere, and the last engine of the zone had more adapters in use than slots. Only
+/// an engine that doesn't answer its zone owner either may be taken out of use.
 #[gtest]
-fn an_engine_that_answers_its_holder_stays_in_use() {
+fn an_engine_that_answers_its_owner_stays_in_use() {
     let mut world = World::new(2);
     world.list(&["m/x"]);
     world.pass(500);
-    world.accuse("e1");
+    world.report_unreachable("e1");
     assert_that!(world.reports, eq(&vec!["e1".to_owned()]));
     world.report_all();
-    world.accuse("e2");
+    world.report_unreachable("e2");
     world.reports.clear();
     world.give(Input::Reported {
         id: "e2".to_owned(),
@@ -168,16 +167,16 @@
     assert_that!(world.orders[0].id.as_str(), eq("e1"));
 }
 
-/// An adapter is dropped, its engine reports, and a list from before the drop
-/// comes last. It brought the adapter back: requests were refused there, and
-/// another order to drop it put the holder's count one too high.
+/// An adapter is evicted, its engine reports, and a list from before the eviction arrives
+/// last. It brought the adapter back: requests were refused there, and another order to
+/// evict it made the zone owner's order count one too high.
 #[gtest]
-fn an_old_list_does_not_bring_back_what_was_dropped() {
+fn an_old_list_does_not_bring_back_an_evicted_adapter() {
     let mut world = World::new(1);
     world.list(&["m/a", "m/b", "m/c"]);
     world.want(&["m/x"]);
     let Action::Evict(gone) = world.end(OrderOutcome::Done).action else {
-        panic!("no room was made");
+        panic!("no eviction was ordered");
     };
     world.pass(400);
     let kept = ["m/a", "m/b", "m/c"].into_iter().filter(|a| *a != gone);
@@ -193,12 +192,12 @@
     world.pass(200);
     world.list(&["m/a", "m/b", "m/c"]);
     world.want(&[&gone]);
-    // Room is made for it: it isn't taken for held.
+    // A slot is freed for it, so it isn't taken for held.
     assert_that!(world.orders.len(), eq(1));
 }
 
-/// Many callers use the base model without any adapter. It was ordered like a
-/// busy adapter, again and again, and its engine loaded nothing else meanwhile.
+/// Many callers use the base model without any adapter. It was ordered like a busy
+/// adapter, again and again, and its engine loaded nothing else meanwhile.
 #[gtest]
 fn a_base_model_in_use_is_not_loaded_again() {
     let mut world = World::new(2);
@@ -212,10 +211,10 @@
     assert_that!(world.orders, is_empty());
 }
 
-/// Two zones lose engines and have many adapters waiting for their part of the
-/// store, while the other zones leave theirs unused.
+/// Two zones lose engines and have many adapters waiting for their share of the store,
+/// while the other zones leave theirs unused.
 #[gtest]
-fn a_holder_uses_half_of_what_others_leave_of_the_store() {
+fn an_owner_uses_half_of_the_unused_store_capacity() {
     for (elsewhere, most) in [(Some(0), 10), (Some(8), 6), (Some(14), 4), (None, 4)] {
         let config = Config {
             zones: 4,
@@ -237,9 +236,9 @@
     }
 }
 
-/// A holder is frozen for seconds just after it has filled an engine, with a
-/// list on its way that was made before. It took the places for free and
-/// ordered one more load, which crashes the engine with all its requests.
+/// A zone owner is frozen for seconds just after it has filled an engine, while a list
+/// made before is on its way to it. It took the slots for free and ordered one more load,
+/// which crashes the engine with all its requests.
 #[gtest]
 fn a_list_from_before_a_freeze_frees_no_place() {
     let mut world = World::new(1);
@@ -256,12 +255,12 @@
     assert_that!(world.orders[0].action, matches_pattern!(Action::Evict(_)));
 }
 
-/// A load gets no answer and is carried out seconds later. The next order drops
-/// an adapter that is gone already, which the engine doesn't count. The late load
-/// makes the counts equal again, and a third order loads more than there is room
-/// for.
+/// A load gets no answer and is executed seconds later. The next order evicts an adapter
+/// that is already gone, which the engine doesn't count. The late load makes the counts
+/// equal again, and a third order loads more than there is room for. So the owner has to
+/// request a report after such an eviction.
 #[gtest]
-fn an_uncounted_drop_after_a_doubt_is_looked_into() {
+fn an_uncounted_eviction_after_an_unknown_outcome_needs_a_report() {
     let _mark = base::ExpectedMark::new("order_outcome_unknown");
     let mut world = World::new(1);
     world.list(&["m/a", "m/b", "m/c"]);
@@ -275,11 +274,11 @@
     assert_that!(world.reports, eq(&vec!["e1".to_owned()]));
 }
 
-/// The owner of a zone is killed, and one of its loads is carried out seconds
-/// later, under the next owner. That one drops an adapter that is gone already,
-/// which the engine doesn't count, and would load more than there is room for.
+/// The owner of a zone is killed, and one of its loads is executed seconds later, under
+/// the next owner. That one evicts an adapter that is already gone, which the engine
+/// doesn't count, and would load more than there is room for.
 #[gtest]
-fn an_uncounted_drop_of_a_new_owner_is_looked_into() {
+fn an_uncounted_eviction_by_a_new_owner_needs_a_report() {
     let mut world = World::new(1);
     world.list(&["m/a", "m/b", "m/c"]);
     world.want(&["m/x"]);
@@ -289,25 +288,25 @@
     assert_that!(world.reports, eq(&vec!["e1".to_owned()]));
 }
 
-/// An adapter is ordered away while a request of another instance still uses it.
-/// It was told as coming in two seconds: callers waited for it and were refused.
+/// The eviction of an adapter is ordered while a request of another instance still uses
+/// it. It was announced as usable in two seconds: callers waited for it and were refused.
 #[gtest]
-fn an_adapter_that_leaves_is_not_told() {
+fn an_adapter_being_evicted_is_not_announced() {
     let mut world = World::new(1);
     for adapter in ["m/a", "m/b", "m/c"] {
-        told_for(&mut world, adapter);
+        announced_wait(&mut world, adapter);
     }
     world.pass(500);
     world.own_zone();
     world.want(&["m/x"]);
     let Action::Evict(gone) = world.end(OrderOutcome::Accepted).action else {
-        panic!("no room was made");
+        panic!("no eviction was ordered");
     };
     world.give(Input::Sync(Ticket(14), Sync::default()));
     let targets = world.answers.last().and_then(|a| a.targets.clone());
     let mut residents = targets.into_iter().flatten().flat_map(|t| t.residents);
     assert_that!(residents.any(|r| r.adapter == gone), eq(false));
-    // Its place is still taken: nothing is loaded there.
+    // Its slot is still taken: nothing is loaded there.
     world.want(&["m/x"]);
     assert_that!(
         world.orders.iter().all(|o| matches!(o.action, Action::Evict(_))),
--- a/crates/gateway/tests/zone_owner/aging.rs
+++ b/crates/gateway/tests/zone_owner/aging.rs
@@ -1,4 +1,4 @@
-//! Who is served while more adapters are asked for than the store brings.
+//! Which adapters are loaded while more are requested than the store can load.
 
 use std::time::Duration;
 
@@ -11,13 +11,13 @@
 /// Zones that share the store: one of sixteen gets one load at a time, four a second.
 const ZONES: usize = 16;
 
-/// Adapters that are asked for all the time.
+/// Adapters that are requested all the time.
 const BUSY: usize = 24;
 
-/// Between two callers of the rare adapter.
+/// Time between two callers of the rare adapter.
 const SELDOM: Duration = Duration::from_secs(2);
 
-/// Ends all orders as engines do, and returns what was loaded.
+/// Answers all orders as engines do, and returns the loaded adapters.
 fn carry_out(world: &mut World) -> Vec<String> {
     let mut loaded = Vec::new();
     while let Some(order) = world.orders.first() {
@@ -30,7 +30,7 @@
     loaded
 }
 
-/// Plays some seconds; returns when the rare adapter was first loaded.
+/// Simulates some seconds; returns when the rare adapter was first loaded.
 fn rare_loaded_after(seconds: u64) -> Option<Duration> {
     let config = Config {
         zones: ZONES,
@@ -42,7 +42,8 @@
     let mut round = 0;
     while world.now.since(begun) < Duration::from_secs(seconds) {
         round += 1;
-        // One after the other gives way to a new one, so that all but a few always wait.
+        // Adapters are replaced by new ones one by one, so that all but a few always
+        // wait.
         let busy = (0..BUSY).map(|n| format!("m/busy-{n}-{}", (round + 7 * n) / 60));
         let busy: Vec<_> = busy.collect();
         let busy: Vec<_> = busy.iter().map(String::as_str).collect();
@@ -68,10 +69,11 @@
     None
 }
 
-/// An adapter is asked for every two seconds, all day, and never loaded: others are asked
-/// for more at any moment, and it begins at the end of the queue with each caller.
+/// An adapter is requested every two seconds, all day, and was never loaded: others have
+/// more demand at any moment, and it started at the end of the queue with each caller.
 #[gtest]
-fn who_asks_again_and_again_is_served() {
-    // Four loads a second, one in four for who has waited longest, and 25 wait at most.
+fn a_repeatedly_requested_adapter_is_loaded() {
+    // Four loads a second, one in four for the adapter that has waited longest, and 25
+    // wait at most.
     assert_that!(rare_loaded_after(60), some(le(Duration::from_secs(25))));
 }
--- a/crates/gateway/tests/zone_owner/loads.rs
+++ b/crates/gateway/tests/zone_owner/loads.rs
@@ -1,4 +1,5 @@
-//! What is loaded next, and what is learned of the store and of engines' memory.
+//! Which adapters are loaded next, and what the zone owner learns of the store and of
+//! engines' host memory.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -7,10 +8,10 @@
 use googletest::prelude::*;
 use wire::fleet::{First, Sync};
 
-use crate::world::{World, load, settle_orders, told_for};
+use crate::world::{World, load, answer_orders, announced_wait};
 
-/// Orders loads of `count` adapters and returns how many were given at once, with
-/// the time told for the last one.
+/// Orders loads of `count` adapters; returns how many were ordered at once, and the wait
+/// announced for the last one.
 fn loads_at_once(world: &mut World, round: usize, count: usize) -> (usize, Duration) {
     let wants: Vec<_> = (0..count).map(|n| format!("m/r{round}-{n}")).collect();
     let wants: Vec<_> = wants.iter().map(String::as_str).collect();
@@ -29,7 +30,7 @@
     (given, told.unwrap_or_default())
 }
 
-/// Says that the first requests for what was just loaded found it, or didn't.
+/// Reports whether the first requests for the adapters just loaded found them.
 fn say_firsts(world: &mut World, round: usize, count: usize, held: bool) {
     let mut firsts = Vec::new();
     for engine in 1..=world.engines {
@@ -46,9 +47,9 @@
     world.give(Input::Sync(Ticket(9), sync));
 }
 
-/// The store serves half as many loads at full speed as expected. Callers were
-/// told a quarter of a second, sent their requests too early, and nearly half of
-/// all arrivals at engines were refused.
+/// The store serves half as many loads at full speed as expected. Callers were told a
+/// quarter of a second, sent their requests too early, and nearly half of all requests at
+/// engines were refused.
 #[gtest]
 fn a_slower_store_is_learned_from_refused_first_requests() {
     let _mark = base::ExpectedMark::new("store_slower");
@@ -66,13 +67,13 @@
     }
     let settled = &last[20..];
     expect_that!(settled, each(all![ge(&6), le(&9)]));
-    // The time that was added while too many ran has gone again.
+    // The time added while too many loads ran has been removed again.
     world.pass(2_000);
     let (_, told) = loads_at_once(&mut world, 40, 4);
     expect_that!(told, le(Duration::from_millis(300)));
 }
 
-/// A store that serves more than expected is used once loads stay in time.
+/// A store that serves more loads than expected is used fully once loads are in time.
 #[gtest]
 fn a_faster_store_is_learned_from_served_first_requests() {
     let mut world = World::new(12);
@@ -85,10 +86,10 @@
     expect_that!(at_once, ge(20));
 }
 
-/// A load takes a fifth longer than first guessed, however few run. The expected time
-/// was lowered to the guess again and again, so that half of the first requests came
-/// too early; taken for a sign of too many loads they left one at a time of sixteen,
-/// and adapters that were asked for all day were never loaded.
+/// A load takes a fifth longer than the initial estimate, however few run. The expected
+/// time was lowered to the estimate again and again, so that half of the first requests
+/// came too early; taken as a sign of too many loads they left one at a time of sixteen,
+/// and adapters that were requested all day were never loaded.
 #[gtest]
 fn a_load_that_always_takes_longer_is_no_sign_of_too_many() {
     let mut world = World::new(8);
@@ -103,8 +104,8 @@
     assert_that!(given, each(ge(&14)));
 }
 
-/// Callers ask for one more copy of a busy adapter while others wait for one that
-/// was asked for once. The copy goes first, and only one is loaded at a time.
+/// Callers ask for one more copy of a busy adapter while others wait for one that was
+/// requested once. The copy goes first, and only one is loaded at a time.
 #[gtest]
 fn a_copy_of_a_busy_adapter_goes_before_a_rare_one() {
     let mut world = World::new(2);
@@ -131,8 +132,8 @@
     assert_that!(world.orders, is_empty());
 }
 
-/// Many adapters wait for the store. One that an engine still has in its memory
-/// takes a tenth of the time and nothing of the store, yet waited among them.
+/// Many adapters wait for the store. One that an engine still has in host memory takes a
+/// tenth of the time and nothing of the store, yet waited among them.
 #[gtest]
 fn a_load_from_memory_passes_the_queue_of_the_store() {
     let config = Config {
@@ -141,50 +142,50 @@
     };
     let mut world = World::with(1, config);
     for adapter in ["m/a", "m/b", "m/c", "m/d"] {
-        told_for(&mut world, adapter);
+        announced_wait(&mut world, adapter);
     }
     world.pass(300);
     world.own_zone();
     world.want(&["m/x", "m/y", "m/z"]);
-    settle_orders(&mut world);
+    answer_orders(&mut world);
     world.want(&["m/a"]);
     assert_that!(world.orders.len(), eq(1));
-    settle_orders(&mut world);
+    answer_orders(&mut world);
     world.give(Input::Sync(Ticket(12), Sync::default()));
     let targets = world.answers.last().and_then(|a| a.targets.clone());
     let mut residents = targets.into_iter().flatten().flat_map(|t| t.residents);
     assert_that!(residents.any(|r| r.adapter == "m/a"), eq(true));
 }
 
-/// Guards against callers who are sent a tenth of a load after a new version was ordered,
-/// as the engine has dropped the version before.
+/// Guards against callers who are told to wait a tenth of a load after a new version was
+/// ordered, because the engine has evicted the previous version.
 #[gtest]
 fn a_new_version_is_not_taken_to_be_in_memory() {
     let mut world = World::new(1);
     for adapter in ["m/a", "m/b", "m/c", "m/d"] {
-        told_for(&mut world, adapter);
+        announced_wait(&mut world, adapter);
     }
     let versions = BTreeMap::from([("m/a".to_owned(), 7)]);
     world.give(Input::Versions(versions));
-    let told = told_for(&mut world, "m/a");
+    let told = announced_wait(&mut world, "m/a");
     assert_that!(told, gt(Duration::from_millis(200)));
 }
 
-/// Guards against the opposite: the version that is ordered is the one that was dropped.
+/// Guards against the opposite: the ordered version is the one that was evicted.
 #[gtest]
 fn a_named_version_that_was_dropped_is_in_memory() {
     let mut world = World::new(1);
     let versions = BTreeMap::from([("m/a".to_owned(), 7)]);
     world.give(Input::Versions(versions));
     for adapter in ["m/a", "m/b", "m/c", "m/d"] {
-        told_for(&mut world, adapter);
+        announced_wait(&mut world, adapter);
     }
-    let told = told_for(&mut world, "m/a");
+    let told = announced_wait(&mut world, "m/a");
     assert_that!(told, lt(Duration::from_millis(60)));
 }
 
-/// Engines keep fewer dropped adapters in memory than expected. Callers were told
-/// a tenth of a load, and each was refused.
+/// Engines keep fewer evicted adapters in host memory than expected. Callers were told a
+/// tenth of a load, and each was refused.
 #[gtest]
 fn the_size_of_an_engines_memory_is_learned() {
     let _mark = base::ExpectedMark::new("memory_smaller");
@@ -194,7 +195,7 @@
         let mut wrong = 0;
         for n in 0..40 {
             let adapter = format!("m/{n}");
-            let told = told_for(world, &adapter);
+            let told = announced_wait(world, &adapter);
             let held = told > quick || 36 < there;
             wrong += usize::from(!held);
             let target = "e1".to_owned();
@@ -212,14 +213,15 @@
         }
         wrong
     };
-    // Each comes back after 36 others were dropped; the engine keeps 20.
+    // Each is reloaded after 36 others were evicted; the engine keeps 20.
     ask_all(&mut world, 20);
     expect_that!(ask_all(&mut world, 20), le(10));
     expect_that!(ask_all(&mut world, 20), eq(0));
 }
 
-/// More rare adapters are wanted than the store serves. Their callers waited in
-/// vain for a third of their time; whoever is far back is told how long it takes.
+/// More rare adapters are wanted than the store can load. Their callers waited in vain
+/// for a third of their time; callers far back in the queue are told the estimated wait
+/// at once.
 #[gtest]
 fn callers_far_back_in_the_queue_of_the_store_are_told() {
     let config = Config {
@@ -230,7 +232,7 @@
     let wants: Vec<_> = (0..40).map(|n| format!("m/a{n}")).collect();
     let wants: Vec<_> = wants.iter().map(String::as_str).collect();
     world.want(&wants);
-    settle_orders(&mut world);
+    answer_orders(&mut world);
     world.answers.clear();
     let again = Sync {
         wants: vec!["m/a39".to_owned(), "m/a38".to_owned()],
@@ -239,7 +241,7 @@
     world.give(Input::Sync(Ticket(15), again));
     let waits = &world.answers[0].waits;
     assert_that!(waits.len(), eq(2));
-    // Four loads of a quarter of a second at once: 36 wait for nine turns.
+    // Four loads of a quarter of a second at once: 36 wait for nine rounds.
     let longest = waits.iter().map(|(_, wait)| *wait).max().unwrap();
     expect_that!(
         longest,
@@ -247,9 +249,9 @@
     );
 }
 
-/// The store has no room for all. Callers of one adapter have waited for half a
-/// second and will be late anyway; those of another have just come and can still be
-/// served in time. First come, first served made both late.
+/// The store can't load all adapters in time. Callers of one adapter have waited for half
+/// a second and will be late in any case; those of another have just arrived and can
+/// still be served in time. First come, first served made both late.
 #[gtest]
 fn callers_that_can_be_served_in_time_go_first() {
     let config = Config {
@@ -274,9 +276,9 @@
     assert_that!(next, some(eq(&load("m/new"))));
 }
 
-/// A busy adapter is held in another zone only. Its callers here would lose it
-/// with that zone or its engine; a copy costs nothing while nobody waits for the
-/// store, and has to wait while somebody does.
+/// A busy adapter is held in another zone only. Its callers here would lose it with that
+/// zone or its engine; a copy costs nothing while no caller waits for the store, and has
+/// to wait while some do.
 #[gtest]
 fn a_busy_adapter_is_copied_while_nobody_waits_for_the_store() {
     let busy = || Sync {
@@ -299,8 +301,8 @@
     assert_that!(given, not(contains(eq(&load("m/busy")))));
 }
 
-/// An adapter was busy while others waited for the store, and is asked for no more when
-/// the store is free: nobody would use a copy.
+/// An adapter was busy while others waited for the store, and is requested no more when
+/// the store is free: a copy would not be used.
 #[gtest]
 fn an_adapter_that_was_busy_is_not_copied_later() {
     let config = Config {
@@ -314,7 +316,7 @@
         ..Sync::default()
     };
     world.give(Input::Sync(Ticket(18), sync));
-    settle_orders(&mut world);
+    answer_orders(&mut world);
     world.pass(2_000);
     world.own_zone();
     world.pass(100);
--- a/crates/gateway/tests/zone_owner/many.rs
+++ b/crates/gateway/tests/zone_owner/many.rs
@@ -1,8 +1,9 @@
-//! What a holder spends while far more adapters wait than the store brings.
+//! Cost of planning while far more adapters wait than the store can load.
 //!
-//! Pattern: a backlog whose length makes each step dearer. Work done for what can't be
-//! served yet takes the time of what can, so the backlog grows: the holder collapses,
-//! and doesn't come back when the cause is over. Here a plan costs what it orders.
+//! Pattern: a backlog whose length makes each step more expensive. Work for what can't be
+//! served yet takes time from what can, so the backlog grows: the zone owner collapses,
+//! and doesn't recover when the cause is over. So the cost of a plan has to depend on
+//! what it orders.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -20,7 +21,7 @@
 const ENTRIES: usize = 60;
 const PLACES: usize = 5;
 
-/// A holder of one zone whose engines are full, with many entry instances.
+/// The owner of one zone whose engines are full, with many entry instances.
 struct Crowd {
     owner: ZoneOwner,
     now: Time,
@@ -29,7 +30,7 @@
 }
 
 impl Crowd {
-    /// Makes a holder whose engines hold so many adapters each.
+    /// Creates an owner whose engines hold `full` adapters each.
     fn new(engines: usize, full: usize) -> Self {
         let mut owner = ZoneOwner::new(Config::default(), 1);
         let spec = Engine {
@@ -96,8 +97,8 @@
         }
     }
 
-    /// One entry instance exchanges; it has requests under way at some engines, and its
-    /// callers wait for some adapters.
+    /// One entry instance sends its state; it has requests running at some engines, and
+    /// its callers wait for some adapters.
     fn exchange(&mut self, entry: usize, engines: usize, waiting: usize) {
         let running = (0..engines).step_by(3).map(|n| Running {
             target: format!("e{n}"),
@@ -114,7 +115,7 @@
         self.give(Input::Sync(Ticket(entry as u64), sync));
     }
 
-    /// Every entry instance exchanges once, and a tenth of a second passes.
+    /// Every entry instance sends its state once, and a tenth of a second passes.
     fn round(&mut self, engines: usize, waiting: usize) -> u64 {
         let before = self.owner.steps();
         for entry in 0..ENTRIES {
@@ -126,9 +127,9 @@
     }
 }
 
-/// Hundreds of adapters wait, and every message of every entry instance is followed by a
-/// look at each of them at each engine. Orders are answered, but nobody reads that in
-/// time: they count as lost, and more waits.
+/// Hundreds of adapters wait, and every message of every entry instance made the plan
+/// examine each of them at each engine. Answers to orders arrived but were not processed
+/// in time: the orders counted as lost, and more adapters waited.
 #[gtest]
 fn what_waits_costs_nothing_until_it_can_be_ordered() {
     for engines in [35, 140] {
@@ -136,15 +137,16 @@
         let few = (0..5).map(|_| crowd.round(engines, 3)).max().unwrap();
         let mut crowd = Crowd::new(engines, PLACES);
         let many = (0..5).map(|_| crowd.round(engines, 600)).max().unwrap();
-        // Each adapter is looked at once a plan; plans are made for the first word of it,
-        // and then ten times a second.
+        // Each adapter is examined once per plan; plans are made for the first request
+        // for it, and then ten times a second.
         let plans = ENTRIES as u64 + 5;
         let most = few + plans * 600 + 2 * plans * (engines * (PLACES + 2)) as u64;
         expect_that!(many, lt(most), "{engines} engines, {few} with few waiting");
     }
 }
 
-/// The same once all is known: callers ask again and again, and nothing can be ordered.
+/// The same once all adapters are known: callers ask repeatedly, and nothing can be
+/// ordered.
 #[gtest]
 fn what_is_asked_for_again_is_not_planned_again() {
     let engines = 35;
@@ -155,9 +157,9 @@
     expect_that!(again, lt((600 + 4 * engines * (PLACES + 2)) as u64));
 }
 
-/// The holder has fallen behind: the answers of a hundred orders and the messages of all
-/// entry instances are read at once. They are followed by one plan, and what the answers
-/// allow is ordered with it.
+/// The zone owner has fallen behind: the answers of a hundred orders and the messages of
+/// all entry instances are processed together. They are followed by one plan, which
+/// includes the orders that the answers make possible.
 #[gtest]
 fn what_came_together_is_followed_by_one_plan() {
     let engines = 35;
@@ -176,7 +178,7 @@
     }
     let mut out = Vec::new();
     crowd.owner.poll(crowd.now, &mut out);
-    // The next ones are due once these have come.
+    // The next ones are due once these have completed.
     crowd.now = crowd.now + Duration::from_millis(300);
     crowd.owner.poll(crowd.now, &mut out);
     let orders = out.iter().filter(|o| matches!(o, Output::Order(_))).count();
--- a/crates/gateway/tests/zone_owner/slowness.rs
+++ b/crates/gateway/tests/zone_owner/slowness.rs
@@ -1,4 +1,4 @@
-//! Which engines a holder finds slower than their neighbours.
+//! Which engines a zone owner finds slower than the others.
 
 use std::time::Duration;
 
@@ -16,8 +16,9 @@
 /// Tokens that an engine reads in a millisecond.
 const SPEED: u64 = 38;
 
-/// Entry instances exchange for some time; each has seen a request or none at each engine.
-/// The first engine takes `times` as long as the others, all by turns a little more or less.
+/// Entry instances send their state for `ms`; each has seen one request or none at each
+/// engine. The first engine takes `times` as long as the others, alternately a little
+/// more or less.
 fn exchange(world: &mut World, ms: u64, times: u64) {
     for round in 0..ms / EVERY {
         for entry in 0..ENTRIES {
@@ -43,40 +44,40 @@
     }
 }
 
-/// Returns how slow each engine is told to be.
-fn told(world: &mut World) -> Vec<u32> {
+/// Returns the published slowness of each engine.
+fn slowness(world: &mut World) -> Vec<u32> {
     world.answers.clear();
     world.give(Input::Sync(Ticket(50), Sync::default()));
     let targets = world.answers[0].targets.clone().unwrap();
     targets.iter().map(|target| target.slowness).collect()
 }
 
-/// An engine works at a third of its speed, and answers its health check. No entry
-/// instance sees more than a few of its requests; their callers are late one by one, as
-/// it is chosen like the others.
+/// An engine works at a third of its speed, and its health check succeeds. No entry
+/// instance sees more than a few of its requests; their callers were served late one by
+/// one, as it was chosen like the others.
 #[gtest]
 fn an_engine_at_a_third_of_its_speed_is_found_within_a_second() {
     let mut world = World::new(ENGINES);
     exchange(&mut world, 2_000, 1);
-    expect_that!(told(&mut world), each(eq(&100)));
+    expect_that!(slowness(&mut world), each(eq(&100)));
     exchange(&mut world, 1_000, 3);
-    let slow = told(&mut world);
+    let slow = slowness(&mut world);
     expect_that!(slow[0], ge(200));
     expect_that!(slow[1..], each(eq(&100)));
 }
 
-/// It works as before. As little is sent there, little shows it.
+/// The engine works at full speed again. As it gets few requests, few samples show that.
 #[gtest]
 fn an_engine_that_is_not_seen_any_more_comes_back_gradually() {
     let mut world = World::new(ENGINES);
     exchange(&mut world, 3_000, 4);
-    let slow = told(&mut world)[0];
+    let slow = slowness(&mut world)[0];
     expect_that!(slow, ge(300));
     let mut before = slow;
     for _ in 0..20 {
         world.pass(300);
         world.own_zone();
-        let now = told(&mut world)[0];
+        let now = slowness(&mut world)[0];
         expect_that!(now, le(before));
         expect_that!(before - now, le(150));
         before = now;
@@ -84,9 +85,10 @@
     expect_that!(before, eq(100));
 }
 
-/// All engines are behind, as more is asked than they do. None of them is an outlier.
+/// All engines have a backlog, as the demand exceeds their capacity. None of them is an
+/// outlier.
 #[gtest]
-fn engines_that_are_all_slow_are_not_told_apart() {
+fn equally_slow_engines_are_not_outliers() {
     let mut world = World::new(ENGINES);
     for round in 0..8 {
         for entry in 0..ENTRIES {
@@ -103,5 +105,5 @@
         }
         world.pass(EVERY);
     }
-    expect_that!(told(&mut world), each(eq(&100)));
+    expect_that!(slowness(&mut world), each(eq(&100)));
 }
--- a/crates/gateway/tests/zone_owner/target_updates.rs
+++ b/crates/gateway/tests/zone_owner/target_updates.rs
@@ -1,8 +1,8 @@
-//! What the holder tells of targets: what has changed, once.
+//! Target updates: each change is sent once.
 //!
-//! Pattern: state that grows with engines and adapters, told to many listeners many
-//! times a second. Sent whole at each change it fills the listeners' links and takes the
-//! sender's processor; so each listener names what it has.
+//! Pattern: state that grows with engines and adapters, sent to many receivers many times
+//! a second. Sent in full at each change it saturates the receivers' links and the
+//! sender's processor; so each receiver names the last number that it has.
 
 use base::Ticket;
 use gateway::zone_owner::{OrderOutcome, Held, Input, Report};
@@ -32,7 +32,7 @@
     targets.map(|target| target.id.as_str()).collect()
 }
 
-/// One adapter is loaded at one of many engines, and every entry instance gets the whole
+/// One adapter is loaded at one of many engines, and every entry instance got the full
 /// list, many times a second.
 #[gtest]
 fn only_what_has_changed_is_told() {
@@ -53,10 +53,10 @@
     assert_that!(same.targets, none());
 }
 
-/// An entry instance was told by a holder that is gone. Its number may be higher than any
-/// of the new holder's: it would be told nothing, and go by what was.
+/// An entry instance has a number of a zone owner that is gone. It may be higher than any
+/// number of the new owner: the instance would get no updates and keep an outdated state.
 #[gtest]
-fn a_number_of_another_life_is_told_all() {
+fn a_number_of_another_incarnation_gets_the_full_state() {
     let mut world = World::new(3);
     let own = ask(&mut world, 0).news;
     for other in [1, own - 1_000, own + 1_000, u64::MAX] {
@@ -69,7 +69,8 @@
     }
 }
 
-/// An engine leaves the list. Whoever heard only of changes would go on sending there.
+/// An engine leaves the list. An instance that gets only changed targets would go on
+/// sending there.
 #[gtest]
 fn a_target_that_is_gone_is_told() {
     let mut world = World::new(3);
@@ -86,8 +87,8 @@
     assert_that!(ids(&back), eq(&vec!["e3"]));
 }
 
-/// An engine refused a request for an adapter that its holder knows to be there. The entry
-/// instance has dropped it, and would never hear of it again, as nothing has changed.
+/// An engine refused a request for an adapter that its zone owner knows to be there. The
+/// entry instance has dropped it, and would never get it again, as nothing has changed.
 #[gtest]
 fn what_was_dropped_is_told_again() {
     let mut world = World::new(3);
@@ -102,10 +103,10 @@
     assert_that!(told.whole, eq(false));
 }
 
-/// The holder loses its zone and gets it back. What changed meanwhile under another was
-/// numbered there.
+/// The owner loses its zone and gets it back. What changed meanwhile was numbered by
+/// another owner.
 #[gtest]
-fn a_zone_that_comes_back_is_told_whole() {
+fn a_zone_that_comes_back_is_sent_in_full() {
     let mut world = World::new(2);
     let news = ask(&mut world, 0).news;
     world.pass(9_000);
@@ -116,9 +117,10 @@
     assert_that!((back.whole, ids(&back).len()), eq((true, 2)));
 }
 
-/// A question for adapters alone carries no load, and the load told before still counts.
+/// An exchange that only asks for adapters carries no load, and the load reported before
+/// still counts.
 #[gtest]
-fn a_brief_question_leaves_load_as_it_was() {
+fn a_brief_sync_keeps_the_reported_load() {
     let mut world = World::new(1);
     let entry = |name: &str, unread, brief| Sync {
         instance: Some(name.parse().unwrap()),
@@ -135,10 +137,10 @@
     assert_that!(own.unread, is_empty());
 }
 
-/// Guards against weights that are told of an engine which has started again since: its
-/// former life's, by a list or by a report that comes late.
+/// Guards against announcing weights of an engine's former incarnation after its restart,
+/// by a list or report that arrives late.
 #[gtest]
-fn weights_of_a_former_life_are_not_told() {
+fn weights_of_a_former_incarnation_are_not_announced() {
     let weights = |world: &mut World| {
         let told = ask(world, 0).targets.unwrap().remove(0).weights;
         told.first().map(|weights| weights.version)
--- a/crates/gateway/tests/zone_owner/world.rs
+++ b/crates/gateway/tests/zone_owner/world.rs
@@ -1,4 +1,4 @@
-//! A holder of one zone, played by hand.
+//! A zone owner driven step by step.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -12,7 +12,7 @@
 
 const SLOTS: usize = 3;
 
-/// A holder of one zone with engines `e1`, `e2`, and so on.
+/// The owner of one zone with engines `e1`, `e2`, and so on.
 pub(crate) struct World {
     pub(crate) owner: ZoneOwner,
     pub(crate) now: Time,
@@ -55,7 +55,7 @@
         world
     }
 
-    /// Renews the right to give orders to the zone.
+    /// Renews the lease of the zone.
     pub(crate) fn own_zone(&mut self) {
         let mut lease = ZoneLease::default();
         lease.granted(self.now, [("za".to_owned(), 9)]);
@@ -78,12 +78,12 @@
         self.list_asked(self.now, adapters);
     }
 
-    /// Gives a list that was asked for at some time before.
+    /// Passes in a list that was requested at `asked`.
     pub(crate) fn list_asked(&mut self, asked: Time, adapters: &[&str]) {
         self.list_of(asked, &held(adapters));
     }
 
-    /// Gives a list on which every engine holds this.
+    /// Passes in a list on which every engine holds `held`.
     pub(crate) fn list_held(&mut self, held: Held) {
         self.list_of(self.now, &held);
     }
@@ -105,7 +105,7 @@
         self.give(Input::Listed { asked, zones, list });
     }
 
-    /// Every engine that is asked answers that it holds nothing but its model.
+    /// Answers every report request with an engine that holds nothing but its model.
     pub(crate) fn report_all(&mut self) {
         for id in std::mem::take(&mut self.reports) {
             let report = Report {
@@ -127,8 +127,8 @@
         self.give(Input::Sync(Ticket(1), sync));
     }
 
-    /// An entry instance says that it can't reach an engine.
-    pub(crate) fn accuse(&mut self, id: &str) {
+    /// An entry instance reports that it can't reach an engine.
+    pub(crate) fn report_unreachable(&mut self, id: &str) {
         let sync = Sync {
             failing: vec![id.to_owned()],
             ..Sync::default()
@@ -136,7 +136,7 @@
         self.give(Input::Sync(Ticket(3), sync));
     }
 
-    /// Carries out the oldest order.
+    /// Answers the oldest order with `outcome`.
     pub(crate) fn end(&mut self, outcome: OrderOutcome) -> Order {
         let order = self.orders.remove(0);
         let id = order.id.clone();
@@ -164,19 +164,19 @@
     }
 }
 
-/// Gives every order its usual end until none is left.
-pub(crate) fn settle_orders(world: &mut World) {
+/// Answers every order as engines usually do, until none is left.
+pub(crate) fn answer_orders(world: &mut World) {
     while let Some(order) = world.orders.first() {
         let drops = matches!(order.action, Action::Evict(_));
         world.end(if drops { OrderOutcome::Done } else { OrderOutcome::Accepted });
     }
 }
 
-/// Asks for an adapter and returns how long its callers are told to wait.
-pub(crate) fn told_for(world: &mut World, adapter: &str) -> Duration {
+/// Asks for an adapter and returns the wait announced to its callers.
+pub(crate) fn announced_wait(world: &mut World, adapter: &str) -> Duration {
     world.own_zone();
     world.want(&[adapter]);
-    settle_orders(world);
+    answer_orders(world);
     world.give(Input::Sync(Ticket(11), Sync::default()));
     let targets = world.answers.last().and_then(|a| a.targets.clone());
     let mut residents = targets.into_iter().flatten().flat_map(|t| t.residents);
