--- a/crates/gateway/src/download.rs
+++ b/crates/gateway/src/download.rs
@@ -104,12 +104,12 @@
     /// lower rank are asked first.
     pub fn announced(&mut self, source: K, newest: u64, rank: u64) {
         let failed = self.sources.get(&source).and_then(|state| state.failed);
-        let told = Source {
+        let announced = Source {
             newest,
             rank,
             failed,
         };
-        self.sources.insert(source, told);
+        self.sources.insert(source, announced);
     }
 
     /// Removes a source that is not heard from any more.
@@ -147,17 +147,17 @@
     ///
     /// Fails if the received parts are unusable; they are dropped and requested again.
     pub fn handle_result(&mut self, now: Time, got: PartResult) -> Result<Option<(u64, String)>, BadPart> {
-        let Some(ask) = self.awaited.take() else {
+        let Some(request) = self.awaited.take() else {
             return Ok(None);
         };
         match got {
-            PartResult::Part(part) => self.add(now, ask, &part),
+            PartResult::Part(part) => self.add(now, request, &part),
             PartResult::Missing => {
-                self.edition_missing(ask);
+                self.edition_missing(request);
                 Ok(None)
             }
             PartResult::Failed => {
-                self.failed(now, ask.source);
+                self.failed(now, request.source);
                 Ok(None)
             }
         }
@@ -169,12 +169,12 @@
     /// Their old announcement was still trusted, and they were asked for it again and
     /// again, as fast as messages travel. So a source that lacks the edition it announced
     /// as its newest is not asked until it announces one again.
-    fn edition_missing(&mut self, ask: PartRequest<K>) {
+    fn edition_missing(&mut self, request: PartRequest<K>) {
         if let Some(current) = &mut self.current {
-            current.missing_at.insert(ask.source);
+            current.missing_at.insert(request.source);
         }
-        if let Some(state) = self.sources.get_mut(&ask.source)
-            && state.newest == ask.number
+        if let Some(state) = self.sources.get_mut(&request.source)
+            && state.newest == request.number
         {
             state.newest = 0;
         }
@@ -216,7 +216,7 @@
     fn add(
         &mut self,
         now: Time,
-        ask: PartRequest<K>,
+        request: PartRequest<K>,
         part: &Part,
     ) -> Result<Option<(u64, String)>, BadPart> {
         let Some(current) = &mut self.current else {
@@ -225,12 +225,12 @@
         let added = current.add(part);
         if added.is_err() {
             self.current = None;
-            self.failed(now, ask.source);
+            self.failed(now, request.source);
         } else if added.as_ref().is_ok_and(Option::is_some) {
             self.current = None;
-            self.complete = ask.number;
+            self.complete = request.number;
         }
-        Ok(added?.map(|text| (ask.number, text)))
+        Ok(added?.map(|text| (request.number, text)))
     }
 
     fn failed(&mut self, now: Time, source: K) {
--- a/crates/gateway/src/view.rs
+++ b/crates/gateway/src/view.rs
@@ -225,7 +225,7 @@
     /// Applies the announced waits for adapters that this instance asked for.
     pub fn set_waits(&mut self, now: Time, waits: Vec<(String, Duration)>) {
         self.expected
-            .retain(|_, (_, said)| now.since(*said) < EXPECTED_MAX_AGE);
+            .retain(|_, (_, announced_at)| now.since(*announced_at) < EXPECTED_MAX_AGE);
         let waits = waits.into_iter();
         self.expected
             .extend(waits.map(|(adapter, wait)| (adapter, (now + wait, now))));
@@ -235,8 +235,8 @@
     /// the zone owner.
     #[must_use]
     pub fn expected(&self, now: Time, adapter: &str) -> Option<Time> {
-        let (at, said) = self.expected.get(adapter)?;
-        (now.since(*said) < EXPECTED_MAX_AGE).then_some(*at)
+        let (at, announced_at) = self.expected.get(adapter)?;
+        (now.since(*announced_at) < EXPECTED_MAX_AGE).then_some(*at)
     }
 
     /// Returns the zones that have a target of `service` that takes requests.
@@ -273,8 +273,8 @@
     /// Returns the targets that recently could not be reached from this instance.
     #[must_use]
     pub fn failing(&self, now: Time) -> Vec<String> {
-        let resting = self.targets.iter().filter(|(_, known)| known.is_avoided(now));
-        resting.map(|(id, _)| id.clone()).collect()
+        let avoided = self.targets.iter().filter(|(_, known)| known.is_avoided(now));
+        avoided.map(|(id, _)| id.clone()).collect()
     }
 
     /// Returns the number of adapters being loaded by targets outside `zones`.
--- a/crates/gateway/src/zone_lease.rs
+++ b/crates/gateway/src/zone_lease.rs
@@ -1,8 +1,9 @@
 //! Zone leases: the time-limited right of one control instance, the zone owner, to give
 //! orders to the engines of a zone.
 //!
-//! The owner of each zone is an entry of the replicated log. It renews its lease at the
-//! leader several times a second, and goes on without a leader until the lease expires.
+//! An entry of the replicated log says which instance owns a zone. The owner renews its
+//! lease at the leader several times a second, and goes on without a leader until the
+//! lease expires.
 //! Leases are long, so that the loss of a leader, an election or a network partition of
 //! some seconds stops no loads, and a zone that is cut off goes on by itself. The price
 //! is paid by a zone whose owner is gone for good: no orders are given there until the
--- a/crates/gateway/src/zone_owner.rs
+++ b/crates/gateway/src/zone_owner.rs
@@ -115,12 +115,16 @@
     cached: bool,
 }
 
+/// An exchange of an entry instance that waits for its answer.
 #[derive(Debug)]
 struct PendingSync {
     ticket: Ticket,
     requester: Option<InstanceName>,
+    /// The number of the last target update that the requester has.
     known: u64,
+    /// Targets that the requester wants in any case.
     resend: Vec<String>,
+    /// Whether it asks for adapters only and carries no load.
     brief: bool,
     wants: Vec<String>,
     until: Time,
@@ -487,33 +491,33 @@
         self.number_changes(&zones);
         let placement = self.placement(now);
         let pending = std::mem::take(&mut self.pending);
-        for asked in pending {
+        for sync in pending {
             let known = |adapter: &String| placement.placed(adapter) || self.waits_too_long(adapter);
-            if now < asked.until && !asked.wants.iter().all(known) {
-                self.pending.push(asked);
+            if now < sync.until && !sync.wants.iter().all(known) {
+                self.pending.push(sync);
                 continue;
             }
-            let ticket = asked.ticket;
-            let synced = self.synced_for(now, &zones, &asked);
+            let ticket = sync.ticket;
+            let synced = self.synced_for(now, &zones, &sync);
             out.push(Output::Answer { ticket, synced });
         }
         self.placement = Some(placement);
     }
 
-    fn synced_for(&self, now: Time, zones: &[String], asked: &PendingSync) -> Synced {
-        let delta = self.updates.since(now, asked.known, &asked.resend);
-        let requester = asked.requester.as_ref();
+    fn synced_for(&self, now: Time, zones: &[String], sync: &PendingSync) -> Synced {
+        let delta = self.updates.since(now, sync.known, &sync.resend);
+        let requester = sync.requester.as_ref();
         let mut synced = Synced {
             news: self.updates.last(),
             targets: delta.targets,
             whole: delta.full,
             gone: delta.gone,
-            waits: self.waits(&asked.wants),
+            waits: self.waits(&sync.wants),
             zones: zones.to_vec(),
             entries: u32::try_from(self.traffic.entries()).unwrap_or(u32::MAX),
             ..Synced::default()
         };
-        if !asked.brief {
+        if !sync.brief {
             synced.running = self.traffic.running_without(requester);
             synced.unread = self.traffic.unread_without(requester);
         }
--- a/crates/gateway/src/zone_owner/demand.rs
+++ b/crates/gateway/src/zone_owner/demand.rs
@@ -38,6 +38,7 @@
         old + count >= busy_count() && self.busy.insert(adapter.to_owned())
     }
 
+    /// Returns the decayed request count of an adapter.
     pub(super) fn of(&self, now: Time, adapter: &str) -> f64 {
         let Some((count, at)) = self.counts.get(adapter) else {
             return 0.0;
--- a/crates/gateway/src/zone_owner/engine.rs
+++ b/crates/gateway/src/zone_owner/engine.rs
@@ -40,6 +40,7 @@
 /// State of one engine.
 #[derive(Debug, Default)]
 pub(super) struct Engine {
+    /// Start time of this incarnation, as given by the platform.
     born: u64,
     /// Number of orders that the engine has accepted in this incarnation, if known.
     pub(super) seq: Option<u64>,
--- a/crates/gateway/src/zone_owner/placement.rs
+++ b/crates/gateway/src/zone_owner/placement.rs
@@ -70,7 +70,7 @@
 
 impl ZoneOwner {
     /// Counts copies at all engines.
-    pub(super) fn count_copies(\&mut self, now: Time) -> Placement {
+    pub(super) fn count_copies(&mut self, now: Time) -> Placement {
         let mut placement = Placement::default();
         let mut steps = 0;
         for (id, engine) in &self.engines {
--- a/crates/gateway/src/zone_owner/plan.rs
+++ b/crates/gateway/src/zone_owner/plan.rs
@@ -50,6 +50,8 @@
 }
 
 impl ZoneOwner {
+    /// Returns whether an engine holds an adapter in a version that requests may use and
+    /// isn't about to evict it.
     pub(super) fn current(&self, engine: &Engine, adapter: &str) -> bool {
         let named = self.versions.get(adapter).copied().unwrap_or(0);
         let slot = engine.adapters.get(adapter);
@@ -63,7 +65,7 @@
         let own = self.lease.zones(now).len().max(1);
         let engines = self.engines.len() * self.config.zones.max(1) / own;
         self.store.raise_window(engines as f64 * INITIAL_LOADS_PER_ENGINE);
-        let limit = self.loads_at_once(now);
+        let limit = self.load_limit(now);
         self.load_into_freed(now, out);
         let mut placement = self.placement(now);
         self.load_missing(now, limit, &mut placement, out);
@@ -138,7 +140,7 @@
     /// of the store, while the other zones use none of theirs. An owner may therefore use
     /// half of what the others leave unused: all owners see the unused part at the same
     /// time, and the store slows down for all if they use more than there is.
-    fn loads_at_once(&self, now: Time) -> usize {
+    fn load_limit(&self, now: Time) -> usize {
         let zones = self.config.zones.max(1) as f64;
         let own = self.lease.zones(now).len().max(1) as f64;
         let all = self.store.window();
--- a/crates/gateway/src/zone_owner/slowness.rs
+++ b/crates/gateway/src/zone_owner/slowness.rs
@@ -56,15 +56,15 @@
     /// Adds a sample reported by an entry instance.
     pub(super) fn add_sample(&mut self, now: Time, pace: &Pace) {
         let samples = self.engines.entry(pace.target.clone()).or_default();
-        samples.fade(now);
+        samples.decay(now);
         samples.tokens += pace.tokens as f64;
         samples.seconds += pace.took.as_secs_f64();
     }
 
     /// Compares engines; returns those whose published factor has changed.
-    pub(super) fn compare(\&mut self, now: Time) -> Vec<String> {
+    pub(super) fn compare(&mut self, now: Time) -> Vec<String> {
         for samples in self.engines.values_mut() {
-            samples.fade(now);
+            samples.decay(now);
         }
         let median = self.median();
         let mut changed = Vec::new();
@@ -99,7 +99,7 @@
 }
 
 impl Samples {
-    fn fade(&mut self, now: Time) {
+    fn decay(&mut self, now: Time) {
         let part = 0.5_f64.powf(now.since(self.at).as_secs_f64() / SAMPLE_HALF_LIFE.as_secs_f64());
         self.tokens *= part;
         self.seconds *= part;
@@ -107,8 +107,8 @@
     }
 
     fn update_factor(&mut self, now: Time, median: Option<f64>) {
-        let faded = now.since(self.updated).as_secs_f64() / FACTOR_HALF_LIFE.as_secs_f64();
-        let old = 1.0 + (self.factor - 1.0).max(0.0) * 0.5_f64.powf(faded);
+        let half_lives = now.since(self.updated).as_secs_f64() / FACTOR_HALF_LIFE.as_secs_f64();
+        let old = 1.0 + (self.factor - 1.0).max(0.0) * 0.5_f64.powf(half_lives);
         self.updated = now;
         let median = median.filter(|_| self.tokens >= MIN_TOKENS);
         self.factor = match median {
--- a/crates/gateway/src/zone_owner/target_updates.rs
+++ b/crates/gateway/src/zone_owner/target_updates.rs
@@ -113,7 +113,7 @@
         let new =
             |entry: &&Entry| full || entry.number > known || resend.contains(&entry.target.id);
         let targets: Vec<_> = self
-            .entry
+            .entries
             .values()
             .filter(new)
             .map(|s| s.at(now))
