--- a/crates/gateway/src/home.rs
+++ b/crates/gateway/src/home.rs
@@ -1,10 +1,9 @@
 //! The zone in which an adapter is loaded that no target holds.
 //!
 //! Every entry instance has to choose the same zone, or each zone would load its own copy
-//! and all engines together would hold a quarter as many different adapters in a
-//! deployment of four zones. Rendezvous hashing gives each adapter its own order of
-//! zones; if the owner of the first can't give orders, only the adapters of that zone
-//! move to their next one.
+//! and all engines together would hold fewer different adapters: a quarter as many with
+//! four zones. Rendezvous hashing gives each adapter its own order of zones; if the owner
+//! of the first can't give orders, only the adapters of that zone move to their next one.
 
 use base::stable_hash;
 
--- a/crates/gateway/tests/list_fallback.rs
+++ b/crates/gateway/tests/list_fallback.rs
@@ -29,9 +29,9 @@
         .collect();
     let steps = (0..40).map(|_| {
         now = now + STEP;
-        let each = all.iter_mut().map(|alone| {
-            alone.heard(now, &zones[unheard..]);
-            alone.due(now)
+        let each = all.iter_mut().map(|fallback| {
+            fallback.heard(now, &zones[unheard..]);
+            fallback.due(now)
         });
         each.collect()
     });
--- a/crates/gateway/tests/revisions.rs
+++ b/crates/gateway/tests/revisions.rs
@@ -14,12 +14,12 @@
 fn a_version_is_told_once() {
     let mut revisions = Revisions::new(70);
     revisions.update(&versions(&[("a", 1), ("b", 1)]));
-    let told = revisions.since(0);
-    assert_that!(told.versions, len(eq(2)));
-    assert_that!(revisions.since(told.known).versions, is_empty());
+    let answer = revisions.since(0);
+    assert_that!(answer.versions, len(eq(2)));
+    assert_that!(revisions.since(answer.known).versions, is_empty());
     revisions.update(&versions(&[("a", 1), ("b", 2)]));
-    let told = revisions.since(told.known);
-    assert_that!(told.versions, elements_are![eq(&("b".to_owned(), 2))]);
+    let answer = revisions.since(answer.known);
+    assert_that!(answer.versions, elements_are![eq(&("b".to_owned(), 2))]);
 }
 
 /// A control instance has restarted. A number known from its previous incarnation matches
@@ -45,10 +45,10 @@
     let mut known = 0;
     let mut got = BTreeMap::new();
     for round in 0..=12 {
-        let told = revisions.since(known);
-        assert_that!(told.versions.len(), le(MAX_PER_ANSWER));
-        known = told.known;
-        got.extend(told.versions);
+        let answer = revisions.since(known);
+        assert_that!(answer.versions.len(), le(MAX_PER_ANSWER));
+        known = answer.known;
+        got.extend(answer.versions);
         all.insert(format!("a{}", round * 700), 2);
         revisions.update(&all);
     }
--- a/crates/gateway/tests/zone_owner/aging.rs
+++ b/crates/gateway/tests/zone_owner/aging.rs
@@ -21,8 +21,8 @@
 fn carry_out(world: &mut World) -> Vec<String> {
     let mut loaded = Vec::new();
     while let Some(order) = world.orders.first() {
-        let drops = matches!(order.action, Action::Evict(_));
-        let order = world.end(if drops { OrderOutcome::Done } else { OrderOutcome::Accepted });
+        let evicts = matches!(order.action, Action::Evict(_));
+        let order = world.end(if evicts { OrderOutcome::Done } else { OrderOutcome::Accepted });
         if let Action::Load { adapter, .. } = order.action {
             loaded.push(adapter);
         }
--- a/crates/gateway/tests/zone_owner/loads.rs
+++ b/crates/gateway/tests/zone_owner/loads.rs
@@ -19,15 +19,15 @@
     let mut given = 0;
     world.own_zone();
     while let Some(order) = world.orders.first() {
-        let drops = matches!(order.action, Action::Evict(_));
-        world.end(if drops { OrderOutcome::Done } else { OrderOutcome::Accepted });
-        given += usize::from(!drops);
+        let evicts = matches!(order.action, Action::Evict(_));
+        world.end(if evicts { OrderOutcome::Done } else { OrderOutcome::Accepted });
+        given += usize::from(!evicts);
     }
     world.give(Input::Sync(Ticket(10), Sync::default()));
     let targets = world.answers.last().and_then(|a| a.targets.clone());
     let residents = targets.into_iter().flatten().flat_map(|t| t.residents);
-    let told = residents.map(|r| r.ready_in).max();
-    (given, told.unwrap_or_default())
+    let wait = residents.map(|r| r.ready_in).max();
+    (given, wait.unwrap_or_default())
 }
 
 /// Reports whether the first requests for the adapters just loaded found them.
@@ -54,9 +54,9 @@
 fn a_slower_store_is_learned_from_refused_first_requests() {
     let _mark = base::ExpectedMark::new("store_slower");
     let mut world = World::new(8);
-    let (at_first, told) = loads_at_once(&mut world, 0, 24);
+    let (at_first, wait) = loads_at_once(&mut world, 0, 24);
     assert_that!(at_first, eq(16));
-    assert_that!(told, le(Duration::from_millis(260)));
+    assert_that!(wait, le(Duration::from_millis(260)));
     say_firsts(&mut world, 0, 24, false);
     let mut last = Vec::new();
     for round in 1..40 {
@@ -69,8 +69,8 @@
     expect_that!(settled, each(all![ge(&6), le(&9)]));
     // The time added while too many loads ran has been removed again.
     world.pass(2_000);
-    let (_, told) = loads_at_once(&mut world, 40, 4);
-    expect_that!(told, le(Duration::from_millis(300)));
+    let (_, wait) = loads_at_once(&mut world, 40, 4);
+    expect_that!(wait, le(Duration::from_millis(300)));
 }
 
 /// A store that serves more loads than expected is used fully once loads are in time.
@@ -95,8 +95,8 @@
     let mut world = World::new(8);
     let mut given = Vec::new();
     for round in 0..60 {
-        let (at_once, told) = loads_at_once(&mut world, round, 24);
-        let held = told >= Duration::from_millis(300);
+        let (at_once, wait) = loads_at_once(&mut world, round, 24);
+        let held = wait >= Duration::from_millis(300);
         say_firsts(&mut world, round, 24, held);
         given.push(at_once);
         world.pass(2_000);
@@ -167,8 +167,8 @@
     }
     let versions = BTreeMap::from([("m/a".to_owned(), 7)]);
     world.give(Input::Versions(versions));
-    let told = announced_wait(&mut world, "m/a");
-    assert_that!(told, gt(Duration::from_millis(200)));
+    let wait = announced_wait(&mut world, "m/a");
+    assert_that!(wait, gt(Duration::from_millis(200)));
 }
 
 /// Guards against the opposite: the ordered version is the one that was evicted.
@@ -180,8 +180,8 @@
     for adapter in ["m/a", "m/b", "m/c", "m/d"] {
         announced_wait(&mut world, adapter);
     }
-    let told = announced_wait(&mut world, "m/a");
-    assert_that!(told, lt(Duration::from_millis(60)));
+    let wait = announced_wait(&mut world, "m/a");
+    assert_that!(wait, lt(Duration::from_millis(60)));
 }
 
 /// Engines keep fewer evicted adapters in host memory than expected. Callers were told a
@@ -195,8 +195,8 @@
         let mut wrong = 0;
         for n in 0..40 {
             let adapter = format!("m/{n}");
-            let told = announced_wait(world, &adapter);
-            let held = told > quick || 36 < there;
+            let wait = announced_wait(world, &adapter);
+            let held = wait > quick || 36 < there;
             wrong += usize::from(!held);
             let target = "e1".to_owned();
             let first = First {
--- a/crates/gateway/tests/zone_owner/many.rs
+++ b/crates/gateway/tests/zone_owner/many.rs
@@ -19,17 +19,17 @@
 use crate::world::held;
 
 const ENTRIES: usize = 60;
-const PLACES: usize = 5;
+const SLOTS: usize = 5;
 
 /// The owner of one zone whose engines are full, with many entry instances.
-struct Crowd {
+struct BusyZone {
     owner: ZoneOwner,
     now: Time,
     orders: Vec<Order>,
     answers: usize,
 }
 
-impl Crowd {
+impl BusyZone {
     /// Creates an owner whose engines hold `full` adapters each.
     fn new(engines: usize, full: usize) -> Self {
         let mut owner = ZoneOwner::new(Config::default(), 1);
@@ -39,21 +39,21 @@
                 weights_mb: 60.0,
                 adapter_mb: 1.0,
             }],
-            adapter_slots: PLACES,
+            adapter_slots: SLOTS,
             memory_mb: 100.0,
         };
         owner.set_specs(BTreeMap::from([("s".to_owned(), spec)]));
-        let mut crowd = Crowd {
+        let mut zone = BusyZone {
             owner,
             now: Time::from_millis(1_000),
             orders: Vec::new(),
             answers: 0,
         };
         let mut lease = ZoneLease::default();
-        lease.granted(crowd.now, [("za".to_owned(), 9)]);
-        crowd.give(Input::Lease(lease));
-        crowd.list(engines, full);
-        crowd
+        lease.granted(zone.now, [("za".to_owned(), 9)]);
+        zone.give(Input::Lease(lease));
+        zone.list(engines, full);
+        zone
     }
 
     fn list(&mut self, engines: usize, full: usize) {
@@ -133,14 +133,14 @@
 #[gtest]
 fn what_waits_costs_nothing_until_it_can_be_ordered() {
     for engines in [35, 140] {
-        let mut crowd = Crowd::new(engines, PLACES);
-        let few = (0..5).map(|_| crowd.round(engines, 3)).max().unwrap();
-        let mut crowd = Crowd::new(engines, PLACES);
-        let many = (0..5).map(|_| crowd.round(engines, 600)).max().unwrap();
+        let mut zone = BusyZone::new(engines, SLOTS);
+        let few = (0..5).map(|_| zone.round(engines, 3)).max().unwrap();
+        let mut zone = BusyZone::new(engines, SLOTS);
+        let many = (0..5).map(|_| zone.round(engines, 600)).max().unwrap();
         // Each adapter is examined once per plan; plans are made for the first request
         // for it, and then ten times a second.
         let plans = ENTRIES as u64 + 5;
-        let most = few + plans * 600 + 2 * plans * (engines * (PLACES + 2)) as u64;
+        let most = few + plans * 600 + 2 * plans * (engines * (SLOTS + 2)) as u64;
         expect_that!(many, lt(most), "{engines} engines, {few} with few waiting");
     }
 }
@@ -150,11 +150,11 @@
 #[gtest]
 fn what_is_asked_for_again_is_not_planned_again() {
     let engines = 35;
-    let mut crowd = Crowd::new(engines, PLACES);
-    crowd.round(engines, 600);
-    let again = crowd.round(engines, 600);
+    let mut zone = BusyZone::new(engines, SLOTS);
+    zone.round(engines, 600);
+    let again = zone.round(engines, 600);
     // One plan for the time that has passed.
-    expect_that!(again, lt((600 + 4 * engines * (PLACES + 2)) as u64));
+    expect_that!(again, lt((600 + 4 * engines * (SLOTS + 2)) as u64));
 }
 
 /// The zone owner has fallen behind: the answers of a hundred orders and the messages of
@@ -163,26 +163,26 @@
 #[gtest]
 fn what_came_together_is_followed_by_one_plan() {
     let engines = 35;
-    let mut crowd = Crowd::new(engines, 0);
-    crowd.round(engines, 600);
-    let given = std::mem::take(&mut crowd.orders);
+    let mut zone = BusyZone::new(engines, 0);
+    zone.round(engines, 600);
+    let given = std::mem::take(&mut zone.orders);
     expect_that!(given.len(), gt(5));
-    let before = crowd.owner.steps();
+    let before = zone.owner.steps();
     for order in &given {
         let (id, outcome) = (order.id.clone(), OrderOutcome::Accepted);
-        crowd.owner.apply(crowd.now, Input::OrderEnded { id, outcome });
+        zone.owner.apply(zone.now, Input::OrderEnded { id, outcome });
     }
     for entry in 0..ENTRIES {
         let sync = Input::Sync(Ticket(entry as u64), Sync::default());
-        crowd.owner.apply(crowd.now, sync);
+        zone.owner.apply(zone.now, sync);
     }
     let mut out = Vec::new();
-    crowd.owner.poll(crowd.now, &mut out);
+    zone.owner.poll(zone.now, &mut out);
     // The next ones are due once these have completed.
-    crowd.now = crowd.now + Duration::from_millis(300);
-    crowd.owner.poll(crowd.now, &mut out);
+    zone.now = zone.now + Duration::from_millis(300);
+    zone.owner.poll(zone.now, &mut out);
     let orders = out.iter().filter(|o| matches!(o, Output::Order(_))).count();
     expect_that!(orders, ge(given.len()));
-    let most = 2 * 600 + (orders + 6) * engines * (PLACES + 2);
-    expect_that!(crowd.owner.steps() - before, lt(most as u64));
+    let most = 2 * 600 + (orders + 6) * engines * (SLOTS + 2);
+    expect_that!(zone.owner.steps() - before, lt(most as u64));
 }
--- a/crates/gateway/tests/zone_owner/world.rs
+++ b/crates/gateway/tests/zone_owner/world.rs
@@ -167,8 +167,8 @@
 /// Answers every order as engines usually do, until none is left.
 pub(crate) fn answer_orders(world: &mut World) {
     while let Some(order) = world.orders.first() {
-        let drops = matches!(order.action, Action::Evict(_));
-        world.end(if drops { OrderOutcome::Done } else { OrderOutcome::Accepted });
+        let evicts = matches!(order.action, Action::Evict(_));
+        world.end(if evicts { OrderOutcome::Done } else { OrderOutcome::Accepted });
     }
 }
 
@@ -180,7 +180,7 @@
     world.give(Input::Sync(Ticket(11), Sync::default()));
     let targets = world.answers.last().and_then(|a| a.targets.clone());
     let mut residents = targets.into_iter().flatten().flat_map(|t| t.residents);
-    let told = residents.find(|r| r.adapter == adapter).map(|r| r.ready_in);
+    let wait = residents.find(|r| r.adapter == adapter).map(|r| r.ready_in);
     world.pass(1_300);
-    told.unwrap()
+    wait.unwrap()
 }
