--- a/crates/frontd/src/control/shell.rs
+++ b/crates/frontd/src/control/shell.rs
@@ -17,9 +17,9 @@
 use daemon::{Clock, Links};
 use disk::Writer;
 use gateway::{
-    zone_owner::{self, ZoneOwner},
     revisions::Revisions,
     zone_lease::{LeaseGranter, ZoneLease},
+    zone_owner::{self, ZoneOwner},
 };
 use replog::HaltReason;
 use telemetry::event;
--- a/crates/frontd/src/control/shell/orders.rs
+++ b/crates/frontd/src/control/shell/orders.rs
@@ -1,7 +1,7 @@
 //! What goes to the holder of orders, and what it wants done.
 
 use base::Ticket;
-use gateway::zone_owner::{self, Action, OrderOutcome, Order};
+use gateway::zone_owner::{self, Action, Order, OrderOutcome};
 use telemetry::{event, exposed};
 use wire::{
     call::Reply,
@@ -93,8 +93,11 @@
                     note_order(&order, ended);
                     exposed().order(ended.as_str());
                     let id = order.id;
-                    jobs.send(Job::Holder(zone_owner::Input::OrderEnded { id, outcome: ended }))
-                        .ok();
+                    jobs.send(Job::Holder(zone_owner::Input::OrderEnded {
+                        id,
+                        outcome: ended,
+                    }))
+                    .ok();
                 });
             }
             zone_owner::Output::Report { id, addr } => {
--- a/crates/frontd/src/entry/state.rs
+++ b/crates/frontd/src/entry/state.rs
@@ -11,7 +11,7 @@
 
 use base::{InstanceName, Seed, Time, stable_hash};
 use daemon::{Clock, Links, lock};
-use gateway::{budget::Budget, home::home, warmup::Warmup, table::Table, view::View};
+use gateway::{budget::Budget, home::home, table::Table, view::View, warmup::Warmup};
 use tokio::sync::Notify;
 use web::client::Client;
 use wire::fleet::Target;
--- a/crates/frontd/src/outside.rs
+++ b/crates/frontd/src/outside.rs
@@ -4,8 +4,8 @@
 
 use futures::future::BoxFuture;
 use gateway::{
-    zone_owner::{OrderOutcome, ListedTarget, Order, Report},
     table::Table,
+    zone_owner::{ListedTarget, Order, OrderOutcome, Report},
 };
 use hyper::header::HeaderName;
 
--- a/crates/frontd/tests/memory/world.rs
+++ b/crates/frontd/tests/memory/world.rs
@@ -15,8 +15,8 @@
 use futures::FutureExt;
 use gateway::{
     budget,
-    zone_owner::{OrderOutcome, Held, ListedTarget, Report},
     table::{Engine as Spec, Kind, Model, RawTable, Route, Service, Table},
+    zone_owner::{Held, ListedTarget, OrderOutcome, Report},
 };
 use hyper::{HeaderMap, Method, Request, Response, StatusCode, body::Incoming, header::HeaderName};
 use tokio::{net::TcpListener, sync::Notify, time::sleep};
--- a/crates/frontd/tests/unit/state.rs
+++ b/crates/frontd/tests/unit/state.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use futures::FutureExt;
-use gateway::{zone_owner::OrderOutcome, table::RawTable};
+use gateway::{table::RawTable, zone_owner::OrderOutcome};
 use googletest::prelude::*;
 use hyper::header::HeaderName;
 
--- a/crates/gateway/src/download.rs
+++ b/crates/gateway/src/download.rs
@@ -146,7 +146,11 @@
     /// # Errors
     ///
     /// Fails if the received parts are unusable; they are dropped and requested again.
-    pub fn handle_result(&mut self, now: Time, got: PartResult) -> Result<Option<(u64, String)>, BadPart> {
+    pub fn handle_result(
+        &mut self,
+        now: Time,
+        got: PartResult,
+    ) -> Result<Option<(u64, String)>, BadPart> {
         let Some(request) = self.awaited.take() else {
             return Ok(None);
         };
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -10,13 +10,13 @@
 //! requests run and which adapters are missing on all entry instances, and decides which
 //! engine loads which adapter.
 
-pub mod list_fallback;
 pub mod budget;
 pub mod download;
-pub mod zone_owner;
 pub mod home;
+pub mod list_fallback;
 pub mod revisions;
-pub mod warmup;
 pub mod table;
-pub mod zone_lease;
 pub mod view;
+pub mod warmup;
+pub mod zone_lease;
+pub mod zone_owner;
--- a/crates/gateway/src/view.rs
+++ b/crates/gateway/src/view.rs
@@ -129,8 +129,9 @@
     pub fn set_targets(&mut self, now: Time, zones: &[String], targets: Vec<Target>) {
         let all = std::mem::take(&mut self.targets);
         let listed: BTreeSet<_> = targets.iter().map(|t| t.id.clone()).collect();
-        let in_zones =
-            |id: &String, known: &TargetState| zones.contains(&known.target.zone) || listed.contains(id);
+        let in_zones = |id: &String, known: &TargetState| {
+            zones.contains(&known.target.zone) || listed.contains(id)
+        };
         let (mut old, rest) = all.into_iter().partition(|(id, known)| in_zones(id, known));
         self.targets = rest;
         for target in targets {
@@ -218,7 +219,8 @@
         others: impl IntoIterator<Item = (String, u32)>,
     ) {
         let targets = &self.targets;
-        self.others.retain(|id, _| known_outside(targets, zones, id));
+        self.others
+            .retain(|id, _| known_outside(targets, zones, id));
         self.others.extend(others);
     }
 
@@ -273,7 +275,10 @@
     /// Returns the targets that recently could not be reached from this instance.
     #[must_use]
     pub fn failing(&self, now: Time) -> Vec<String> {
-        let avoided = self.targets.iter().filter(|(_, known)| known.is_avoided(now));
+        let avoided = self
+            .targets
+            .iter()
+            .filter(|(_, known)| known.is_avoided(now));
         avoided.map(|(id, _)| id.clone()).collect()
     }
 
--- a/crates/gateway/src/view/backlog.rs
+++ b/crates/gateway/src/view/backlog.rs
@@ -106,7 +106,13 @@
     /// a load, a new copy serves callers sooner; it goes to the zone of the target with
     /// the smallest backlog.
     #[must_use]
-    pub fn zone_for_copy(&self, now: Time, service: &str, adapter: &str, load: Duration) -> Option<&str> {
+    pub fn zone_for_copy(
+        &self,
+        now: Time,
+        service: &str,
+        adapter: &str,
+        load: Duration,
+    ) -> Option<&str> {
         if adapter.is_empty() {
             return None;
         }
@@ -126,7 +132,11 @@
 }
 
 /// Returns whether a target is known and in none of `zones`.
-pub(super) fn known_outside(targets: &BTreeMap<String, TargetState>, zones: &[String], id: &str) -> bool {
+pub(super) fn known_outside(
+    targets: &BTreeMap<String, TargetState>,
+    zones: &[String],
+    id: &str,
+) -> bool {
     let zone = targets.get(id).map(|known| &known.target.zone);
     zone.is_some_and(|zone| !zones.contains(zone))
 }
--- a/crates/gateway/src/view/held.rs
+++ b/crates/gateway/src/view/held.rs
@@ -40,7 +40,9 @@
         let old = old.filter(|old| old.unproven || !announced_loading);
         Held {
             version: resident.version,
-            ready: old.map_or(ready, |old| old.ready.max(ready).min(ready + EARLY_MAX_DELAY)),
+            ready: old.map_or(ready, |old| {
+                old.ready.max(ready).min(ready + EARLY_MAX_DELAY)
+            }),
             unproven: old.map_or(announced_loading, |old| old.unproven),
             refusals: old.map_or(0, |old| old.refusals),
         }
--- a/crates/gateway/src/view/spread.rs
+++ b/crates/gateway/src/view/spread.rs
@@ -25,7 +25,9 @@
         let least = |a: &&(f64, &TargetState), b: &&(f64, &TargetState)| a.0.total_cmp(&b.0);
         let best = rated.iter().min_by(least)?;
         let (lowest, zone) = (best.0, &best.1.target.zone);
-        let near = rated.iter().filter(|(cost, _)| *cost <= lowest + MAX_EXCESS);
+        let near = rated
+            .iter()
+            .filter(|(cost, _)| *cost <= lowest + MAX_EXCESS);
         let near = near.filter(|(_, known)| known.target.zone == *zone);
         let mut near: Vec<_> = near.collect();
         near.sort_by_cached_key(|(_, known)| self.rank(known));
--- a/crates/gateway/src/zone_lease.rs
+++ b/crates/gateway/src/zone_lease.rs
@@ -112,7 +112,13 @@
     /// Failure: a new leader doesn't know when its predecessor last renewed a lease. It
     /// has to lead for the full lease time itself, or two owners would give orders
     /// alternately.
-    fn has_expired(&self, now: Time, since: Time, owner: &InstanceName, owner_gap: Duration) -> bool {
+    fn has_expired(
+        &self,
+        now: Time,
+        since: Time,
+        owner: &InstanceName,
+        owner_gap: Duration,
+    ) -> bool {
         let last = self.heard.get(owner).map_or(since, |(_, at)| *at);
         now.since(last.max(since)) >= takeover_time(owner_gap)
     }
--- a/crates/gateway/src/zone_owner.rs
+++ b/crates/gateway/src/zone_owner.rs
@@ -5,17 +5,17 @@
 //! say which adapters each engine holds. The zone owner loads missing adapters, adds
 //! copies of busy ones, and evicts the least requested ones to make room.
 
-mod placement;
+mod aging;
 mod demand;
 mod engine;
-mod message;
-mod target_updates;
 mod estimate;
+mod message;
+mod placement;
 mod plan;
 mod queue;
 mod slowness;
+mod target_updates;
 mod traffic;
-mod aging;
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -25,16 +25,16 @@
 use base::{InstanceName, Ticket, Time};
 use wire::fleet::{First, Resident, Sync, Synced, Target, Weights};
 
-pub use self::message::{Action, OrderOutcome, Held, Input, ListedTarget, Order, Output, Report};
+pub use self::message::{Action, Held, Input, ListedTarget, Order, OrderOutcome, Output, Report};
 use self::{
-    placement::Placement,
+    aging::Aging,
     demand::Demand,
     engine::{Engine, Source},
-    target_updates::TargetUpdates,
     estimate::{MemoryEstimate, StoreEstimate},
+    placement::Placement,
     slowness::Slowness,
+    target_updates::TargetUpdates,
     traffic::Traffic,
-    aging::Aging,
 };
 use crate::{table, zone_lease::ZoneLease};
 
@@ -250,7 +250,10 @@
             loads: self.store.window() as usize,
             memory: self.memory.size(),
             waiting: self.queue.len(),
-            loading: self.placement.as_ref().map_or(0, |placement| placement.loading),
+            loading: self
+                .placement
+                .as_ref()
+                .map_or(0, |placement| placement.loading),
             available: self.available,
             full: self.full,
         }
@@ -464,8 +467,10 @@
 
     fn expire(&mut self, now: Time) {
         self.traffic.expire(now);
-        self.wants.retain(|_, want| now.since(want.last_asked) < WANTED_TIME);
-        self.copies.retain(|_, at| now.since(*at) < COPY_WANTED_TIME);
+        self.wants
+            .retain(|_, want| now.since(want.last_asked) < WANTED_TIME);
+        self.copies
+            .retain(|_, at| now.since(*at) < COPY_WANTED_TIME);
         self.aging.expire(now);
         let failing = self.failing.len();
         self.failing.retain(|_, at| now.since(*at) < FAILING_TIME);
@@ -492,7 +497,8 @@
         let placement = self.placement(now);
         let pending = std::mem::take(&mut self.pending);
         for sync in pending {
-            let known = |adapter: &String| placement.placed(adapter) || self.waits_too_long(adapter);
+            let known =
+                |adapter: &String| placement.placed(adapter) || self.waits_too_long(adapter);
             if now < sync.until && !sync.wants.iter().all(known) {
                 self.pending.push(sync);
                 continue;
@@ -561,7 +567,9 @@
     /// Returns whether an adapter is so far back in the queue for the store that the
     /// requester should get its estimated wait at once.
     fn waits_too_long(&self, adapter: &str) -> bool {
-        self.queue.get(adapter).is_some_and(|wait| *wait > SYNC_WAIT)
+        self.queue
+            .get(adapter)
+            .is_some_and(|wait| *wait > SYNC_WAIT)
     }
 
     fn waits(&self, wants: &[String]) -> Vec<(String, Duration)> {
--- a/crates/gateway/src/zone_owner/engine.rs
+++ b/crates/gateway/src/zone_owner/engine.rs
@@ -8,7 +8,7 @@
 use base::Time;
 use wire::fleet::{First, Resident, Weights};
 
-use super::{Action, Config, OrderOutcome, Held, ListedTarget, Report};
+use super::{Action, Config, Held, ListedTarget, OrderOutcome, Report};
 
 /// Number of evicted adapters that are remembered per engine. How many of them the engine
 /// still has in host memory is estimated, see [`MemoryEstimate`](super::estimate::MemoryEstimate).
@@ -327,7 +327,10 @@
 
     pub(super) fn reported(&mut self, now: Time, report: Option<Report>, times: &Config) {
         let (load, lag) = (times.adapter_load, times.report_lag);
-        let (why, asked) = self.report_asked.take().unwrap_or((ReportReason::OrderCount, now));
+        let (why, asked) = self
+            .report_asked
+            .take()
+            .unwrap_or((ReportReason::OrderCount, now));
         self.suspect = false;
         let Some(report) = report else {
             self.paused_until = now + lag;
@@ -381,7 +384,14 @@
     /// the list's age counted from its arrival, orders given before the freeze seemed old
     /// enough to show in it; their slots were taken for free, and the engine was ordered
     /// to load more than it can hold, which crashes it.
-    fn merge_held(&mut self, now: Time, asked: Time, held: &Held, lag: Duration, list_lag: Duration) {
+    fn merge_held(
+        &mut self,
+        now: Time,
+        asked: Time,
+        held: &Held,
+        lag: Duration,
+        list_lag: Duration,
+    ) {
         let recent = |at: &Time| asked < *at + lag;
         self.models
             .retain(|model, ready| held.models.contains_key(model) || asked < *ready + lag);
--- a/crates/gateway/src/zone_owner/estimate.rs
+++ b/crates/gateway/src/zone_owner/estimate.rs
@@ -128,7 +128,8 @@
             self.in_time_since = true;
         }
         let excess = (self.time - self.usual).max(0.0);
-        self.time = (self.time - IN_TIME_STEP - EXCESS_DECAY * excess).max(self.initial * TIME_BOUNDS.0);
+        self.time =
+            (self.time - IN_TIME_STEP - EXCESS_DECAY * excess).max(self.initial * TIME_BOUNDS.0);
         self.learn_usual();
         self.window = (self.window + GROW).min(self.zones * WINDOW_BOUNDS.1);
     }
@@ -216,7 +217,9 @@
 
 impl Default for MemoryEstimate {
     fn default() -> Self {
-        MemoryEstimate { size: INITIAL_MEMORY }
+        MemoryEstimate {
+            size: INITIAL_MEMORY,
+        }
     }
 }
 
--- a/crates/gateway/src/zone_owner/placement.rs
+++ b/crates/gateway/src/zone_owner/placement.rs
@@ -82,7 +82,8 @@
                 copies.settled_at = copies.settled_at.max(slot.ready + COPY_SETTLE_TIME);
                 copies.placed += usize::from(serves && self.current(engine, adapter));
                 if slot.ready > now && !slot.evicting {
-                    placement.next = Some(placement.next.map_or(slot.ready, |at| at.min(slot.ready)));
+                    placement.next =
+                        Some(placement.next.map_or(slot.ready, |at| at.min(slot.ready)));
                 }
             }
             if let Some(adapter) = engine.about_to_load() {
--- a/crates/gateway/src/zone_owner/plan.rs
+++ b/crates/gateway/src/zone_owner/plan.rs
@@ -5,9 +5,9 @@
 use base::Time;
 
 use super::{
-    Action, ZoneOwner, Order, Output, MIN_PLAN_INTERVAL,
+    Action, MIN_PLAN_INTERVAL, Order, Output, ZoneOwner,
+    engine::{Engine, ReportReason},
     placement::Placement,
-    engine::{ReportReason, Engine},
 };
 use crate::table;
 
@@ -64,7 +64,8 @@
         self.load_models(now, out);
         let own = self.lease.zones(now).len().max(1);
         let engines = self.engines.len() * self.config.zones.max(1) / own;
-        self.store.raise_window(engines as f64 * INITIAL_LOADS_PER_ENGINE);
+        self.store
+            .raise_window(engines as f64 * INITIAL_LOADS_PER_ENGINE);
         let limit = self.load_limit(now);
         self.load_into_freed(now, out);
         let mut placement = self.placement(now);
@@ -86,7 +87,13 @@
     /// later engine answers were processed, until orders counted as lost and still more
     /// adapters were missing. So an adapter that waits for the store costs a plan no more
     /// than its place in the queue.
-    fn load_missing(&mut self, now: Time, limit: usize, placement: &mut Placement, out: &mut Vec<Output>) {
+    fn load_missing(
+        &mut self,
+        now: Time,
+        limit: usize,
+        placement: &mut Placement,
+        out: &mut Vec<Output>,
+    ) {
         self.queue.clear();
         if self.wants.is_empty() && self.copies.is_empty() {
             return;
@@ -170,7 +177,8 @@
             } else {
                 continue;
             };
-            if engine.order.is_none() && engine.report_asked.is_none() && now >= engine.paused_until {
+            if engine.order.is_none() && engine.report_asked.is_none() && now >= engine.paused_until
+            {
                 engine.report_asked = Some((why, now));
                 out.push(Output::Report {
                     id: id.clone(),
@@ -207,7 +215,12 @@
 
     /// Loads the adapters for which a slot was freed.
     fn load_into_freed(&mut self, now: Time, out: &mut Vec<Output>) {
-        let due = |engine: &Engine| engine.can_take_order(now).then(|| engine.next_load.clone()).flatten();
+        let due = |engine: &Engine| {
+            engine
+                .can_take_order(now)
+                .then(|| engine.next_load.clone())
+                .flatten()
+        };
         let due_loads: Vec<_> = self
             .engines
             .iter()
@@ -252,7 +265,8 @@
     ) -> bool {
         self.steps += candidates.len() as u64;
         let fit = candidates.iter().enumerate();
-        let fit = fit.filter_map(|(at, candidate)| Some((self.cost(candidate, adapter, use_store)?, at)));
+        let fit =
+            fit.filter_map(|(at, candidate)| Some((self.cost(candidate, adapter, use_store)?, at)));
         let Some((_, at)) = fit.min_by(|a, b| a.0.total_cmp(&b.0)) else {
             return false;
         };
@@ -261,7 +275,10 @@
         match candidate.victim.filter(|_| !held) {
             None => self.load(now, &candidate.id, adapter.to_owned(), out),
             Some(victim) => {
-                let engine = self.engines.get_mut(&candidate.id).expect("was just chosen");
+                let engine = self
+                    .engines
+                    .get_mut(&candidate.id)
+                    .expect("was just chosen");
                 engine.next_load = Some(adapter.to_owned());
                 self.order(now, &candidate.id, Action::Evict(victim), out);
             }
@@ -276,7 +293,10 @@
     fn cost(&self, candidate: &Candidate, adapter: &str, use_store: bool) -> Option<f64> {
         let engine = &self.engines[&candidate.id];
         let cached = self.in_memory(engine, adapter);
-        if !(use_store || cached) || !self.holds_model(&candidate.id, adapter) || engine.is_evicting(adapter) {
+        if !(use_store || cached)
+            || !self.holds_model(&candidate.id, adapter)
+            || engine.is_evicting(adapter)
+        {
             return None;
         }
         let held = engine.adapters.contains_key(adapter);
@@ -307,7 +327,13 @@
 
     /// Returns the adapter with the least demand per copy among those that are not in
     /// use, the one to evict.
-    fn victim(&self, now: Time, id: &str, engine: &Engine, placement: &Placement) -> Option<String> {
+    fn victim(
+        &self,
+        now: Time,
+        id: &str,
+        engine: &Engine,
+        placement: &Placement,
+    ) -> Option<String> {
         let idle = engine.adapters.iter().filter(|(adapter, slot)| {
             let wanted = self.wants.contains_key(*adapter);
             slot.settled(now) && !slot.evicting && !wanted && self.traffic.of(id, adapter) == 0
--- a/crates/gateway/src/zone_owner/queue.rs
+++ b/crates/gateway/src/zone_owner/queue.rs
@@ -9,7 +9,7 @@
 
 use base::Time;
 
-use super::{ZoneOwner, Output, placement::Placement, plan::Candidate};
+use super::{Output, ZoneOwner, placement::Placement, plan::Candidate};
 
 /// Waiting time of a caller from which a load can't serve it in time any more: callers
 /// expect the first token within some 800 ms, of which a load takes 250 and reading the
@@ -85,7 +85,11 @@
     /// Returns the estimated time until each waiting adapter can be used, by its place in
     /// the queue for the store, so that callers who can't wait that long are told at
     /// once.
-    pub(super) fn estimate_waits(&self, waiting: &[String], limit: usize) -> BTreeMap<String, Duration> {
+    pub(super) fn estimate_waits(
+        &self,
+        waiting: &[String],
+        limit: usize,
+    ) -> BTreeMap<String, Duration> {
         let time = self.store.time();
         let waiting = waiting.iter().enumerate();
         let wanted = waiting.filter(|(_, adapter)| self.wants.contains_key(*adapter));
--- a/crates/gateway/src/zone_owner/slowness.rs
+++ b/crates/gateway/src/zone_owner/slowness.rs
@@ -87,8 +87,13 @@
 
     /// Returns the time that the median engine takes for a token, in seconds.
     fn median(&self) -> Option<f64> {
-        let known = self.engines.values().filter(|samples| samples.tokens >= MIN_TOKENS);
-        let mut times: Vec<_> = known.map(|samples| samples.seconds / samples.tokens).collect();
+        let known = self
+            .engines
+            .values()
+            .filter(|samples| samples.tokens >= MIN_TOKENS);
+        let mut times: Vec<_> = known
+            .map(|samples| samples.seconds / samples.tokens)
+            .collect();
         if times.len() < MIN_ENGINES {
             return None;
         }
--- a/crates/gateway/src/zone_owner/traffic.rs
+++ b/crates/gateway/src/zone_owner/traffic.rs
@@ -144,5 +144,6 @@
             totals.unread -= tokens;
         }
     }
-    targets.retain(|_, totals| totals.running > 0 || totals.unread > 0 || !totals.adapters.is_empty());
+    targets
+        .retain(|_, totals| totals.running > 0 || totals.unread > 0 || !totals.adapters.is_empty());
 }
--- a/crates/gateway/tests/backup.rs
+++ b/crates/gateway/tests/backup.rs
@@ -122,7 +122,10 @@
         target: "b".to_owned(),
         origin: ORIGIN,
     };
-    assert_that!(view(&targets).check_restore(NOW, "m/x", &backup), eq(expected));
+    assert_that!(
+        view(&targets).check_restore(NOW, "m/x", &backup),
+        eq(expected)
+    );
 }
 
 base::cases! {
--- a/crates/gateway/tests/revisions.rs
+++ b/crates/gateway/tests/revisions.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use gateway::revisions::{Revisions, MAX_PER_ANSWER};
+use gateway::revisions::{MAX_PER_ANSWER, Revisions};
 use googletest::prelude::*;
 
 fn versions(named: &[(&str, u32)]) -> BTreeMap<String, u32> {
--- a/crates/gateway/tests/zone_lease.rs
+++ b/crates/gateway/tests/zone_lease.rs
@@ -7,7 +7,7 @@
 };
 
 use base::{InstanceName, Time};
-use gateway::zone_lease::{LeaseGranter, LEASE_TIME, ZoneLease, takeover_time};
+use gateway::zone_lease::{LEASE_TIME, LeaseGranter, ZoneLease, takeover_time};
 use googletest::prelude::*;
 
 const OWNER_GAP: Duration = Duration::from_millis(3_400);
--- a/crates/gateway/tests/zone_owner.rs
+++ b/crates/gateway/tests/zone_owner.rs
@@ -1,25 +1,25 @@
 //! The zone owner: what it orders, and that no engine is overfilled.
 
+#[path = "zone_owner/aging.rs"]
+mod aging;
 #[path = "zone_owner/loads.rs"]
 mod loads;
 #[path = "zone_owner/many.rs"]
 mod many;
-#[path = "zone_owner/target_updates.rs"]
-mod target_updates;
 #[path = "zone_owner/slowness.rs"]
 mod slowness;
-#[path = "zone_owner/aging.rs"]
-mod aging;
+#[path = "zone_owner/target_updates.rs"]
+mod target_updates;
 #[path = "zone_owner/world.rs"]
 mod world;
 
 use std::time::Duration;
 
 use base::Ticket;
-use gateway::zone_owner::{Action, Config, OrderOutcome, Input, Report};
+use gateway::zone_owner::{Action, Config, Input, OrderOutcome, Report};
 use googletest::prelude::*;
 use wire::fleet::{Running, Sync};
-use world::{World, held, load, announced_wait};
+use world::{World, announced_wait, held, load};
 
 #[gtest]
 fn a_wanted_adapter_is_loaded_once_and_announced() {
@@ -268,7 +268,10 @@
     world.end(OrderOutcome::Unknown);
     world.pass(20);
     world.report_all();
-    assert_that!(world.end(OrderOutcome::Done).action, matches_pattern!(Action::Evict(_)));
+    assert_that!(
+        world.end(OrderOutcome::Done).action,
+        matches_pattern!(Action::Evict(_))
+    );
     assert_that!(world.orders, is_empty());
     world.pass(400);
     assert_that!(world.reports, eq(&vec!["e1".to_owned()]));
@@ -282,7 +285,10 @@
     let mut world = World::new(1);
     world.list(&["m/a", "m/b", "m/c"]);
     world.want(&["m/x"]);
-    assert_that!(world.end(OrderOutcome::Done).action, matches_pattern!(Action::Evict(_)));
+    assert_that!(
+        world.end(OrderOutcome::Done).action,
+        matches_pattern!(Action::Evict(_))
+    );
     assert_that!(world.orders, is_empty());
     world.pass(400);
     assert_that!(world.reports, eq(&vec!["e1".to_owned()]));
@@ -309,7 +315,10 @@
     // Its slot is still taken: nothing is loaded there.
     world.want(&["m/x"]);
     assert_that!(
-        world.orders.iter().all(|o| matches!(o.action, Action::Evict(_))),
+        world
+            .orders
+            .iter()
+            .all(|o| matches!(o.action, Action::Evict(_))),
         eq(true)
     );
 }
--- a/crates/gateway/tests/zone_owner/aging.rs
+++ b/crates/gateway/tests/zone_owner/aging.rs
@@ -22,7 +22,11 @@
     let mut loaded = Vec::new();
     while let Some(order) = world.orders.first() {
         let evicts = matches!(order.action, Action::Evict(_));
-        let order = world.end(if evicts { OrderOutcome::Done } else { OrderOutcome::Accepted });
+        let order = world.end(if evicts {
+            OrderOutcome::Done
+        } else {
+            OrderOutcome::Accepted
+        });
         if let Action::Load { adapter, .. } = order.action {
             loaded.push(adapter);
         }
--- a/crates/gateway/tests/zone_owner/loads.rs
+++ b/crates/gateway/tests/zone_owner/loads.rs
@@ -4,11 +4,11 @@
 use std::{collections::BTreeMap, time::Duration};
 
 use base::Ticket;
-use gateway::zone_owner::{Action, Config, OrderOutcome, Input};
+use gateway::zone_owner::{Action, Config, Input, OrderOutcome};
 use googletest::prelude::*;
 use wire::fleet::{First, Sync};
 
-use crate::world::{World, load, answer_orders, announced_wait};
+use crate::world::{World, announced_wait, answer_orders, load};
 
 /// Orders loads of `count` adapters; returns how many were ordered at once, and the wait
 /// announced for the last one.
@@ -20,7 +20,11 @@
     world.own_zone();
     while let Some(order) = world.orders.first() {
         let evicts = matches!(order.action, Action::Evict(_));
-        world.end(if evicts { OrderOutcome::Done } else { OrderOutcome::Accepted });
+        world.end(if evicts {
+            OrderOutcome::Done
+        } else {
+            OrderOutcome::Accepted
+        });
         given += usize::from(!evicts);
     }
     world.give(Input::Sync(Ticket(10), Sync::default()));
--- a/crates/gateway/tests/zone_owner/many.rs
+++ b/crates/gateway/tests/zone_owner/many.rs
@@ -9,9 +9,9 @@
 
 use base::{Ticket, Time};
 use gateway::{
-    zone_owner::{Config, OrderOutcome, ZoneOwner, Input, ListedTarget, Order, Output, Report},
     table::{Engine, Model},
     zone_lease::ZoneLease,
+    zone_owner::{Config, Input, ListedTarget, Order, OrderOutcome, Output, Report, ZoneOwner},
 };
 use googletest::prelude::*;
 use wire::fleet::{Running, Sync};
@@ -170,7 +170,8 @@
     let before = zone.owner.steps();
     for order in &given {
         let (id, outcome) = (order.id.clone(), OrderOutcome::Accepted);
-        zone.owner.apply(zone.now, Input::OrderEnded { id, outcome });
+        zone.owner
+            .apply(zone.now, Input::OrderEnded { id, outcome });
     }
     for entry in 0..ENTRIES {
         let sync = Input::Sync(Ticket(entry as u64), Sync::default());
--- a/crates/gateway/tests/zone_owner/target_updates.rs
+++ b/crates/gateway/tests/zone_owner/target_updates.rs
@@ -5,7 +5,7 @@
 //! sender's processor; so each receiver names the last number that it has.
 
 use base::Ticket;
-use gateway::zone_owner::{OrderOutcome, Held, Input, Report};
+use gateway::zone_owner::{Held, Input, OrderOutcome, Report};
 use googletest::prelude::*;
 use wire::fleet::{Sync, Synced};
 
--- a/crates/gateway/tests/zone_owner/world.rs
+++ b/crates/gateway/tests/zone_owner/world.rs
@@ -4,9 +4,11 @@
 
 use base::{Ticket, Time};
 use gateway::{
-    zone_owner::{Action, Config, OrderOutcome, Held, ZoneOwner, Input, ListedTarget, Order, Output, Report},
     table::{Engine, Model},
     zone_lease::ZoneLease,
+    zone_owner::{
+        Action, Config, Held, Input, ListedTarget, Order, OrderOutcome, Output, Report, ZoneOwner,
+    },
 };
 use wire::fleet::{Sync, Synced};
 
@@ -168,7 +170,11 @@
 pub(crate) fn answer_orders(world: &mut World) {
     while let Some(order) = world.orders.first() {
         let evicts = matches!(order.action, Action::Evict(_));
-        world.end(if evicts { OrderOutcome::Done } else { OrderOutcome::Accepted });
+        world.end(if evicts {
+            OrderOutcome::Done
+        } else {
+            OrderOutcome::Accepted
+        });
     }
 }
 
