--- a/crates/gateway/src/view/spread.rs
+++ b/crates/gateway/src/view/spread.rs
@@ -19,8 +19,8 @@
 const MAX_EXCESS: f64 = 0.5;
 
 impl View {
-    /// Returns the less loaded of [`CANDIDATES`] targets, drawn among those in the zone of the
-    /// target with the lowest cost.
+    /// Returns the less loaded of [`CANDIDATES`] targets, drawn among those in the zone
+    /// of the target with the lowest cost.
     pub(super) fn pick<'a>(&self, rated: &[(f64, &'a TargetState)]) -> Option<&'a TargetState> {
         let least = |a: &&(f64, &TargetState), b: &&(f64, &TargetState)| a.0.total_cmp(&b.0);
         let best = rated.iter().min_by(least)?;
--- a/crates/gateway/src/zone_owner/engine.rs
+++ b/crates/gateway/src/zone_owner/engine.rs
@@ -11,7 +11,8 @@
 use super::{Action, Config, Held, ListedTarget, OrderOutcome, Report};
 
 /// Number of evicted adapters that are remembered per engine. How many of them the engine
-/// still has in host memory is estimated, see [`MemoryEstimate`](super::estimate::MemoryEstimate).
+/// still has in host memory is estimated by
+/// [`MemoryEstimate`](super::estimate::MemoryEstimate).
 const EVICTED_MAX: usize = 256;
 
 /// An engine reloads an adapter from its host memory this many times as fast as from the
--- a/crates/gateway/src/zone_owner/plan.rs
+++ b/crates/gateway/src/zone_owner/plan.rs
@@ -248,9 +248,9 @@
         models.any(|model| model.name == name)
     }
 
-    /// Orders one more copy of an adapter at one of the `candidates` and removes that from the
-    /// list. Returns whether it did. If `use_store` is false, only engines are considered
-    /// that still have the adapter in host memory.
+    /// Orders one more copy of an adapter at one of the `candidates` and removes that
+    /// from the list. Returns whether it did. If `use_store` is false, only engines are
+    /// considered that still have the adapter in host memory.
     ///
     /// Failure: forty adapters wait for their share of the store, and adapters that an
     /// engine could reload from its host memory in a tenth of the time wait among them.
