--- a/crates/frontd/src/control/shell.rs
+++ b/crates/frontd/src/control/shell.rs
@@ -17,9 +17,9 @@
 use daemon::{Clock, Links};
 use disk::Writer;
 use gateway::{
-    holder::{self, Holder},
     revisions::Revisions,
-    tenure::{Granter, Tenure},
+    zone_lease::{LeaseGranter, ZoneLease},
+    zone_owner::{self, ZoneOwner},
 };
 use replog::HaltReason;
 use telemetry::event;
@@ -70,7 +70,7 @@
     /// Something for the control instance.
     Input(Input),
     /// Something for the holder.
-    Holder(holder::Input),
+    Holder(zone_owner::Input),
     /// Another instance calls.
     Call {
         /// Its call.
@@ -125,7 +125,7 @@
 
 pub(crate) struct Shell {
     control: Control,
-    holder: Holder,
+    holder: ZoneOwner,
     handout: Handout,
     revisions: Revisions,
     writer: Writer,
@@ -139,8 +139,8 @@
     next_list: Time,
     next_seeds: Time,
     next_renew: Time,
-    granter: Granter,
-    tenure: Tenure,
+    granter: LeaseGranter,
+    tenure: ZoneLease,
     /// Zones whose next owner is on its way through the log.
     moving: BTreeSet<String>,
     zone: String,
@@ -182,14 +182,14 @@
     ) -> Self {
         let name = control.replica().id().instance.clone();
         let serial = u64::from(rand::random::<u32>());
-        let config = holder::Config {
+        let config = zone_owner::Config {
             zones: setup.zones.len(),
             list_lag: setup.list_lag,
-            ..holder::Config::default()
+            ..zone_owner::Config::default()
         };
         Shell {
             control,
-            holder: Holder::new(config, serial),
+            holder: ZoneOwner::new(config, serial),
             handout: Handout::default(),
             revisions: Revisions::new(rand::random::<u64>() >> 2),
             writer,
@@ -203,8 +203,8 @@
             next_list: Time::ZERO,
             next_seeds: Time::ZERO,
             next_renew: Time::ZERO,
-            granter: Granter::default(),
-            tenure: Tenure::default(),
+            granter: LeaseGranter::default(),
+            tenure: ZoneLease::default(),
             moving: BTreeSet::new(),
             zone: setup.zone.clone(),
             zones: setup.zones.clone(),
@@ -231,7 +231,7 @@
             let wake = stop_at.map_or(self.wake, |at| self.wake.min(at));
             let wake = wake.min(self.next_seeds).min(self.next_renew);
             let wake = wake.min(self.tick);
-            let wake = self.holder.next().map_or(wake, |at| wake.min(at));
+            let wake = self.holder.next_due().map_or(wake, |at| wake.min(at));
             tokio::select! {
                 count = queue.recv_many(&mut burst, BURST) => {
                     if count == 0 {
@@ -283,7 +283,7 @@
         }
         if now >= self.tick {
             self.tick = now + TICK;
-            self.hold(holder::Input::Wake);
+            self.hold(zone_owner::Input::Wake);
         }
     }
 
@@ -309,7 +309,7 @@
             Call::Sync(sync) => {
                 let revision = sync.revision;
                 let ticket = self.wait(Waiter::Sync { to, revision });
-                self.hold(holder::Input::Sync(ticket, *sync));
+                self.hold(zone_owner::Input::Sync(ticket, *sync));
             }
             Call::Edition { number, from } => {
                 let part = self.handout.part(self.clock.now(), number, from);
--- a/crates/frontd/src/control/shell/orders.rs
+++ b/crates/frontd/src/control/shell/orders.rs
@@ -1,7 +1,7 @@
 //! What goes to the holder of orders, and what it wants done.
 
 use base::Ticket;
-use gateway::holder::{self, Act, Ended, Order};
+use gateway::zone_owner::{self, Action, Order, OrderOutcome};
 use telemetry::{event, exposed};
 use wire::{
     call::Reply,
@@ -18,7 +18,7 @@
             match list(Some(zone.clone())).await {
                 Some(list) => {
                     let zones = vec![zone];
-                    let listed = holder::Input::Listed { asked, zones, list };
+                    let listed = zone_owner::Input::Listed { asked, zones, list };
                     jobs.send(Job::Holder(listed)).ok();
                 }
                 None => event!(telemetry::Event::ListStale),
@@ -27,8 +27,8 @@
     }
 
     /// Hands one input to the holder; what follows from it is due with [`Self::order`].
-    pub(super) fn hold(&mut self, input: holder::Input) {
-        self.holder.take(self.clock.now(), input);
+    pub(super) fn hold(&mut self, input: zone_owner::Input) {
+        self.holder.apply(self.clock.now(), input);
     }
 
     /// Gives the orders and answers that follow from all that came together.
@@ -38,7 +38,7 @@
     /// answers of engines were read too late.
     pub(super) fn order(&mut self) {
         let mut outputs = Vec::new();
-        self.holder.act(self.clock.now(), &mut outputs);
+        self.holder.poll(self.clock.now(), &mut outputs);
         for output in outputs {
             self.carry_out(output);
         }
@@ -47,15 +47,15 @@
     /// Logs what was learned of the store, once a second at most and only while
     /// adapters wait for it.
     pub(super) fn note_store(&mut self) {
-        let learned = self.holder.learned();
+        let learned = self.holder.load_stats();
         if learned.waiting == 0 {
             return;
         }
         event!(
             telemetry::Event::StoreThrottled,
             waiting = learned.waiting,
-            coming = learned.coming,
-            idle = learned.idle,
+            coming = learned.loading,
+            idle = learned.available,
             full = learned.full,
             load_ms = learned.load.as_millis(),
             loads = learned.loads,
@@ -83,29 +83,32 @@
         self.weights = held;
     }
 
-    fn carry_out(&mut self, output: holder::Output) {
+    fn carry_out(&mut self, output: zone_owner::Output) {
         let jobs = self.jobs.clone();
         match output {
-            holder::Output::Order(order) => {
+            zone_owner::Output::Order(order) => {
                 let given = (self.outside.give)(order.clone());
                 tokio::spawn(async move {
                     let ended = given.await;
                     note_order(&order, ended);
                     exposed().order(ended.as_str());
                     let id = order.id;
-                    jobs.send(Job::Holder(holder::Input::Ended { id, ended }))
-                        .ok();
+                    jobs.send(Job::Holder(zone_owner::Input::OrderEnded {
+                        id,
+                        outcome: ended,
+                    }))
+                    .ok();
                 });
             }
-            holder::Output::Report { id, addr } => {
+            zone_owner::Output::Report { id, addr } => {
                 let asked = (self.outside.ask)(id.clone(), addr);
                 tokio::spawn(async move {
                     let report = asked.await;
-                    jobs.send(Job::Holder(holder::Input::Reported { id, report }))
+                    jobs.send(Job::Holder(zone_owner::Input::Reported { id, report }))
                         .ok();
                 });
             }
-            holder::Output::Answer { ticket, synced } => self.answer(ticket, synced),
+            zone_owner::Output::Answer { ticket, synced } => self.answer(ticket, synced),
         }
     }
 
@@ -126,8 +129,8 @@
     pub(super) fn named_changed(&mut self) {
         self.take_newest();
         let versions = self.control.state().editions().versions().clone();
-        self.revisions.take(&versions);
-        self.hold(holder::Input::Versions(versions));
+        self.revisions.update(&versions);
+        self.hold(zone_owner::Input::Versions(versions));
     }
 
     /// Takes the newest edition once: keeps it for entry instances, and reads what
@@ -151,12 +154,12 @@
 }
 
 /// Logs what came of an order, so that a refused request's adapter can be followed.
-fn note_order(order: &Order, ended: Ended) {
+fn note_order(order: &Order, ended: OrderOutcome) {
     use telemetry::Event as Line;
     let (id, expected, how) = (&order.id, order.expected, ended.as_str());
-    let taken = matches!(ended, Ended::Accepted | Ended::Done);
-    match &order.act {
-        Act::Load { adapter, .. } if taken => {
+    let taken = matches!(ended, OrderOutcome::Accepted | OrderOutcome::Done);
+    match &order.action {
+        Action::Load { adapter, .. } if taken => {
             event!(
                 Line::AdapterLoaded,
                 engine = id,
@@ -165,7 +168,7 @@
                 how = how
             );
         }
-        Act::Evict(adapter) if taken => {
+        Action::Evict(adapter) if taken => {
             event!(
                 Line::AdapterUnloaded,
                 engine = id,
@@ -174,7 +177,7 @@
                 how = how
             );
         }
-        Act::LoadModel(_) if taken => {}
+        Action::LoadModel(_) if taken => {}
         act => event!(
             Line::LoadFailed,
             engine = id,
--- a/crates/gateway/src/download.rs
+++ b/crates/gateway/src/download.rs
@@ -1,11 +1,12 @@
-//! The newest edition on its way to an entry instance, part by part.
+//! Download of the newest edition (a numbered configuration) to an entry instance, part
+//! by part.
 //!
-//! Failure: an edition of 2,000 routes came inside the answer of an exchange, from
-//! every control instance at once. A thin link couldn't carry that within the
-//! exchange's time limit; what had come was dropped, the next exchange began anew,
-//! and the instance went by its old routes while its link was full. Here one source
-//! is asked at a time, for a part that a link carries in a moment, and what has come
-//! is kept for as long as any source has the rest.
+//! Failure: an edition of 2,000 routes was sent inside the answer of an exchange, by
+//! every control instance at once. A slow link couldn't carry that within the exchange's
+//! time limit; the received data was dropped, the next exchange started over, and the
+//! instance went on with its old routes while its link was saturated. So one source is
+//! asked at a time, for a part that a link carries quickly, and received parts are kept
+//! for as long as any source has the rest.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -16,249 +17,255 @@
 use thiserror::Error;
 use wire::{fleet::Part, patch::digest};
 
-/// How long a source that failed to answer comes after all others.
-const REST: Duration = Duration::from_secs(2);
+/// How long a source that failed to answer is asked only if there is no other.
+const FAILURE_PAUSE: Duration = Duration::from_secs(2);
 
-/// Which part to ask for, and whom.
+/// A request for a part.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Ask<K> {
-    /// The source.
+pub struct PartRequest<K> {
+    /// The source to ask.
     pub source: K,
     /// Number of the edition.
     pub number: u64,
-    /// Where the part begins, in bytes of the text.
+    /// Offset of the part in the text, in bytes.
     pub from: u64,
 }
 
-/// What came of an [`Ask`].
+/// Result of a [`PartRequest`].
 #[derive(Clone, Debug)]
-pub enum Got {
+pub enum PartResult {
     /// The part.
     Part(Part),
-    /// The source doesn't have the edition any more.
-    Without,
-    /// No answer, or one that can't be read.
-    Nothing,
+    /// The source does not have the edition any more.
+    Missing,
+    /// No answer, or an unreadable one.
+    Failed,
 }
 
-/// Says why what has come of an edition is dropped.
+/// Reason for which the parts of an edition are dropped.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum BadPart {
-    /// The part can't be unpacked, or is empty.
-    #[error("a part can't be read")]
+    /// The part can't be decompressed, or is empty.
+    #[error("part of the edition is empty or can't be decompressed")]
     Unreadable,
-    /// The part isn't what was asked for, or is of another text than those before.
-    #[error("a part is of another text")]
+    /// The part is not the requested one, or belongs to another text than the earlier
+    /// parts.
+    #[error("part belongs to another text than requested")]
     OtherText,
-    /// All parts are there, and don't make the text that was meant.
-    #[error("the parts don't make the text that was meant")]
-    NotWhole,
+    /// All parts have arrived, but the text does not have the announced hash.
+    #[error("hash of the downloaded text differs from the announced one")]
+    HashMismatch,
 }
 
-/// Gets newer editions from sources, which are told apart by `K`.
+/// Downloads newer editions from sources identified by `K`.
 #[derive(Clone, Debug)]
 pub struct Download<K> {
-    /// The newest edition that has come whole; 0 for none.
-    held: u64,
+    /// Number of the newest complete edition; 0 for none.
+    complete: u64,
     sources: BTreeMap<K, Source>,
-    coming: Option<Coming<K>>,
-    asked: Option<Ask<K>>,
+    current: Option<InProgress<K>>,
+    awaited: Option<PartRequest<K>>,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Source {
-    /// Number of the newest edition there.
+    /// Number of the newest edition that the source announced.
     newest: u64,
-    /// Lower ones are asked first.
+    /// Sources with a lower rank are asked first.
     rank: u64,
     /// When it last failed to answer.
     failed: Option<Time>,
 }
 
-/// An edition of which some parts have come.
+/// An edition that is being downloaded.
 #[derive(Clone, Debug)]
-struct Coming<K> {
+struct InProgress<K> {
     number: u64,
     text: Vec<u8>,
-    /// Length and hash of the whole text, as the first part said.
-    whole: Option<(u64, u64)>,
-    /// Sources that don't have it any more.
-    without: BTreeSet<K>,
+    /// Length and hash of the full text, as given by the first part.
+    full: Option<(u64, u64)>,
+    /// Sources that do not have this edition any more.
+    missing_at: BTreeSet<K>,
 }
 
 impl<K> Default for Download<K> {
     fn default() -> Self {
         Download {
-            held: 0,
+            complete: 0,
             sources: BTreeMap::new(),
-            coming: None,
-            asked: None,
+            current: None,
+            awaited: None,
         }
     }
 }
 
 impl<K: Copy + Ord> Download<K> {
-    /// Takes the newest edition that a source says it has; sources of a lower rank
-    /// are asked first.
-    pub fn told(&mut self, source: K, newest: u64, rank: u64) {
-        let failed = self.sources.get(&source).and_then(|known| known.failed);
-        let told = Source {
+    /// Records the newest edition that a source announces, and its rank; sources of a
+    /// lower rank are asked first.
+    pub fn announced(&mut self, source: K, newest: u64, rank: u64) {
+        let failed = self.sources.get(&source).and_then(|state| state.failed);
+        let announced = Source {
             newest,
             rank,
             failed,
         };
-        self.sources.insert(source, told);
+        self.sources.insert(source, announced);
     }
 
-    /// Notes that a source isn't heard any more.
-    pub fn lost(&mut self, source: K) {
+    /// Removes a source that is not heard from any more.
+    pub fn remove_source(&mut self, source: K) {
         self.sources.remove(&source);
     }
 
-    /// Returns what to ask for now; nothing while an answer is awaited, and where
-    /// nobody has anything newer.
+    /// Returns the next request; `None` while an answer is awaited, or if no source has a
+    /// newer edition.
     ///
-    /// An edition that has begun to come is finished before a newer one is begun.
+    /// A download is finished before one of a newer edition is started.
     ///
-    /// Failure: operators change the configuration faster than a thin link carries
-    /// it. Had each newer edition started anew, none would be in force before the
-    /// last change.
-    pub fn ask(&mut self, now: Time) -> Option<Ask<K>> {
-        if self.asked.is_some() {
+    /// Failure: operators change the configuration faster than a slow link carries it. If
+    /// each newer edition started a new download, none would be in force before the last
+    /// change.
+    pub fn next_request(&mut self, now: Time) -> Option<PartRequest<K>> {
+        if self.awaited.is_some() {
             return None;
         }
-        self.begin();
-        self.asked = self.part(now);
-        if self.asked.is_none() && self.newest().is_some() {
-            // Whoever is heard doesn't have what was begun.
-            self.coming = None;
-            self.begin();
-            self.asked = self.part(now);
+        self.start();
+        self.awaited = self.next_part(now);
+        if self.awaited.is_none() && self.newest().is_some() {
+            // No source that is heard from has the edition that was started.
+            self.current = None;
+            self.start();
+            self.awaited = self.next_part(now);
         }
-        self.asked
+        self.awaited
     }
 
-    /// Takes what came of the last [`Self::ask`], and returns number and text of an
-    /// edition that is whole now.
+    /// Applies the result of the last [`Self::next_request`]. Returns number and text of an
+    /// edition that is now complete.
     ///
     /// # Errors
     ///
-    /// Fails when what has come is of no use; it is dropped and asked for anew.
-    pub fn answered(&mut self, now: Time, got: Got) -> Result<Option<(u64, String)>, BadPart> {
-        let Some(ask) = self.asked.take() else {
+    /// Fails if the received parts are unusable; they are dropped and requested again.
+    pub fn handle_result(
+        &mut self,
+        now: Time,
+        got: PartResult,
+    ) -> Result<Option<(u64, String)>, BadPart> {
+        let Some(request) = self.awaited.take() else {
             return Ok(None);
         };
         match got {
-            Got::Part(part) => self.add(now, ask, &part),
-            Got::Without => {
-                self.without(ask);
+            PartResult::Part(part) => self.add(now, request, &part),
+            PartResult::Missing => {
+                self.edition_missing(request);
                 Ok(None)
             }
-            Got::Nothing => {
-                self.failed(now, ask.source);
+            PartResult::Failed => {
+                self.failed(now, request.source);
                 Ok(None)
             }
         }
     }
 
-    /// Notes that a source doesn't have what it was asked for.
+    /// Notes that a source does not have the requested edition.
     ///
-    /// Failure: control instances come back without the edition that they told of.
-    /// Their old word was believed, and they were asked for it again and again, as
-    /// fast as messages travel. Whoever lacks what it told as its newest counts for
-    /// nothing until it tells anew.
-    fn without(&mut self, ask: Ask<K>) {
-        if let Some(coming) = &mut self.coming {
-            coming.without.insert(ask.source);
+    /// Failure: control instances come back without the edition that they announced.
+    /// Their old announcement was still trusted, and they were asked for it again and
+    /// again, as fast as messages travel. So a source that lacks the edition it announced
+    /// as its newest is not asked until it announces one again.
+    fn edition_missing(&mut self, request: PartRequest<K>) {
+        if let Some(current) = &mut self.current {
+            current.missing_at.insert(request.source);
         }
-        if let Some(known) = self.sources.get_mut(&ask.source)
-            && known.newest == ask.number
+        if let Some(state) = self.sources.get_mut(&request.source)
+            && state.newest == request.number
         {
-            known.newest = 0;
+            state.newest = 0;
         }
     }
 
-    /// Returns the newest edition of all sources, where it is newer than what is held.
+    /// Returns the newest announced edition, if it is newer than the newest complete one.
     fn newest(&self) -> Option<u64> {
         let newest = self.sources.values().map(|source| source.newest).max();
-        newest.filter(|newest| *newest > self.held)
+        newest.filter(|newest| *newest > self.complete)
     }
 
-    /// Begins with the newest edition unless one is on its way.
-    fn begin(&mut self) {
-        if let (None, Some(number)) = (&self.coming, self.newest()) {
-            self.coming = Some(Coming {
+    /// Starts a download of the newest edition unless one is in progress.
+    fn start(&mut self) {
+        if let (None, Some(number)) = (&self.current, self.newest()) {
+            self.current = Some(InProgress {
                 number,
                 text: Vec::new(),
-                whole: None,
-                without: BTreeSet::new(),
+                full: None,
+                missing_at: BTreeSet::new(),
             });
         }
     }
 
-    /// Returns the next part of what is coming, from the source that is best asked.
-    fn part(&self, now: Time) -> Option<Ask<K>> {
-        let coming = self.coming.as_ref()?;
-        let able = self.sources.iter().filter(|(source, known)| {
-            known.newest >= coming.number && !coming.without.contains(source)
+    /// Returns a request for the next part of the current download, to the preferred
+    /// source.
+    fn next_part(&self, now: Time) -> Option<PartRequest<K>> {
+        let current = self.current.as_ref()?;
+        let able = self.sources.iter().filter(|(source, state)| {
+            state.newest >= current.number && !current.missing_at.contains(source)
         });
-        let (source, _) = able.min_by_key(|(_, known)| (known.rests(now), known.rank))?;
-        Some(Ask {
+        let (source, _) = able.min_by_key(|(_, state)| (state.failed_recently(now), state.rank))?;
+        Some(PartRequest {
             source: *source,
-            number: coming.number,
-            from: coming.text.len() as u64,
+            number: current.number,
+            from: current.text.len() as u64,
         })
     }
 
     fn add(
         &mut self,
         now: Time,
-        ask: Ask<K>,
+        request: PartRequest<K>,
         part: &Part,
     ) -> Result<Option<(u64, String)>, BadPart> {
-        let Some(coming) = &mut self.coming else {
+        let Some(current) = &mut self.current else {
             return Ok(None);
         };
-        let added = coming.add(part);
+        let added = current.add(part);
         if added.is_err() {
-            self.coming = None;
-            self.failed(now, ask.source);
+            self.current = None;
+            self.failed(now, request.source);
         } else if added.as_ref().is_ok_and(Option::is_some) {
-            self.coming = None;
-            self.held = ask.number;
+            self.current = None;
+            self.complete = request.number;
         }
-        Ok(added?.map(|text| (ask.number, text)))
+        Ok(added?.map(|text| (request.number, text)))
     }
 
     fn failed(&mut self, now: Time, source: K) {
-        if let Some(known) = self.sources.get_mut(&source) {
-            known.failed = Some(now);
+        if let Some(state) = self.sources.get_mut(&source) {
+            state.failed = Some(now);
         }
     }
 }
 
 impl Source {
-    fn rests(&self, now: Time) -> bool {
-        self.failed.is_some_and(|at| now.since(at) < REST)
+    fn failed_recently(&self, now: Time) -> bool {
+        self.failed.is_some_and(|at| now.since(at) < FAILURE_PAUSE)
     }
 }
 
-impl<K> Coming<K> {
-    /// Adds a part, and returns the text once it is whole.
+impl<K> InProgress<K> {
+    /// Appends a part; returns the text once it is complete.
     ///
-    /// Failure: two control instances hold different texts under one number, or a
-    /// part was damaged. Joined they would make routes that no operator wrote. The
-    /// hash of the whole text stands in every part.
+    /// Failure: two control instances hold different texts under one number, or a part
+    /// was damaged. Joined they would make routes that no operator wrote. So every part
+    /// carries the hash of the full text.
     fn add(&mut self, part: &Part) -> Result<Option<String>, BadPart> {
-        let whole = *self.whole.get_or_insert((part.size, part.digest));
+        let full = *self.full.get_or_insert((part.size, part.digest));
         let fits = part.number == self.number && part.from == self.text.len() as u64;
-        if !fits || whole != (part.size, part.digest) {
+        if !fits || full != (part.size, part.digest) {
             return Err(BadPart::OtherText);
         }
         let bytes = part.unpack().map_err(|_| BadPart::Unreadable)?;
         self.text.extend_from_slice(&bytes);
-        let come = self.text.len() as u64;
-        if come < part.size {
+        let received = self.text.len() as u64;
+        if received < part.size {
             return if bytes.is_empty() {
                 Err(BadPart::Unreadable)
             } else {
@@ -267,6 +274,6 @@
         }
         let text = String::from_utf8(std::mem::take(&mut self.text));
         let text = text.ok().filter(|text| digest(text) == part.digest);
-        text.map(Some).ok_or(BadPart::NotWhole)
+        text.map(Some).ok_or(BadPart::HashMismatch)
     }
 }
--- a/crates/gateway/src/revisions.rs
+++ b/crates/gateway/src/revisions.rs
@@ -1,14 +1,15 @@
-//! Named versions of adapters, told to each asker once.
+//! Adapter versions set by operators, sent to each entry instance once.
 //!
-//! Failure: every answer of a control instance carried all versions that were ever
-//! named. With some thousands the link of an entry instance carried nothing else, and
-//! exchanges were lost by their time limit. Each change has a number here, and an
-//! asker is told what came after the number that it knows, a bounded part at a time.
+//! Failure: every answer of a control instance carried all versions that were ever set.
+//! With some thousands of them an entry instance's link carried nothing else, and
+//! exchanges timed out. So each change has a number here, and a requester gets the
+//! changes after the number that it knows, a limited number at a time.
 
 use std::collections::BTreeMap;
 
-/// Versions in one answer: some 20 KB, which a link of 10 Mbit/s carries in 16 ms.
-pub const TOLD_MAX: usize = 1_000;
+/// Maximum number of versions in one answer: some 20 KB, which a link of 10 Mbit/s
+/// carries in 16 ms.
+pub const MAX_PER_ANSWER: usize = 1_000;
 
 /// The newest version of each adapter, in the order of the changes.
 #[derive(Clone, Debug)]
@@ -17,73 +18,74 @@
     first: u64,
     /// The number of the last change.
     last: u64,
-    named: BTreeMap<String, Named>,
+    versions: BTreeMap<String, Numbered>,
     /// Adapters by the number of their last change.
-    order: BTreeMap<u64, String>,
+    by_change: BTreeMap<u64, String>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Named {
+struct Numbered {
     version: u32,
     change: u64,
 }
 
-/// What an asker doesn't know yet.
+/// The changes that a requester does not know yet.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Told {
+pub struct NewVersions {
     /// Adapters and their newest versions.
     pub versions: Vec<(String, u32)>,
-    /// The number that the asker knows with them.
+    /// The number of the last change that the requester knows once it has these.
     pub known: u64,
 }
 
 impl Revisions {
-    /// Begins without any version; `first` begins the numbers, and differs between
-    /// lives, so that what an asker knows of another life matches nothing.
+    /// Creates an empty state. Change numbers start after `first`, which has to differ
+    /// between incarnations of the process, so that a number known from another
+    /// incarnation matches nothing.
     #[must_use]
     pub fn new(first: u64) -> Self {
         Revisions {
             first,
             last: first,
-            named: BTreeMap::new(),
-            order: BTreeMap::new(),
+            versions: BTreeMap::new(),
+            by_change: BTreeMap::new(),
         }
     }
 
-    /// Takes all newest versions, and numbers those that have changed.
-    pub fn take(&mut self, versions: &BTreeMap<String, u32>) {
+    /// Applies the newest version of each adapter and numbers those that have changed.
+    pub fn update(&mut self, versions: &BTreeMap<String, u32>) {
         for (adapter, version) in versions {
-            let held = self.named.get(adapter);
-            if held.is_some_and(|held| held.version == *version) {
+            let old = self.versions.get(adapter);
+            if old.is_some_and(|old| old.version == *version) {
                 continue;
             }
-            if let Some(held) = held {
-                self.order.remove(&held.change);
+            if let Some(old) = old {
+                self.by_change.remove(&old.change);
             }
             self.last += 1;
-            let named = Named {
+            let new = Numbered {
                 version: *version,
                 change: self.last,
             };
-            self.named.insert(adapter.clone(), named);
-            self.order.insert(self.last, adapter.clone());
+            self.versions.insert(adapter.clone(), new);
+            self.by_change.insert(self.last, adapter.clone());
         }
     }
 
-    /// Returns what was named after the change `known`, the oldest first and at most
-    /// [`TOLD_MAX`]; from the first change on where `known` is of another life.
+    /// Returns the changes after `known`, oldest first and at most [`MAX_PER_ANSWER`]; all
+    /// changes from the first one on if `known` is from another incarnation.
     #[must_use]
-    pub fn since(&self, known: u64) -> Told {
-        let ours = (self.first..=self.last).contains(&known);
-        let from = if ours { known } else { self.first };
-        let newer = self.order.range(from + 1..).take(TOLD_MAX);
+    pub fn since(&self, known: u64) -> NewVersions {
+        let valid = (self.first..=self.last).contains(&known);
+        let from = if valid { known } else { self.first };
+        let newer = self.by_change.range(from + 1..).take(MAX_PER_ANSWER);
         let newer: Vec<_> = newer.collect();
         let known = newer.last().map_or(self.last, |(change, _)| **change);
         let versions = newer.into_iter().map(|(_, adapter)| {
-            let version = self.named[adapter].version;
+            let version = self.versions[adapter].version;
             (adapter.clone(), version)
         });
-        Told {
+        NewVersions {
             versions: versions.collect(),
             known,
         }
--- a/crates/gateway/src/view.rs
+++ b/crates/gateway/src/view.rs
@@ -1,4 +1,4 @@
-//! What an entry instance knows of targets, and which one it chooses.
+//! An entry instance's view of the targets, and its choice of one for each request.
 
 mod backlog;
 mod backup;
@@ -15,106 +15,107 @@
 
 pub use self::backup::{Backup, Origin, Unused};
 use self::{
-    backlog::{FULL_WAIT, outside},
+    backlog::{FULL_WAIT, known_outside},
     held::Held,
 };
 
-/// Added to the load of a target in another availability zone: a message
-/// there and back costs some 3 ms and traffic between zones, so the own zone is
-/// preferred until its targets are fuller by this part of their slots.
-const FAR: f64 = 0.15;
+/// Added to the load of a target in another availability zone, in parts of its slots. A
+/// round trip there costs some 3 ms and traffic between zones, so the own zone is
+/// preferred until its targets are fuller by this much.
+const CROSS_ZONE_COST: f64 = 0.15;
 
-/// Added to the load of a target for each part of its recent requests that
-/// failed: a target that fails half of them is avoided while any other is less
-/// than full.
-const FAILED: f64 = 2.0;
+/// Added to the load of a target, multiplied by the fraction of its recent requests that
+/// failed: a target that fails half of them is avoided while any other is less than full.
+const FAILURE_COST: f64 = 2.0;
 
-/// Weight of the newest outcome in a target's share of failures; about ten
-/// requests make up their mind about it.
-const NEWEST: f64 = 0.15;
+/// Weight of the newest outcome in a target's failure rate, which is thus an average over
+/// about ten requests.
+const FAILURE_WEIGHT: f64 = 0.15;
 
-/// How long a share of failures takes to fall to half without any request: a
-/// target that recovers is tried again within seconds.
-const FORGIVE: Duration = Duration::from_secs(3);
+/// Half-life of the failure rate without any request: a target that recovers is tried
+/// again within seconds.
+const FAILURE_HALF_LIFE: Duration = Duration::from_secs(3);
 
-/// How long a target rests that couldn't be connected to or fell silent.
-const REST: Duration = Duration::from_millis(1_500);
+/// How long a target is avoided that could not be connected to or did not answer.
+const UNREACHABLE_PAUSE: Duration = Duration::from_millis(1_500);
 
-/// How long the word on an adapter that isn't on its way yet counts: whoever waits
-/// asks again each 300 ms.
-const EXPECTED_FRESH: Duration = Duration::from_millis(400);
+/// Maximum age of the announced wait for an adapter whose load is not ordered yet; an
+/// instance with waiting callers asks again every 300 ms.
+const EXPECTED_MAX_AGE: Duration = Duration::from_millis(400);
 
-/// Where a request may go.
+/// Where a request can be sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Choice {
     /// To this target, by id.
     Send(String),
-    /// No target has the adapter yet; one will after this time.
+    /// No target has the adapter yet, but one is loading it and is expected to have it
+    /// after this time.
     Wait(Duration),
-    /// No target has the adapter, nor is it on its way.
+    /// No target has the adapter or is loading it.
     Missing,
     /// The service has no target that takes requests.
-    Nobody,
+    NoTarget,
 }
 
-/// What an entry instance knows of targets.
+/// An entry instance's view of the targets.
 #[derive(Clone, Debug, Default)]
 pub struct View {
     zone: String,
-    targets: BTreeMap<String, Known>,
-    /// Versions that operators named.
+    targets: BTreeMap<String, TargetState>,
+    /// Adapter versions set by operators.
     versions: BTreeMap<String, Named>,
-    /// Requests under way at each target over all other instances.
+    /// Requests of all other instances running at each target.
     others: BTreeMap<String, u32>,
-    /// Prompt tokens of theirs that it hasn't read yet.
+    /// Prompt tokens of other instances' requests that each target has not read yet.
     unread_others: BTreeMap<String, u64>,
-    /// Prompt tokens that targets read a second, as requests have shown.
+    /// Prompt tokens that targets read per second, a moving average over requests.
     speed: Option<f64>,
-    /// Requests for each adapter since they were last taken.
+    /// Requests for each adapter since the last [`Self::take_demand`].
     demand: BTreeMap<String, u32>,
-    /// Adapters that are not on their way yet: when they can be used, and when
-    /// that was said.
+    /// Adapters whose load is not ordered yet: when they are expected to be usable, and
+    /// when that was announced.
     expected: BTreeMap<String, (Time, Time)>,
-    /// What came of first requests since it was last taken, by zone.
+    /// Outcomes of first requests after a load, by zone, since they were last taken.
     firsts: BTreeMap<String, Vec<First>>,
-    /// How long targets took for what they had to read, since it was last taken.
+    /// Time that targets took to read prompts, since it was last taken.
     paces: BTreeMap<String, Pace>,
-    /// Targets of which something told was dropped here, as they showed otherwise.
-    doubted: BTreeSet<String>,
-    /// Sets this instance's choices among equals apart from those of others.
+    /// Targets for which an announced adapter was dropped from this view, as they refused
+    /// a request for it.
+    stale: BTreeSet<String>,
+    /// Makes this instance's random choices differ from those of others.
     seed: u64,
-    /// Requests sent so far.
+    /// Number of requests sent so far.
     sent: u64,
 }
 
-/// A version that operators named.
+/// An adapter version set by operators.
 #[derive(Clone, Copy, Debug)]
 struct Named {
     version: u32,
-    /// When it was first heard of here.
+    /// When this instance first received it.
     since: Time,
 }
 
 #[derive(Clone, Debug)]
-struct Known {
+struct TargetState {
     target: Target,
     residents: BTreeMap<String, Held>,
     own: BTreeMap<String, u32>,
-    /// Prompt tokens sent from here that are not read yet.
+    /// Prompt tokens sent by this instance that the target has not read yet.
     unread: u64,
-    trouble: Trouble,
+    failures: Failures,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Trouble {
-    share: f64,
+struct Failures {
+    rate: f64,
     at: Time,
-    rest: Option<Time>,
+    avoid_until: Option<Time>,
 }
 
 impl View {
-    /// Makes the view of an instance in `zone` that knows nothing yet; `seed` differs
-    /// between instances.
+    /// Creates the view of an instance in `zone` that knows no targets yet. `seed` has to
+    /// differ between instances.
     #[must_use]
     pub fn new(zone: impl Into<String>, seed: Seed) -> Self {
         View {
@@ -124,23 +125,24 @@
         }
     }
 
-    /// Takes the newest list of the targets of `zones`.
+    /// Replaces the targets of `zones`.
     pub fn set_targets(&mut self, now: Time, zones: &[String], targets: Vec<Target>) {
         let all = std::mem::take(&mut self.targets);
         let listed: BTreeSet<_> = targets.iter().map(|t| t.id.clone()).collect();
-        let in_zones =
-            |id: &String, known: &Known| zones.contains(&known.target.zone) || listed.contains(id);
+        let in_zones = |id: &String, known: &TargetState| {
+            zones.contains(&known.target.zone) || listed.contains(id)
+        };
         let (mut old, rest) = all.into_iter().partition(|(id, known)| in_zones(id, known));
         self.targets = rest;
         for target in targets {
             let before = old.remove(&target.id);
             self.add_target(now, target, before);
         }
-        self.keep_busy(old);
+        self.keep_running(old);
     }
 
-    /// Takes targets that have changed or were doubted, and the ids of those that are
-    /// gone; the others stay as they are.
+    /// Applies a delta: targets that have changed or were requested again, and the ids of
+    /// those that are gone. The others stay unchanged.
     pub fn change_targets(&mut self, now: Time, targets: Vec<Target>, gone: &[String]) {
         for target in targets {
             let before = self.targets.remove(&target.id);
@@ -148,28 +150,28 @@
         }
         let gone = gone.iter().filter_map(|id| self.targets.remove_entry(id));
         let gone: BTreeMap<_, _> = gone.collect();
-        self.keep_busy(gone);
+        self.keep_running(gone);
     }
 
-    fn add_target(&mut self, now: Time, target: Target, before: Option<Known>) {
+    fn add_target(&mut self, now: Time, target: Target, before: Option<TargetState>) {
         let residents = target.residents.iter().map(|resident| {
             let old = before.as_ref();
             let old = old.and_then(|known| known.residents.get(&resident.adapter));
-            (resident.adapter.clone(), Held::told(now, resident, old))
+            (resident.adapter.clone(), Held::merge(now, resident, old))
         });
-        let known = Known {
+        let known = TargetState {
             residents: residents.collect(),
             own: before.as_ref().map(|k| k.own.clone()).unwrap_or_default(),
             unread: before.as_ref().map_or(0, |k| k.unread),
-            trouble: before.map(|k| k.trouble).unwrap_or_default(),
+            failures: before.map(|k| k.failures).unwrap_or_default(),
             target,
         };
         self.targets.insert(known.target.id.clone(), known);
     }
 
-    /// Keeps targets that are gone while requests are under way there, or the end of
-    /// these would be taken off another's.
-    fn keep_busy(&mut self, gone: BTreeMap<String, Known>) {
+    /// Keeps removed targets while requests of this instance run there; otherwise the end
+    /// of these would be counted against a new target with the same id.
+    fn keep_running(&mut self, gone: BTreeMap<String, TargetState>) {
         for (id, mut known) in gone {
             if known.own.values().any(|n| *n > 0) {
                 known.target.ready = false;
@@ -178,24 +180,24 @@
         }
     }
 
-    /// Returns and forgets the targets of `zones` that have to be told again, as what
-    /// was told of them was dropped here.
-    pub fn take_doubted(&mut self, zones: &[String]) -> Vec<String> {
+    /// Removes and returns the targets of `zones` that the zone owner has to send again,
+    /// as part of their announced state was dropped here.
+    pub fn take_stale(&mut self, zones: &[String]) -> Vec<String> {
         let targets = &self.targets;
-        let there = |id: &String| {
+        let in_zones = |id: &String| {
             targets
                 .get(id)
                 .is_some_and(|k| zones.contains(&k.target.zone))
         };
-        let (due, rest) = std::mem::take(&mut self.doubted)
+        let (due, rest) = std::mem::take(&mut self.stale)
             .into_iter()
-            .partition(there);
-        self.doubted = rest;
+            .partition(in_zones);
+        self.stale = rest;
         let due: BTreeSet<String> = due;
         due.into_iter().collect()
     }
 
-    /// Takes the named versions of adapters.
+    /// Applies adapter versions set by operators; older versions than known are ignored.
     pub fn set_versions(&mut self, now: Time, versions: impl IntoIterator<Item = (String, u32)>) {
         for (adapter, version) in versions {
             let held = self.versions.get(&adapter);
@@ -209,35 +211,37 @@
         }
     }
 
-    /// Takes how much others run at the targets of `zones`.
-    pub fn set_others(
+    /// Replaces the numbers of requests that other instances run at the targets of
+    /// `zones`.
+    pub fn set_other_running(
         &mut self,
         zones: &[String],
         others: impl IntoIterator<Item = (String, u32)>,
     ) {
         let targets = &self.targets;
-        self.others.retain(|id, _| outside(targets, zones, id));
+        self.others
+            .retain(|id, _| known_outside(targets, zones, id));
         self.others.extend(others);
     }
 
-    /// Takes the time until adapters that were asked for can be used.
+    /// Applies the announced waits for adapters that this instance asked for.
     pub fn set_waits(&mut self, now: Time, waits: Vec<(String, Duration)>) {
         self.expected
-            .retain(|_, (_, said)| now.since(*said) < EXPECTED_FRESH);
+            .retain(|_, (_, announced_at)| now.since(*announced_at) < EXPECTED_MAX_AGE);
         let waits = waits.into_iter();
         self.expected
             .extend(waits.map(|(adapter, wait)| (adapter, (now + wait, now))));
     }
 
-    /// Returns when an adapter that isn't on its way yet can be used, by the word
-    /// of whoever orders it.
+    /// Returns when an adapter whose load is not ordered yet can be used, as announced by
+    /// the zone owner.
     #[must_use]
     pub fn expected(&self, now: Time, adapter: &str) -> Option<Time> {
-        let (at, said) = self.expected.get(adapter)?;
-        (now.since(*said) < EXPECTED_FRESH).then_some(*at)
+        let (at, announced_at) = self.expected.get(adapter)?;
+        (now.since(*announced_at) < EXPECTED_MAX_AGE).then_some(*at)
     }
 
-    /// Returns the zones that have a target of `service` which takes requests.
+    /// Returns the zones that have a target of `service` that takes requests.
     #[must_use]
     pub fn zones_of(&self, service: &str) -> BTreeSet<String> {
         let ready = self.targets.values().map(|known| &known.target);
@@ -245,52 +249,55 @@
         ready.map(|t| t.zone.clone()).collect()
     }
 
-    /// Returns the version that requests for `adapter` have to run on, where
-    /// one was named.
+    /// Returns the version on which requests for `adapter` have to run, if operators set
+    /// one.
     #[must_use]
     pub fn version(&self, adapter: &str) -> Option<u32> {
         self.versions.get(adapter).map(|named| named.version)
     }
 
-    /// Returns where a target is reached.
+    /// Returns the IP address and port of a target.
     #[must_use]
     pub fn addr(&self, id: &str) -> Option<&str> {
         self.targets.get(id).map(|k| k.target.addr.as_str())
     }
 
     /// Counts a request for an adapter.
-    pub fn count(&mut self, adapter: &str) {
+    pub fn count_request(&mut self, adapter: &str) {
         *self.demand.entry(adapter.to_owned()).or_default() += 1;
     }
 
-    /// Returns and forgets the counted requests.
+    /// Returns and resets the counted requests.
     pub fn take_demand(&mut self) -> Vec<(String, u32)> {
         std::mem::take(&mut self.demand).into_iter().collect()
     }
 
-    /// Returns targets that can't be reached from here.
+    /// Returns the targets that recently could not be reached from this instance.
     #[must_use]
     pub fn failing(&self, now: Time) -> Vec<String> {
-        let resting = self.targets.iter().filter(|(_, known)| known.rests(now));
-        resting.map(|(id, _)| id.clone()).collect()
+        let avoided = self
+            .targets
+            .iter()
+            .filter(|(_, known)| known.is_avoided(now));
+        avoided.map(|(id, _)| id.clone()).collect()
     }
 
-    /// Returns how many adapters are on their way to targets outside `zones`.
+    /// Returns the number of adapters being loaded by targets outside `zones`.
     #[must_use]
-    pub fn elsewhere(&self, now: Time, zones: &[String]) -> u32 {
+    pub fn loading_outside(&self, now: Time, zones: &[String]) -> u32 {
         let others = self.targets.values();
         let others = others.filter(|known| !zones.contains(&known.target.zone));
-        let coming = others.flat_map(|known| known.residents.values());
-        let coming = coming.filter(|held| held.ready > now).count();
-        u32::try_from(coming).unwrap_or(u32::MAX)
+        let loading = others.flat_map(|known| known.residents.values());
+        let loading = loading.filter(|held| held.ready > now).count();
+        u32::try_from(loading).unwrap_or(u32::MAX)
     }
 
-    /// Returns the requests under way here at the targets of `zones`.
+    /// Returns the requests of this instance that run at the targets of `zones`.
     #[must_use]
     pub fn running(&self, zones: &[String]) -> Vec<Running> {
-        let there = self.targets.iter();
-        let there = there.filter(|(_, known)| zones.contains(&known.target.zone));
-        let each = there.flat_map(|(id, known)| {
+        let in_zones = self.targets.iter();
+        let in_zones = in_zones.filter(|(_, known)| zones.contains(&known.target.zone));
+        let each = in_zones.flat_map(|(id, known)| {
             let own = known.own.iter().filter(|(_, count)| **count > 0);
             own.map(move |(adapter, count)| Running {
                 target: id.clone(),
@@ -301,8 +308,8 @@
         each.collect()
     }
 
-    /// Chooses a target of `service` for a request that uses `adapter` (empty
-    /// for none) and has failed on `tried` already.
+    /// Chooses a target of `service` for a request that uses `adapter` (empty for none)
+    /// and has already failed on the targets `tried`.
     #[must_use]
     pub fn choose(
         &self,
@@ -316,15 +323,14 @@
             .filter(|k| k.target.service == service && k.target.ready)
             .collect();
         if ready.is_empty() {
-            return Choice::Nobody;
+            return Choice::NoTarget;
         }
         let holders = ready.iter().filter(|k| self.holds(k, adapter));
-        // Failure: the only holder of an adapter has crashed, and is listed for
-        // seconds more. Requests would go to it again and again. Another copy
-        // can be loaded in a quarter of a second, so whoever is out of reach
-        // counts as no holder.
+        // Failure: the only holder of an adapter has crashed, but is listed for seconds
+        // more. Requests would go to it again and again. Another copy can be loaded in a
+        // quarter of a second, so an unreachable target counts as no holder.
         let holders: Vec<_> = holders
-            .filter(|k| adapter.is_empty() || !(k.rests(now) || tried.contains(&k.target.id)))
+            .filter(|k| adapter.is_empty() || !(k.is_avoided(now) || tried.contains(&k.target.id)))
             .collect();
         if holders.is_empty() {
             return Choice::Missing;
@@ -339,8 +345,8 @@
         Choice::Wait(soonest.unwrap_or_default())
     }
 
-    /// Notes that a request with so many prompt tokens was sent to a target, and
-    /// returns what that has to read until it can answer.
+    /// Counts a request with `tokens` prompt tokens as sent to a target. Returns the
+    /// number of tokens that the target has to read before it can answer.
     pub fn begin(&mut self, id: &str, adapter: &str, tokens: u64) -> u64 {
         self.sent += 1;
         let Some(known) = self.targets.get_mut(id) else {
@@ -351,14 +357,14 @@
         self.ahead(&self.targets[id])
     }
 
-    /// Notes that a target has read so many prompt tokens, or never will.
+    /// Notes that a target has read `tokens` prompt tokens, or will never read them.
     pub fn read(&mut self, id: &str, tokens: u64) {
         if let Some(known) = self.targets.get_mut(id) {
             known.unread = known.unread.saturating_sub(tokens);
         }
     }
 
-    /// Notes the end of a request at a target.
+    /// Counts a request at a target as ended.
     pub fn end(&mut self, id: &str, adapter: &str) {
         let Some(known) = self.targets.get_mut(id) else {
             return;
@@ -371,39 +377,39 @@
         }
     }
 
-    /// Notes whether a target did what it was asked.
+    /// Records whether a request succeeded at a target.
     pub fn outcome(&mut self, now: Time, id: &str, good: bool) {
         let Some(known) = self.targets.get_mut(id) else {
             return;
         };
-        let share = known.trouble.now(now);
+        let rate = known.failures.decayed_rate(now);
         let newest = if good { 0.0 } else { 1.0 };
-        known.trouble.share = share + (newest - share) * NEWEST;
-        known.trouble.at = now;
+        known.failures.rate = rate + (newest - rate) * FAILURE_WEIGHT;
+        known.failures.at = now;
         if good {
-            known.trouble.rest = None;
+            known.failures.avoid_until = None;
         }
     }
 
-    /// Notes that a target couldn't be reached or fell silent.
+    /// Notes that a target could not be reached or did not answer.
     pub fn unreachable(&mut self, now: Time, id: &str) {
         self.outcome(now, id, false);
         if let Some(known) = self.targets.get_mut(id) {
-            known.trouble.rest = Some(now + REST);
+            known.failures.avoid_until = Some(now + UNREACHABLE_PAUSE);
         }
     }
 
-    /// Notes that a target took a request and broke off without an answer.
+    /// Notes that a target took a request and closed the connection without an answer.
     ///
-    /// Failure: a target loses its answers while it runs what it is sent. Had it
-    /// counted as out of reach, its adapters would be loaded again elsewhere,
-    /// and half of the engines of a zone stood idle for as long.
-    pub fn broke_off(&mut self, now: Time, id: &str) {
+    /// Failure: a target loses its answers but executes its requests. If it counted as
+    /// unreachable, its adapters would be loaded again elsewhere, and half of the engines
+    /// of a zone were idle meanwhile.
+    pub fn answer_lost(&mut self, now: Time, id: &str) {
         self.outcome(now, id, false);
     }
 
-    /// Notes that a target holds an adapter but can't use it for a while.
-    pub fn not_yet(&mut self, now: Time, id: &str, adapter: &str, wait: Duration) {
+    /// Notes that a target holds an adapter but can't use it within `wait`.
+    pub fn adapter_not_ready(&mut self, now: Time, id: &str, adapter: &str, wait: Duration) {
         if let Some(known) = self.targets.get_mut(id)
             && let Some(held) = known.residents.get_mut(adapter)
         {
@@ -411,12 +417,12 @@
         }
     }
 
-    /// Tells whether a target holds an adapter in the version that counts.
+    /// Returns whether a target holds an adapter in the required version or a newer one.
     ///
-    /// Failure: a version was named and some targets still hold the one before.
-    /// Callers would see the new and the old answer by turns. Only holders of
+    /// Failure: a version was set and some targets still hold the previous one. Callers
+    /// would get answers of the new and the old version alternately. So only holders of
     /// the newest version are chosen from the moment it is known here.
-    fn holds(&self, known: &Known, adapter: &str) -> bool {
+    fn holds(&self, known: &TargetState, adapter: &str) -> bool {
         if adapter.is_empty() {
             return true;
         }
@@ -427,18 +433,18 @@
         held.version == 0 || held.version >= named
     }
 
-    fn cost(&self, now: Time, known: &Known, tried: &BTreeSet<String>) -> f64 {
+    fn cost(&self, now: Time, known: &TargetState, tried: &BTreeSet<String>) -> f64 {
         let target = &known.target;
         let own: u32 = known.own.values().sum();
         let others = self.others.get(&target.id).copied().unwrap_or(0);
         let slots = f64::from(target.slots.max(1));
         let mut cost = f64::from(own + others) / slots * known.slow();
         if target.zone != self.zone {
-            cost += FAR;
+            cost += CROSS_ZONE_COST;
         }
         cost += self.backlog(known) / FULL_WAIT;
-        cost += FAILED * known.trouble.now(now);
-        if known.rests(now) {
+        cost += FAILURE_COST * known.failures.decayed_rate(now);
+        if known.is_avoided(now) {
             cost += 10.0;
         }
         if tried.contains(&target.id) {
@@ -448,26 +454,26 @@
     }
 }
 
-impl Known {
-    /// Returns how many times as long as others the target takes.
+impl TargetState {
+    /// Returns how many times as long as a typical target this one takes.
     fn slow(&self) -> f64 {
         (f64::from(self.target.slowness) / 100.0).max(1.0)
     }
 
-    /// Tells whether the target couldn't be reached a moment ago.
-    fn rests(&self, now: Time) -> bool {
-        self.trouble.rest.is_some_and(|until| now < until)
+    /// Returns whether the target recently could not be reached.
+    fn is_avoided(&self, now: Time) -> bool {
+        self.failures.avoid_until.is_some_and(|until| now < until)
     }
 }
 
-impl Trouble {
-    fn now(&self, now: Time) -> f64 {
-        let halves = now.since(self.at).as_secs_f64() / FORGIVE.as_secs_f64();
-        self.share * 0.5_f64.powf(halves)
+impl Failures {
+    fn decayed_rate(&self, now: Time) -> f64 {
+        let halves = now.since(self.at).as_secs_f64() / FAILURE_HALF_LIFE.as_secs_f64();
+        self.rate * 0.5_f64.powf(halves)
     }
 }
 
-fn usable(known: &Known, now: Time, adapter: &str) -> bool {
+fn usable(known: &TargetState, now: Time, adapter: &str) -> bool {
     adapter.is_empty()
         || known
             .residents
--- a/crates/gateway/src/view/backlog.rs
+++ b/crates/gateway/src/view/backlog.rs
@@ -1,33 +1,32 @@
-//! How much targets have to read before the next prompt, and when one more copy of
-//! an adapter would serve sooner.
+//! Prompt tokens that targets have to read before the next request (prefill), and when
+//! one more copy of an adapter would serve sooner.
 
 use std::{collections::BTreeMap, time::Duration};
 
 use base::Time;
 use wire::fleet::Pace;
 
-use super::{Known, View};
+use super::{TargetState, View};
 
-/// Time in seconds in which a target reads the prompts before it that weighs as
-/// much as all its slots: about the longest pause that its running streams may make.
+/// Prefill backlog, in seconds, that weighs as much as a target with all slots in use:
+/// about the longest pause allowed in its running streams.
 pub(super) const FULL_WAIT: f64 = 0.27;
 
-/// Prompt tokens a second that a target is taken to read until requests have
-/// shown it: between the engines of the users' sheets, which read 26 to 39 in a
-/// millisecond.
-const SPEED: f64 = 30_000.0;
+/// Initial estimate of the prompt tokens that a target reads per second: between the
+/// engine types of the deployment's data sheets, which read 26 to 39 in a millisecond.
+const INITIAL_SPEED: f64 = 30_000.0;
 
-/// Weight of the newest request in the speed at which targets read: a hundred
-/// requests, some seconds of an instance, make up their mind about it.
-const SPEED_NEWEST: f64 = 0.02;
+/// Weight of the newest request in the estimated speed, which is thus an average over
+/// about a hundred requests, some seconds of an instance's traffic.
+const SPEED_WEIGHT: f64 = 0.02;
 
-/// Fewest tokens at a target that say something of its speed: with fewer the
-/// steps of its running requests take most of the time.
-const SPEED_TOKENS: u64 = 1_000;
+/// Minimum backlog, in tokens, for a speed sample: with fewer, the decoding steps of
+/// running requests take most of the time.
+const MIN_SAMPLE_TOKENS: u64 = 1_000;
 
 impl View {
-    /// Takes how many prompt tokens of others the targets of `zones` haven't
-    /// read yet.
+    /// Replaces the numbers of prompt tokens of other instances that the targets of
+    /// `zones` have not read yet.
     pub fn set_unread(
         &mut self,
         zones: &[String],
@@ -35,43 +34,44 @@
     ) {
         let targets = &self.targets;
         self.unread_others
-            .retain(|id, _| outside(targets, zones, id));
+            .retain(|id, _| known_outside(targets, zones, id));
         self.unread_others.extend(unread);
     }
 
-    /// Returns the prompt tokens sent from here to targets of `zones` that they
-    /// haven't read yet.
+    /// Returns the prompt tokens sent by this instance that targets of `zones` have not
+    /// read yet.
     #[must_use]
     pub fn unread(&self, zones: &[String]) -> Vec<(String, u64)> {
-        let there = self.targets.iter();
-        let there = there.filter(|(_, known)| known.unread > 0);
-        let there = there.filter(|(_, known)| zones.contains(&known.target.zone));
-        there
+        let in_zones = self.targets.iter();
+        let in_zones = in_zones.filter(|(_, known)| known.unread > 0);
+        let in_zones = in_zones.filter(|(_, known)| zones.contains(&known.target.zone));
+        in_zones
             .map(|(id, known)| (id.clone(), known.unread))
             .collect()
     }
 
-    /// Returns the prompt tokens before the next request at a target.
-    pub(super) fn ahead(&self, known: &Known) -> u64 {
+    /// Returns the prompt tokens that a target has to read before the next request.
+    pub(super) fn ahead(&self, known: &TargetState) -> u64 {
         let others = self.unread_others.get(&known.target.id);
         known.unread + others.copied().unwrap_or(0)
     }
 
-    /// Returns the time until a target has read what it was sent, in seconds.
-    pub(super) fn backlog(&self, known: &Known) -> f64 {
-        self.ahead(known) as f64 / self.speed.unwrap_or(SPEED) * known.slow()
+    /// Returns the estimated time until a target has read all prompts it was sent, in
+    /// seconds.
+    pub(super) fn backlog(&self, known: &TargetState) -> f64 {
+        self.ahead(known) as f64 / self.speed.unwrap_or(INITIAL_SPEED) * known.slow()
     }
 
-    /// Learns from a request to a target with so many tokens before it, its own among
-    /// them, how fast targets read.
-    pub fn answered(&mut self, id: &str, tokens: u64, after: Duration) {
-        if tokens < SPEED_TOKENS {
+    /// Updates the speed of targets from a request whose answer began `after` it was
+    /// sent, to a target that had `tokens` to read, its own included.
+    pub fn add_speed_sample(&mut self, id: &str, tokens: u64, after: Duration) {
+        if tokens < MIN_SAMPLE_TOKENS {
             return;
         }
         self.note_pace(id, tokens, after);
         let newest = tokens as f64 / after.as_secs_f64().max(0.001);
-        let speed = self.speed.unwrap_or(SPEED);
-        self.speed = Some(speed + (newest - speed) * SPEED_NEWEST);
+        let speed = self.speed.unwrap_or(INITIAL_SPEED);
+        self.speed = Some(speed + (newest - speed) * SPEED_WEIGHT);
     }
 
     fn note_pace(&mut self, id: &str, tokens: u64, after: Duration) {
@@ -85,28 +85,34 @@
         pace.took += after;
     }
 
-    /// Returns and forgets how long the targets of `zones` took.
+    /// Removes and returns the time that targets of `zones` took to read prompts.
     pub fn take_paces(&mut self, zones: &[String]) -> Vec<Pace> {
         let targets = &self.targets;
-        let there = |id: &String| !outside(targets, zones, id);
+        let in_zones = |id: &String| !known_outside(targets, zones, id);
         let (due, rest) = std::mem::take(&mut self.paces)
             .into_iter()
-            .partition(|(id, _)| there(id));
+            .partition(|(id, _)| in_zones(id));
         self.paces = rest;
         let due: BTreeMap<_, _> = due;
         due.into_values().collect()
     }
 
-    /// Returns the zone where one more copy of `adapter` should be loaded, if all
-    /// that hold it need longer than `load` to read what they were sent.
+    /// Returns the zone where one more copy of `adapter` should be loaded, if all its
+    /// holders need longer than `load` to read the prompts they were sent.
     ///
-    /// Pattern: a few adapters get a fifth of all requests and more. One engine
-    /// reads the prompts of some ten requests a second; the holders of such an
-    /// adapter had three seconds of prompts before them, while others were idle.
-    /// Whoever waits longer than a load takes would be served sooner by a new
-    /// copy, which goes where least is to be read.
+    /// Pattern: a few adapters get a fifth of all requests or more. One engine reads the
+    /// prompts of some ten requests a second; the holders of such an adapter had a
+    /// backlog of three seconds while other engines were idle. If the wait is longer than
+    /// a load, a new copy serves callers sooner; it goes to the zone of the target with
+    /// the smallest backlog.
     #[must_use]
-    pub fn crowded(&self, now: Time, service: &str, adapter: &str, load: Duration) -> Option<&str> {
+    pub fn zone_for_copy(
+        &self,
+        now: Time,
+        service: &str,
+        adapter: &str,
+        load: Duration,
+    ) -> Option<&str> {
         if adapter.is_empty() {
             return None;
         }
@@ -114,19 +120,23 @@
         let of_service = of_service.filter(|k| k.target.service == service && k.target.ready);
         let (holders, rest): (Vec<_>, Vec<_>) =
             of_service.partition(|known| self.holds(known, adapter));
-        let behind = |known: &&Known| self.backlog(known) > load.as_secs_f64();
+        let behind = |known: &&TargetState| self.backlog(known) > load.as_secs_f64();
         if !holders.iter().all(behind) {
             return None;
         }
-        let rest = rest.into_iter().filter(|known| !known.rests(now));
+        let rest = rest.into_iter().filter(|known| !known.is_avoided(now));
         let least = rest.min_by(|a, b| self.backlog(a).total_cmp(&self.backlog(b)))?;
         let worth = self.backlog(least) < load.as_secs_f64() / 2.0;
         worth.then_some(least.target.zone.as_str())
     }
 }
 
-/// Tells whether a target is known to be in none of `zones`.
-pub(super) fn outside(targets: &BTreeMap<String, Known>, zones: &[String], id: &str) -> bool {
+/// Returns whether a target is known and in none of `zones`.
+pub(super) fn known_outside(
+    targets: &BTreeMap<String, TargetState>,
+    zones: &[String],
+    id: &str,
+) -> bool {
     let zone = targets.get(id).map(|known| &known.target.zone);
     zone.is_some_and(|zone| !zones.contains(zone))
 }
--- /dev/null
+++ b/crates/gateway/src/zone_owner/slowness.rs
@@ -0,0 +1,132 @@
+//! Detection of engines that are slower than the other engines.
+//!
+//! Pattern: outlier detection by latency, for a choice by least expected time. An engine
+//! that works at a third of its speed answers, passes its health check, and makes callers
+//! late. A single entry instance sends it too few requests to tell; the reports of all
+//! together show it within a second. The result is published to all instances as a
+//! factor, so that the engine gets as many requests as it can serve in time, and decays
+//! once no more requests show it.
+
+use std::{collections::BTreeMap, time::Duration};
+
+use base::Time;
+use wire::fleet::Pace;
+
+/// Half-life of the samples of an engine.
+const SAMPLE_HALF_LIFE: Duration = Duration::from_millis(700);
+
+/// Minimum decayed number of prompt tokens for an estimate of an engine's speed: some two
+/// requests.
+const MIN_TOKENS: f64 = 2_000.0;
+
+/// Minimum number of engines with an estimate before any of them can be an outlier.
+const MIN_ENGINES: usize = 4;
+
+/// Factor from which an engine is slow; the choice by queue length makes up for smaller
+/// differences.
+const SLOW_FACTOR: f64 = 1.7;
+
+/// Upper bound of the factor.
+const MAX_FACTOR: f64 = 4.0;
+
+/// Granularity of the published factor, in hundredths: finer steps would make target
+/// updates all the time.
+const FACTOR_STEP: u32 = 50;
+
+/// Half-life of the factor's excess over 1 for an engine without recent samples.
+const FACTOR_HALF_LIFE: Duration = Duration::from_millis(1_500);
+
+/// Speed samples of engines.
+#[derive(Debug, Default)]
+pub(super) struct Slowness {
+    engines: BTreeMap<String, Samples>,
+}
+
+#[derive(Clone, Copy, Debug, Default)]
+struct Samples {
+    tokens: f64,
+    seconds: f64,
+    at: Time,
+    /// How many times as long as the median engine it took, at `updated`.
+    factor: f64,
+    updated: Time,
+}
+
+impl Slowness {
+    /// Adds a sample reported by an entry instance.
+    pub(super) fn add_sample(&mut self, now: Time, pace: &Pace) {
+        let samples = self.engines.entry(pace.target.clone()).or_default();
+        samples.decay(now);
+        samples.tokens += pace.tokens as f64;
+        samples.seconds += pace.took.as_secs_f64();
+    }
+
+    /// Compares engines; returns those whose published factor has changed.
+    pub(super) fn compare(&mut self, now: Time) -> Vec<String> {
+        for samples in self.engines.values_mut() {
+            samples.decay(now);
+        }
+        let median = self.median();
+        let mut changed = Vec::new();
+        for (id, samples) in &mut self.engines {
+            let before = samples.published();
+            samples.update_factor(now, median);
+            if samples.published() != before {
+                changed.push(id.clone());
+            }
+        }
+        let idle = |samples: &Samples| samples.published() == 100 && samples.tokens < 1.0;
+        self.engines.retain(|_, samples| !idle(samples));
+        changed
+    }
+
+    /// Returns the published factor of an engine, in hundredths.
+    pub(super) fn factor(&self, id: &str) -> u32 {
+        self.engines.get(id).map_or(100, Samples::published)
+    }
+
+    /// Returns the time that the median engine takes for a token, in seconds.
+    fn median(&self) -> Option<f64> {
+        let known = self
+            .engines
+            .values()
+            .filter(|samples| samples.tokens >= MIN_TOKENS);
+        let mut times: Vec<_> = known
+            .map(|samples| samples.seconds / samples.tokens)
+            .collect();
+        if times.len() < MIN_ENGINES {
+            return None;
+        }
+        let middle = times.len() / 2;
+        let (_, median, _) = times.select_nth_unstable_by(middle, f64::total_cmp);
+        Some(*median)
+    }
+}
+
+impl Samples {
+    fn decay(&mut self, now: Time) {
+        let part = 0.5_f64.powf(now.since(self.at).as_secs_f64() / SAMPLE_HALF_LIFE.as_secs_f64());
+        self.tokens *= part;
+        self.seconds *= part;
+        self.at = now;
+    }
+
+    fn update_factor(&mut self, now: Time, median: Option<f64>) {
+        let half_lives = now.since(self.updated).as_secs_f64() / FACTOR_HALF_LIFE.as_secs_f64();
+        let old = 1.0 + (self.factor - 1.0).max(0.0) * 0.5_f64.powf(half_lives);
+        self.updated = now;
+        let median = median.filter(|_| self.tokens >= MIN_TOKENS);
+        self.factor = match median {
+            Some(median) => (self.seconds / self.tokens / median).clamp(1.0, MAX_FACTOR),
+            None => old,
+        };
+    }
+
+    fn published(&self) -> u32 {
+        if self.factor < SLOW_FACTOR {
+            return 100;
+        }
+        let hundredths = (self.factor * 100.0) as u32;
+        hundredths / FACTOR_STEP * FACTOR_STEP
+    }
+}
--- a/crates/gateway/tests/holder/loads.rs
+++ b/crates/gateway/tests/zone_owner/loads.rs
@@ -1,16 +1,17 @@
-//! What is loaded next, and what is learned of the store and of engines' memory.
+//! Which adapters are loaded next, and what the zone owner learns of the store and of
+//! engines' host memory.
 
 use std::{collections::BTreeMap, time::Duration};
 
 use base::Ticket;
-use gateway::holder::{Act, Config, Ended, Input};
+use gateway::zone_owner::{Action, Config, Input, OrderOutcome};
 use googletest::prelude::*;
 use wire::fleet::{First, Sync};
 
-use crate::world::{World, load, settle_orders, told_for};
+use crate::world::{World, announced_wait, answer_orders, load};
 
-/// Orders loads of `count` adapters and returns how many were given at once, with
-/// the time told for the last one.
+/// Orders loads of `count` adapters; returns how many were ordered at once, and the wait
+/// announced for the last one.
 fn loads_at_once(world: &mut World, round: usize, count: usize) -> (usize, Duration) {
     let wants: Vec<_> = (0..count).map(|n| format!("m/r{round}-{n}")).collect();
     let wants: Vec<_> = wants.iter().map(String::as_str).collect();
@@ -18,18 +19,22 @@
     let mut given = 0;
     world.own_zone();
     while let Some(order) = world.orders.first() {
-        let drops = matches!(order.act, Act::Evict(_));
-        world.end(if drops { Ended::Done } else { Ended::Accepted });
-        given += usize::from(!drops);
+        let evicts = matches!(order.action, Action::Evict(_));
+        world.end(if evicts {
+            OrderOutcome::Done
+        } else {
+            OrderOutcome::Accepted
+        });
+        given += usize::from(!evicts);
     }
     world.give(Input::Sync(Ticket(10), Sync::default()));
     let targets = world.answers.last().and_then(|a| a.targets.clone());
     let residents = targets.into_iter().flatten().flat_map(|t| t.residents);
-    let told = residents.map(|r| r.ready_in).max();
-    (given, told.unwrap_or_default())
+    let wait = residents.map(|r| r.ready_in).max();
+    (given, wait.unwrap_or_default())
 }
 
-/// Says that the first requests for what was just loaded found it, or didn't.
+/// Reports whether the first requests for the adapters just loaded found them.
 fn say_firsts(world: &mut World, round: usize, count: usize, held: bool) {
     let mut firsts = Vec::new();
     for engine in 1..=world.engines {
@@ -46,16 +51,16 @@
     world.give(Input::Sync(Ticket(9), sync));
 }
 
-/// The store serves half as many loads at full speed as expected. Callers were
-/// told a quarter of a second, sent their requests too early, and nearly half of
-/// all arrivals at engines were refused.
+/// The store serves half as many loads at full speed as expected. Callers were told a
+/// quarter of a second, sent their requests too early, and nearly half of all requests at
+/// engines were refused.
 #[gtest]
 fn a_slower_store_is_learned_from_refused_first_requests() {
     let _mark = base::ExpectedMark::new("store_slower");
     let mut world = World::new(8);
-    let (at_first, told) = loads_at_once(&mut world, 0, 24);
+    let (at_first, wait) = loads_at_once(&mut world, 0, 24);
     assert_that!(at_first, eq(16));
-    assert_that!(told, le(Duration::from_millis(260)));
+    assert_that!(wait, le(Duration::from_millis(260)));
     say_firsts(&mut world, 0, 24, false);
     let mut last = Vec::new();
     for round in 1..40 {
@@ -66,13 +71,13 @@
     }
     let settled = &last[20..];
     expect_that!(settled, each(all![ge(&6), le(&9)]));
-    // The time that was added while too many ran has gone again.
+    // The time added while too many loads ran has been removed again.
     world.pass(2_000);
-    let (_, told) = loads_at_once(&mut world, 40, 4);
-    expect_that!(told, le(Duration::from_millis(300)));
+    let (_, wait) = loads_at_once(&mut world, 40, 4);
+    expect_that!(wait, le(Duration::from_millis(300)));
 }
 
-/// A store that serves more than expected is used once loads stay in time.
+/// A store that serves more loads than expected is used fully once loads are in time.
 #[gtest]
 fn a_faster_store_is_learned_from_served_first_requests() {
     let mut world = World::new(12);
@@ -85,17 +90,17 @@
     expect_that!(at_once, ge(20));
 }
 
-/// A load takes a fifth longer than first guessed, however few run. The expected time
-/// was lowered to the guess again and again, so that half of the first requests came
-/// too early; taken for a sign of too many loads they left one at a time of sixteen,
-/// and adapters that were asked for all day were never loaded.
+/// A load takes a fifth longer than the initial estimate, however few run. The expected
+/// time was lowered to the estimate again and again, so that half of the first requests
+/// came too early; taken as a sign of too many loads they left one at a time of sixteen,
+/// and adapters that were requested all day were never loaded.
 #[gtest]
 fn a_load_that_always_takes_longer_is_no_sign_of_too_many() {
     let mut world = World::new(8);
     let mut given = Vec::new();
     for round in 0..60 {
-        let (at_once, told) = loads_at_once(&mut world, round, 24);
-        let held = told >= Duration::from_millis(300);
+        let (at_once, wait) = loads_at_once(&mut world, round, 24);
+        let held = wait >= Duration::from_millis(300);
         say_firsts(&mut world, round, 24, held);
         given.push(at_once);
         world.pass(2_000);
@@ -103,13 +108,13 @@
     assert_that!(given, each(ge(&14)));
 }
 
-/// Callers ask for one more copy of a busy adapter while others wait for one that
-/// was asked for once. The copy goes first, and only one is loaded at a time.
+/// Callers ask for one more copy of a busy adapter while others wait for one that was
+/// requested once. The copy goes first, and only one is loaded at a time.
 #[gtest]
 fn a_copy_of_a_busy_adapter_goes_before_a_rare_one() {
     let mut world = World::new(2);
     world.want(&["m/busy"]);
-    world.end(Ended::Accepted);
+    world.end(OrderOutcome::Accepted);
     world.pass(2_000);
     let sync = Sync {
         demand: vec![("m/busy".to_owned(), 30), ("m/rare".to_owned(), 1)],
@@ -118,10 +123,10 @@
         ..Sync::default()
     };
     world.give(Input::Sync(Ticket(7), sync));
-    let given: Vec<_> = world.orders.iter().map(|o| o.act.clone()).collect();
+    let given: Vec<_> = world.orders.iter().map(|o| o.action.clone()).collect();
     assert_that!(given.first(), some(eq(&load("m/busy"))));
     while !world.orders.is_empty() {
-        world.end(Ended::Accepted);
+        world.end(OrderOutcome::Accepted);
     }
     let again = Sync {
         copies: vec!["m/busy".to_owned()],
@@ -131,8 +136,8 @@
     assert_that!(world.orders, is_empty());
 }
 
-/// Many adapters wait for the store. One that an engine still has in its memory
-/// takes a tenth of the time and nothing of the store, yet waited among them.
+/// Many adapters wait for the store. One that an engine still has in host memory takes a
+/// tenth of the time and nothing of the store, yet waited among them.
 #[gtest]
 fn a_load_from_memory_passes_the_queue_of_the_store() {
     let config = Config {
@@ -141,50 +146,50 @@
     };
     let mut world = World::with(1, config);
     for adapter in ["m/a", "m/b", "m/c", "m/d"] {
-        told_for(&mut world, adapter);
+        announced_wait(&mut world, adapter);
     }
     world.pass(300);
     world.own_zone();
     world.want(&["m/x", "m/y", "m/z"]);
-    settle_orders(&mut world);
+    answer_orders(&mut world);
     world.want(&["m/a"]);
     assert_that!(world.orders.len(), eq(1));
-    settle_orders(&mut world);
+    answer_orders(&mut world);
     world.give(Input::Sync(Ticket(12), Sync::default()));
     let targets = world.answers.last().and_then(|a| a.targets.clone());
     let mut residents = targets.into_iter().flatten().flat_map(|t| t.residents);
     assert_that!(residents.any(|r| r.adapter == "m/a"), eq(true));
 }
 
-/// Guards against callers who are sent a tenth of a load after a new version was ordered,
-/// as the engine has dropped the version before.
+/// Guards against callers who are told to wait a tenth of a load after a new version was
+/// ordered, because the engine has evicted the previous version.
 #[gtest]
 fn a_new_version_is_not_taken_to_be_in_memory() {
     let mut world = World::new(1);
     for adapter in ["m/a", "m/b", "m/c", "m/d"] {
-        told_for(&mut world, adapter);
+        announced_wait(&mut world, adapter);
     }
     let versions = BTreeMap::from([("m/a".to_owned(), 7)]);
     world.give(Input::Versions(versions));
-    let told = told_for(&mut world, "m/a");
-    assert_that!(told, gt(Duration::from_millis(200)));
+    let wait = announced_wait(&mut world, "m/a");
+    assert_that!(wait, gt(Duration::from_millis(200)));
 }
 
-/// Guards against the opposite: the version that is ordered is the one that was dropped.
+/// Guards against the opposite: the ordered version is the one that was evicted.
 #[gtest]
 fn a_named_version_that_was_dropped_is_in_memory() {
     let mut world = World::new(1);
     let versions = BTreeMap::from([("m/a".to_owned(), 7)]);
     world.give(Input::Versions(versions));
     for adapter in ["m/a", "m/b", "m/c", "m/d"] {
-        told_for(&mut world, adapter);
+        announced_wait(&mut world, adapter);
     }
-    let told = told_for(&mut world, "m/a");
-    assert_that!(told, lt(Duration::from_millis(60)));
+    let wait = announced_wait(&mut world, "m/a");
+    assert_that!(wait, lt(Duration::from_millis(60)));
 }
 
-/// Engines keep fewer dropped adapters in memory than expected. Callers were told
-/// a tenth of a load, and each was refused.
+/// Engines keep fewer evicted adapters in host memory than expected. Callers were told a
+/// tenth of a load, and each was refused.
 #[gtest]
 fn the_size_of_an_engines_memory_is_learned() {
     let _mark = base::ExpectedMark::new("memory_smaller");
@@ -194,8 +199,8 @@
         let mut wrong = 0;
         for n in 0..40 {
             let adapter = format!("m/{n}");
-            let told = told_for(world, &adapter);
-            let held = told > quick || 36 < there;
+            let wait = announced_wait(world, &adapter);
+            let held = wait > quick || 36 < there;
             wrong += usize::from(!held);
             let target = "e1".to_owned();
             let first = First {
@@ -212,14 +217,15 @@
         }
         wrong
     };
-    // Each comes back after 36 others were dropped; the engine keeps 20.
+    // Each is reloaded after 36 others were evicted; the engine keeps 20.
     ask_all(&mut world, 20);
     expect_that!(ask_all(&mut world, 20), le(10));
     expect_that!(ask_all(&mut world, 20), eq(0));
 }
 
-/// More rare adapters are wanted than the store serves. Their callers waited in
-/// vain for a third of their time; whoever is far back is told how long it takes.
+/// More rare adapters are wanted than the store can load. Their callers waited in vain
+/// for a third of their time; callers far back in the queue are told the estimated wait
+/// at once.
 #[gtest]
 fn callers_far_back_in_the_queue_of_the_store_are_told() {
     let config = Config {
@@ -230,7 +236,7 @@
     let wants: Vec<_> = (0..40).map(|n| format!("m/a{n}")).collect();
     let wants: Vec<_> = wants.iter().map(String::as_str).collect();
     world.want(&wants);
-    settle_orders(&mut world);
+    answer_orders(&mut world);
     world.answers.clear();
     let again = Sync {
         wants: vec!["m/a39".to_owned(), "m/a38".to_owned()],
@@ -239,7 +245,7 @@
     world.give(Input::Sync(Ticket(15), again));
     let waits = &world.answers[0].waits;
     assert_that!(waits.len(), eq(2));
-    // Four loads of a quarter of a second at once: 36 wait for nine turns.
+    // Four loads of a quarter of a second at once: 36 wait for nine rounds.
     let longest = waits.iter().map(|(_, wait)| *wait).max().unwrap();
     expect_that!(
         longest,
@@ -247,9 +253,9 @@
     );
 }
 
-/// The store has no room for all. Callers of one adapter have waited for half a
-/// second and will be late anyway; those of another have just come and can still be
-/// served in time. First come, first served made both late.
+/// The store can't load all adapters in time. Callers of one adapter have waited for half
+/// a second and will be late in any case; those of another have just arrived and can
+/// still be served in time. First come, first served made both late.
 #[gtest]
 fn callers_that_can_be_served_in_time_go_first() {
     let config = Config {
@@ -262,21 +268,21 @@
         world.want(&["m/old"]);
         world.pass(250);
     }
-    world.end(Ended::Accepted);
+    world.end(OrderOutcome::Accepted);
     world.pass(10);
     while !world.orders.is_empty() {
-        world.end(Ended::Unknown);
+        world.end(OrderOutcome::Unknown);
     }
     world.want(&["m/old"]);
     world.want(&["m/new"]);
     world.pass(300);
-    let next = world.orders.iter().map(|o| o.act.clone()).next();
+    let next = world.orders.iter().map(|o| o.action.clone()).next();
     assert_that!(next, some(eq(&load("m/new"))));
 }
 
-/// A busy adapter is held in another zone only. Its callers here would lose it
-/// with that zone or its engine; a copy costs nothing while nobody waits for the
-/// store, and has to wait while somebody does.
+/// A busy adapter is held in another zone only. Its callers here would lose it with that
+/// zone or its engine; a copy costs nothing while no caller waits for the store, and has
+/// to wait while some do.
 #[gtest]
 fn a_busy_adapter_is_copied_while_nobody_waits_for_the_store() {
     let busy = || Sync {
@@ -285,7 +291,7 @@
     };
     let mut world = World::new(1);
     world.give(Input::Sync(Ticket(16), busy()));
-    assert_that!(world.orders[0].act, eq(&load("m/busy")));
+    assert_that!(world.orders[0].action, eq(&load("m/busy")));
 
     let config = Config {
         zones: 16,
@@ -293,14 +299,14 @@
     };
     let mut world = World::with(1, config);
     world.want(&["m/a", "m/b", "m/c"]);
-    world.end(Ended::Accepted);
+    world.end(OrderOutcome::Accepted);
     world.give(Input::Sync(Ticket(17), busy()));
-    let given: Vec<_> = world.orders.iter().map(|o| o.act.clone()).collect();
+    let given: Vec<_> = world.orders.iter().map(|o| o.action.clone()).collect();
     assert_that!(given, not(contains(eq(&load("m/busy")))));
 }
 
-/// An adapter was busy while others waited for the store, and is asked for no more when
-/// the store is free: nobody would use a copy.
+/// An adapter was busy while others waited for the store, and is requested no more when
+/// the store is free: a copy would not be used.
 #[gtest]
 fn an_adapter_that_was_busy_is_not_copied_later() {
     let config = Config {
@@ -314,7 +320,7 @@
         ..Sync::default()
     };
     world.give(Input::Sync(Ticket(18), sync));
-    settle_orders(&mut world);
+    answer_orders(&mut world);
     world.pass(2_000);
     world.own_zone();
     world.pass(100);
--- a/crates/gateway/tests/holder/many.rs
+++ b/crates/gateway/tests/zone_owner/many.rs
@@ -1,16 +1,17 @@
-//! What a holder spends while far more adapters wait than the store brings.
+//! Cost of planning while far more adapters wait than the store can load.
 //!
-//! Pattern: a backlog whose length makes each step dearer. Work done for what can't be
-//! served yet takes the time of what can, so the backlog grows: the holder collapses,
-//! and doesn't come back when the cause is over. Here a plan costs what it orders.
+//! Pattern: a backlog whose length makes each step more expensive. Work for what can't be
+//! served yet takes time from what can, so the backlog grows: the zone owner collapses,
+//! and doesn't recover when the cause is over. So the cost of a plan has to depend on
+//! what it orders.
 
 use std::{collections::BTreeMap, time::Duration};
 
 use base::{Ticket, Time};
 use gateway::{
-    holder::{Config, Ended, Holder, Input, Listed, Order, Output, Report},
     table::{Engine, Model},
-    tenure::Tenure,
+    zone_lease::ZoneLease,
+    zone_owner::{Config, Input, ListedTarget, Order, OrderOutcome, Output, Report, ZoneOwner},
 };
 use googletest::prelude::*;
 use wire::fleet::{Running, Sync};
@@ -18,41 +19,41 @@
 use crate::world::held;
 
 const ENTRIES: usize = 60;
-const PLACES: usize = 5;
+const SLOTS: usize = 5;
 
-/// A holder of one zone whose engines are full, with many entry instances.
-struct Crowd {
-    holder: Holder,
+/// The owner of one zone whose engines are full, with many entry instances.
+struct BusyZone {
+    owner: ZoneOwner,
     now: Time,
     orders: Vec<Order>,
     answers: usize,
 }
 
-impl Crowd {
-    /// Makes a holder whose engines hold so many adapters each.
+impl BusyZone {
+    /// Creates an owner whose engines hold `full` adapters each.
     fn new(engines: usize, full: usize) -> Self {
-        let mut holder = Holder::new(Config::default(), 1);
+        let mut owner = ZoneOwner::new(Config::default(), 1);
         let spec = Engine {
             models: vec![Model {
                 name: "m".to_owned(),
                 weights_mb: 60.0,
                 adapter_mb: 1.0,
             }],
-            adapter_slots: PLACES,
+            adapter_slots: SLOTS,
             memory_mb: 100.0,
         };
-        holder.set_specs(BTreeMap::from([("s".to_owned(), spec)]));
-        let mut crowd = Crowd {
-            holder,
+        owner.set_specs(BTreeMap::from([("s".to_owned(), spec)]));
+        let mut zone = BusyZone {
+            owner,
             now: Time::from_millis(1_000),
             orders: Vec::new(),
             answers: 0,
         };
-        let mut tenure = Tenure::default();
-        tenure.granted(crowd.now, [("za".to_owned(), 9)]);
-        crowd.give(Input::Tenure(tenure));
-        crowd.list(engines, full);
-        crowd
+        let mut lease = ZoneLease::default();
+        lease.granted(zone.now, [("za".to_owned(), 9)]);
+        zone.give(Input::Lease(lease));
+        zone.list(engines, full);
+        zone
     }
 
     fn list(&mut self, engines: usize, full: usize) {
@@ -60,7 +61,7 @@
             let names: Vec<_> = (0..full).map(|p| format!("m/held-{n}-{p}")).collect();
             held(&names.iter().map(String::as_str).collect::<Vec<_>>())
         };
-        let listed = (0..engines).map(|n| Listed {
+        let listed = (0..engines).map(|n| ListedTarget {
             id: format!("e{n}"),
             addr: format!("e{n}:1"),
             born: 1,
@@ -86,7 +87,7 @@
 
     fn give(&mut self, input: Input) {
         let mut out = Vec::new();
-        self.holder.handle(self.now, input, &mut out);
+        self.owner.handle(self.now, input, &mut out);
         for output in out {
             match output {
                 Output::Order(order) => self.orders.push(order),
@@ -96,8 +97,8 @@
         }
     }
 
-    /// One entry instance exchanges; it has requests under way at some engines, and its
-    /// callers wait for some adapters.
+    /// One entry instance sends its state; it has requests running at some engines, and
+    /// its callers wait for some adapters.
     fn exchange(&mut self, entry: usize, engines: usize, waiting: usize) {
         let running = (0..engines).step_by(3).map(|n| Running {
             target: format!("e{n}"),
@@ -114,73 +115,75 @@
         self.give(Input::Sync(Ticket(entry as u64), sync));
     }
 
-    /// Every entry instance exchanges once, and a tenth of a second passes.
+    /// Every entry instance sends its state once, and a tenth of a second passes.
     fn round(&mut self, engines: usize, waiting: usize) -> u64 {
-        let before = self.holder.steps();
+        let before = self.owner.steps();
         for entry in 0..ENTRIES {
             self.exchange(entry, engines, waiting);
         }
         self.now = self.now + Duration::from_millis(100);
         self.give(Input::Wake);
-        self.holder.steps() - before
+        self.owner.steps() - before
     }
 }
 
-/// Hundreds of adapters wait, and every message of every entry instance is followed by a
-/// look at each of them at each engine. Orders are answered, but nobody reads that in
-/// time: they count as lost, and more waits.
+/// Hundreds of adapters wait, and every message of every entry instance made the plan
+/// examine each of them at each engine. Answers to orders arrived but were not processed
+/// in time: the orders counted as lost, and more adapters waited.
 #[gtest]
 fn what_waits_costs_nothing_until_it_can_be_ordered() {
     for engines in [35, 140] {
-        let mut crowd = Crowd::new(engines, PLACES);
-        let few = (0..5).map(|_| crowd.round(engines, 3)).max().unwrap();
-        let mut crowd = Crowd::new(engines, PLACES);
-        let many = (0..5).map(|_| crowd.round(engines, 600)).max().unwrap();
-        // Each adapter is looked at once a plan; plans are made for the first word of it,
-        // and then ten times a second.
+        let mut zone = BusyZone::new(engines, SLOTS);
+        let few = (0..5).map(|_| zone.round(engines, 3)).max().unwrap();
+        let mut zone = BusyZone::new(engines, SLOTS);
+        let many = (0..5).map(|_| zone.round(engines, 600)).max().unwrap();
+        // Each adapter is examined once per plan; plans are made for the first request
+        // for it, and then ten times a second.
         let plans = ENTRIES as u64 + 5;
-        let most = few + plans * 600 + 2 * plans * (engines * (PLACES + 2)) as u64;
+        let most = few + plans * 600 + 2 * plans * (engines * (SLOTS + 2)) as u64;
         expect_that!(many, lt(most), "{engines} engines, {few} with few waiting");
     }
 }
 
-/// The same once all is known: callers ask again and again, and nothing can be ordered.
+/// The same once all adapters are known: callers ask repeatedly, and nothing can be
+/// ordered.
 #[gtest]
 fn what_is_asked_for_again_is_not_planned_again() {
     let engines = 35;
-    let mut crowd = Crowd::new(engines, PLACES);
-    crowd.round(engines, 600);
-    let again = crowd.round(engines, 600);
+    let mut zone = BusyZone::new(engines, SLOTS);
+    zone.round(engines, 600);
+    let again = zone.round(engines, 600);
     // One plan for the time that has passed.
-    expect_that!(again, lt((600 + 4 * engines * (PLACES + 2)) as u64));
+    expect_that!(again, lt((600 + 4 * engines * (SLOTS + 2)) as u64));
 }
 
-/// The holder has fallen behind: the answers of a hundred orders and the messages of all
-/// entry instances are read at once. They are followed by one plan, and what the answers
-/// allow is ordered with it.
+/// The zone owner has fallen behind: the answers of a hundred orders and the messages of
+/// all entry instances are processed together. They are followed by one plan, which
+/// includes the orders that the answers make possible.
 #[gtest]
 fn what_came_together_is_followed_by_one_plan() {
     let engines = 35;
-    let mut crowd = Crowd::new(engines, 0);
-    crowd.round(engines, 600);
-    let given = std::mem::take(&mut crowd.orders);
+    let mut zone = BusyZone::new(engines, 0);
+    zone.round(engines, 600);
+    let given = std::mem::take(&mut zone.orders);
     expect_that!(given.len(), gt(5));
-    let before = crowd.holder.steps();
+    let before = zone.owner.steps();
     for order in &given {
-        let (id, ended) = (order.id.clone(), Ended::Accepted);
-        crowd.holder.take(crowd.now, Input::Ended { id, ended });
+        let (id, outcome) = (order.id.clone(), OrderOutcome::Accepted);
+        zone.owner
+            .apply(zone.now, Input::OrderEnded { id, outcome });
     }
     for entry in 0..ENTRIES {
         let sync = Input::Sync(Ticket(entry as u64), Sync::default());
-        crowd.holder.take(crowd.now, sync);
+        zone.owner.apply(zone.now, sync);
     }
     let mut out = Vec::new();
-    crowd.holder.act(crowd.now, &mut out);
-    // The next ones are due once these have come.
-    crowd.now = crowd.now + Duration::from_millis(300);
-    crowd.holder.act(crowd.now, &mut out);
+    zone.owner.poll(zone.now, &mut out);
+    // The next ones are due once these have completed.
+    zone.now = zone.now + Duration::from_millis(300);
+    zone.owner.poll(zone.now, &mut out);
     let orders = out.iter().filter(|o| matches!(o, Output::Order(_))).count();
     expect_that!(orders, ge(given.len()));
-    let most = 2 * 600 + (orders + 6) * engines * (PLACES + 2);
-    expect_that!(crowd.holder.steps() - before, lt(most as u64));
+    let most = 2 * 600 + (orders + 6) * engines * (SLOTS + 2);
+    expect_that!(zone.owner.steps() - before, lt(most as u64));
 }
--- a/crates/gateway/tests/holder/world.rs
+++ b/crates/gateway/tests/zone_owner/world.rs
@@ -1,20 +1,22 @@
-//! A holder of one zone, played by hand.
+//! A zone owner driven step by step.
 
 use std::{collections::BTreeMap, time::Duration};
 
 use base::{Ticket, Time};
 use gateway::{
-    holder::{Act, Config, Ended, Held, Holder, Input, Listed, Order, Output, Report},
     table::{Engine, Model},
-    tenure::Tenure,
+    zone_lease::ZoneLease,
+    zone_owner::{
+        Action, Config, Held, Input, ListedTarget, Order, OrderOutcome, Output, Report, ZoneOwner,
+    },
 };
 use wire::fleet::{Sync, Synced};
 
 const SLOTS: usize = 3;
 
-/// A holder of one zone with engines `e1`, `e2`, and so on.
+/// The owner of one zone with engines `e1`, `e2`, and so on.
 pub(crate) struct World {
-    pub(crate) holder: Holder,
+    pub(crate) owner: ZoneOwner,
     pub(crate) now: Time,
     pub(crate) engines: usize,
     pub(crate) born: u64,
@@ -29,7 +31,7 @@
     }
 
     pub(crate) fn with(engines: usize, config: Config) -> Self {
-        let mut holder = Holder::new(config, 1);
+        let mut owner = ZoneOwner::new(config, 1);
         let spec = Engine {
             models: vec![Model {
                 name: "m".to_owned(),
@@ -39,9 +41,9 @@
             adapter_slots: SLOTS,
             memory_mb: 100.0,
         };
-        holder.set_specs(BTreeMap::from([("s".to_owned(), spec)]));
+        owner.set_specs(BTreeMap::from([("s".to_owned(), spec)]));
         let mut world = World {
-            holder,
+            owner,
             now: Time::from_millis(1_000),
             engines,
             born: 1,
@@ -55,16 +57,16 @@
         world
     }
 
-    /// Renews the right to give orders to the zone.
+    /// Renews the lease of the zone.
     pub(crate) fn own_zone(&mut self) {
-        let mut tenure = Tenure::default();
-        tenure.granted(self.now, [("za".to_owned(), 9)]);
-        self.give(Input::Tenure(tenure));
+        let mut lease = ZoneLease::default();
+        lease.granted(self.now, [("za".to_owned(), 9)]);
+        self.give(Input::Lease(lease));
     }
 
     pub(crate) fn give(&mut self, input: Input) {
         let mut out = Vec::new();
-        self.holder.handle(self.now, input, &mut out);
+        self.owner.handle(self.now, input, &mut out);
         for output in out {
             match output {
                 Output::Order(order) => self.orders.push(order),
@@ -78,19 +80,19 @@
         self.list_asked(self.now, adapters);
     }
 
-    /// Gives a list that was asked for at some time before.
+    /// Passes in a list that was requested at `asked`.
     pub(crate) fn list_asked(&mut self, asked: Time, adapters: &[&str]) {
         self.list_of(asked, &held(adapters));
     }
 
-    /// Gives a list on which every engine holds this.
+    /// Passes in a list on which every engine holds `held`.
     pub(crate) fn list_held(&mut self, held: Held) {
         self.list_of(self.now, &held);
     }
 
     fn list_of(&mut self, asked: Time, held: &Held) {
         let ids = (1..=self.engines).map(|n| format!("e{n}"));
-        let listed = ids.map(|id| Listed {
+        let listed = ids.map(|id| ListedTarget {
             addr: format!("{id}:1"),
             id,
             born: self.born,
@@ -105,7 +107,7 @@
         self.give(Input::Listed { asked, zones, list });
     }
 
-    /// Every engine that is asked answers that it holds nothing but its model.
+    /// Answers every report request with an engine that holds nothing but its model.
     pub(crate) fn report_all(&mut self) {
         for id in std::mem::take(&mut self.reports) {
             let report = Report {
@@ -127,8 +129,8 @@
         self.give(Input::Sync(Ticket(1), sync));
     }
 
-    /// An entry instance says that it can't reach an engine.
-    pub(crate) fn accuse(&mut self, id: &str) {
+    /// An entry instance reports that it can't reach an engine.
+    pub(crate) fn report_unreachable(&mut self, id: &str) {
         let sync = Sync {
             failing: vec![id.to_owned()],
             ..Sync::default()
@@ -136,11 +138,11 @@
         self.give(Input::Sync(Ticket(3), sync));
     }
 
-    /// Carries out the oldest order.
-    pub(crate) fn end(&mut self, ended: Ended) -> Order {
+    /// Answers the oldest order with `outcome`.
+    pub(crate) fn end(&mut self, outcome: OrderOutcome) -> Order {
         let order = self.orders.remove(0);
         let id = order.id.clone();
-        self.give(Input::Ended { id, ended });
+        self.give(Input::OrderEnded { id, outcome });
         order
     }
 
@@ -157,30 +159,34 @@
     }
 }
 
-pub(crate) fn load(adapter: &str) -> Act {
-    Act::Load {
+pub(crate) fn load(adapter: &str) -> Action {
+    Action::Load {
         adapter: adapter.to_owned(),
         version: None,
     }
 }
 
-/// Gives every order its usual end until none is left.
-pub(crate) fn settle_orders(world: &mut World) {
+/// Answers every order as engines usually do, until none is left.
+pub(crate) fn answer_orders(world: &mut World) {
     while let Some(order) = world.orders.first() {
-        let drops = matches!(order.act, Act::Evict(_));
-        world.end(if drops { Ended::Done } else { Ended::Accepted });
+        let evicts = matches!(order.action, Action::Evict(_));
+        world.end(if evicts {
+            OrderOutcome::Done
+        } else {
+            OrderOutcome::Accepted
+        });
     }
 }
 
-/// Asks for an adapter and returns how long its callers are told to wait.
-pub(crate) fn told_for(world: &mut World, adapter: &str) -> Duration {
+/// Asks for an adapter and returns the wait announced to its callers.
+pub(crate) fn announced_wait(world: &mut World, adapter: &str) -> Duration {
     world.own_zone();
     world.want(&[adapter]);
-    settle_orders(world);
+    answer_orders(world);
     world.give(Input::Sync(Ticket(11), Sync::default()));
     let targets = world.answers.last().and_then(|a| a.targets.clone());
     let mut residents = targets.into_iter().flatten().flat_map(|t| t.residents);
-    let told = residents.find(|r| r.adapter == adapter).map(|r| r.ready_in);
+    let wait = residents.find(|r| r.adapter == adapter).map(|r| r.ready_in);
     world.pass(1_300);
-    told.unwrap()
+    wait.unwrap()
 }
