--- a/crates/frontd/src/control/shell.rs
+++ b/crates/frontd/src/control/shell.rs
@@ -1,7 +1,7 @@
 //! The one task that owns the control instance, the granting of zones and the
 //! holder of orders.
 
-mod handout;
+mod edition_cache;
 mod orders;
 mod zones;
 
@@ -32,7 +32,7 @@
     fleet::{Edition, Weights},
 };
 
-use self::handout::Handout;
+use self::edition_cache::Handout;
 use super::{HANDOVER, Named, Setup};
 use crate::{Outside, names};
 
--- a/crates/frontd/src/control/shell/handout.rs
+++ b/crates/frontd/src/control/shell/edition_cache.rs
@@ -99,5 +99,5 @@
 }
 
 #[cfg(test)]
-#[path = "../../../tests/unit/handout.rs"]
+#[path = "../../../tests/unit/edition_cache.rs"]
 mod tests;
--- a/crates/frontd/src/entry.rs
+++ b/crates/frontd/src/entry.rs
@@ -3,7 +3,7 @@
 mod answer;
 mod editions;
 mod forward;
-mod heads;
+mod headers;
 mod relay;
 mod state;
 mod sync;
--- a/crates/frontd/src/entry/answer.rs
+++ b/crates/frontd/src/entry/answer.rs
@@ -8,7 +8,7 @@
 };
 use web::body::{Body, full};
 
-use super::heads;
+use super::headers;
 use crate::Dialect;
 
 /// What ends a request without a target's answer.
@@ -121,5 +121,5 @@
 
 /// Tells whether a target's answer says that it didn't run the request.
 pub(super) fn refused(status: StatusCode, headers: &HeaderMap, dialect: &Dialect) -> bool {
-    status == StatusCode::MISDIRECTED_REQUEST || heads::text(headers, &dialect.refused).is_some()
+    status == StatusCode::MISDIRECTED_REQUEST || headers::text(headers, &dialect.refused).is_some()
 }
--- a/crates/frontd/src/entry/forward.rs
+++ b/crates/frontd/src/entry/forward.rs
@@ -1,9 +1,9 @@
 //! One request, from its arrival to the head of its answer.
 //!
-//! [`arrive`] reads it, [`wait`] finds it a target, [`send`] sends it there; here
+//! [`receive`] reads it, [`wait`] finds it a target, [`send`] sends it there; here
 //! is decided whether it may be sent once more and what its caller is told.
 
-mod arrive;
+mod receive;
 mod send;
 mod wait;
 
@@ -20,10 +20,10 @@
 use web::{body::Body, client::Answer};
 
 use self::send::Sent;
-pub(super) use self::{arrive::answer, send::Place};
+pub(super) use self::{receive::answer, send::Place};
 use super::{
     answer::{Ended, Why, promises},
-    heads,
+    headers,
     relay::{Relay, Resume},
     state::State,
 };
@@ -250,7 +250,7 @@
             base::hit!(false_promise);
             return Ended::Failed.response(&self.headers, &dialect);
         }
-        let headers = heads::back(&answer.headers);
+        let headers = headers::back(&answer.headers);
         let resume = match self.route.kind {
             Kind::Stream { resumable } if status.is_success() => {
                 (resumable || self.backup.is_some()).then(Resume::default)
--- a/crates/frontd/src/entry/forward/arrive.rs
+++ b/crates/frontd/src/entry/forward/receive.rs
@@ -13,7 +13,7 @@
     Dialect,
     entry::{
         answer::{Ended, Why},
-        heads,
+        headers,
         state::State,
     },
 };
@@ -39,7 +39,7 @@
             exposed().request(ended.label());
             event!(
                 telemetry::Event::RequestFailed,
-                request = heads::text(&headers, &dialect.request).unwrap_or_default(),
+                request = headers::text(&headers, &dialect.request).unwrap_or_default(),
                 how = format!("{ended:?}"),
                 why = ended.why(),
                 edition = state.edition()
@@ -54,7 +54,7 @@
     let dialect = Arc::clone(&state.outside.dialect);
     let (parts, body) = req.into_parts();
     let headers = parts.headers;
-    let text = |name| heads::text(&headers, name).unwrap_or_default();
+    let text = |name| headers::text(&headers, name).unwrap_or_default();
     let patience = text(&dialect.deadline).parse().map(Duration::from_millis);
     let patience = patience.unwrap_or(PATIENCE);
     // Without any table nobody knows what is allowed: the request hasn't run.
@@ -81,7 +81,7 @@
         backup: None,
         method: parts.method,
         path: path.to_owned(),
-        headers: heads::onward(&headers, &dialect),
+        headers: headers::onward(&headers, &dialect),
         body,
         until: arrived + patience.min(route.limit),
         arrived,
@@ -109,7 +109,7 @@
 }
 
 fn route(table: &Table, headers: &HeaderMap, path: &str) -> Option<Route> {
-    let host = heads::text(headers, &HOST).unwrap_or_default();
+    let host = headers::text(headers, &HOST).unwrap_or_default();
     let host = host.to_ascii_lowercase();
     let host = host.split(':').next().unwrap_or_default();
     table.find(host, path).cloned()
@@ -131,7 +131,7 @@
 
 /// Returns the tokens of the prompt, and the most tokens of the answer.
 fn tokens(headers: &HeaderMap, dialect: &Dialect) -> (u64, u64) {
-    let raw = heads::text(headers, &dialect.tokens).unwrap_or_default();
+    let raw = headers::text(headers, &dialect.tokens).unwrap_or_default();
     let mut parts = raw.split(',').map(|part| part.trim().parse().unwrap_or(0));
     (parts.next().unwrap_or(0), parts.next().unwrap_or(0))
 }
--- a/crates/frontd/src/entry/forward/send.rs
+++ b/crates/frontd/src/entry/forward/send.rs
@@ -13,7 +13,7 @@
 use web::client::{Answer, Broken, Cause, Ending, Limits, Send};
 
 use super::{Job, REFUSED_PAUSE, millis};
-use crate::entry::{answer::refused, heads, state::State};
+use crate::entry::{answer::refused, headers, state::State};
 
 /// Fewest tokens of an answer for which a copy of its run's memory is kept:
 /// about half a second of a stream.
@@ -139,7 +139,7 @@
     /// Tells whether an answer names the weights that a copy's memory was made with.
     fn made_with(&self, backup: &Backup, answer: &Answer) -> bool {
         let weights = &self.state.outside.dialect.weights;
-        let weights = heads::text(&answer.headers, weights);
+        let weights = headers::text(&answer.headers, weights);
         weights.is_some_and(|weights| weights.parse() == Ok(backup.origin.weights))
     }
 
@@ -236,7 +236,7 @@
         // Failure: a target sends a second answer, or a late one, where the
         // next one is due. It would reach another caller. Each answer repeats
         // the id of its request.
-        let own = heads::text(&answer.headers, &dialect.request);
+        let own = headers::text(&answer.headers, &dialect.request);
         if own.is_some_and(|id| id != self.id) {
             base::hit!(answer_of_another);
             event!(
@@ -295,13 +295,13 @@
         };
         let left = self.until.saturating_duration_since(Instant::now());
         let mut headers = self.headers.clone();
-        heads::set_number(&mut headers, &dialect.deadline, millis(left).max(1));
+        headers::set_number(&mut headers, &dialect.deadline, millis(left).max(1));
         headers.insert(dialect.target.clone(), web::header_value(target));
         if !self.adapter.is_empty() {
             let priority = u64::from(self.route.priority.min(9));
-            heads::set_number(&mut headers, &dialect.priority, priority);
+            headers::set_number(&mut headers, &dialect.priority, priority);
             if let Some(version) = version {
-                heads::set_number(&mut headers, &dialect.version, version.into());
+                headers::set_number(&mut headers, &dialect.version, version.into());
             }
         }
         if restored {
--- a/crates/frontd/src/entry/relay.rs
+++ b/crates/frontd/src/entry/relay.rs
@@ -13,7 +13,7 @@
 
 use super::{
     forward::{Job, Place},
-    heads,
+    headers,
 };
 
 /// Bytes of one event at most; beyond it a stream is passed on as it comes and
@@ -176,6 +176,6 @@
     /// Returns the version of the weights that an answer names.
     fn weights<'a>(&self, answer: &'a Answer) -> &'a str {
         let weights = &self.job.state.outside.dialect.weights;
-        heads::text(&answer.headers, weights).unwrap_or_default()
+        headers::text(&answer.headers, weights).unwrap_or_default()
     }
 }
--- a/crates/frontd/src/lib.rs
+++ b/crates/frontd/src/lib.rs
@@ -10,12 +10,12 @@
 mod entry;
 mod metrics;
 mod names;
-mod outside;
+mod platform;
 
 pub use crate::{
     control::{Named, Operators, Setup as ControlSetup, serve as serve_control},
     entry::{Setup as EntrySetup, serve as serve_entry},
     metrics::serve as serve_metrics,
     names::{address, instance},
-    outside::{Ask, Decode, Decoded, Dialect, Give, List, Outside, Seeds},
+    platform::{Ask, Decode, Decoded, Dialect, Give, List, Outside, Seeds},
 };
