--- a/crates/frontd/src/control.rs
+++ b/crates/frontd/src/control.rs
@@ -24,9 +24,9 @@
 use web::{body::Body, reply, server};
 use wire::call::{Call, Reply};
 
-pub use self::operators::{Named, Operators};
+pub use self::operators::{CallOutcome, Operators};
 use self::shell::{End, Job, Shell};
-use crate::{Outside, names};
+use crate::{Platform, names};
 
 /// How long leadership may take to be handed over in a planned stop.
 const HANDOVER: Duration = Duration::from_millis(1_500);
@@ -67,17 +67,17 @@
     /// Where operators connect.
     pub listen: SocketAddr,
     /// The port for other instances, the same everywhere.
-    pub peers: u16,
+    pub peer_port: u16,
     /// Folder of log and snapshots.
-    pub data: PathBuf,
+    pub data_dir: PathBuf,
     /// Whether the deployment starts for the first time.
-    pub first: bool,
+    pub bootstrap: bool,
     /// Its availability zone.
     pub zone: String,
     /// All availability zones.
     pub zones: BTreeSet<String>,
     /// How long after the last order of one holder another may give its first.
-    pub turns: Duration,
+    pub takeover_delay: Duration,
     /// How old the platform's list may be when it is asked for.
     pub list_lag: Duration,
 }
@@ -88,7 +88,7 @@
 /// # Errors
 ///
 /// Fails when an address can't be listened on or the data folder not be used.
-pub async fn serve<H, F>(setup: Setup, outside: Outside, answer: H) -> Result<()>
+pub async fn serve<H, F>(setup: Setup, platform: Platform, answer: H) -> Result<()>
 where
     H: Fn(Operators, Request<Incoming>) -> F + Send + Sync + 'static,
     F: Future<Output = Response<Body>> + Send + 'static,
@@ -112,13 +112,13 @@
     let at_peers = jobs.clone();
     let handler = move |req| at_peer(at_peers.clone(), req);
     tokio::spawn(server::serve(
-        listen(SocketAddr::new(setup.ip, setup.peers)).await?,
+        listen(SocketAddr::new(setup.ip, setup.peer_port)).await?,
         limits(),
         handler,
         CancellationToken::new(),
     ));
     event!(telemetry::Event::Started, listen = setup.listen.to_string());
-    live(&setup, &outside, &jobs, queue).await?;
+    live(&setup, &platform, &jobs, queue).await?;
     stop.cancel();
     served.await.context("the operators' listener failed")??;
     event!(telemetry::Event::Stopped, running = 0);
@@ -133,7 +133,7 @@
 /// do, without losing the listeners.
 async fn live(
     setup: &Setup,
-    outside: &Outside,
+    platform: &Platform,
     jobs: &mpsc::UnboundedSender<Job>,
     mut queue: mpsc::UnboundedReceiver<Job>,
 ) -> Result<()> {
@@ -141,12 +141,12 @@
     let mut last = Incarnation(0);
     loop {
         last = next_life(daemon::wall_clock()?, last);
-        let mut shell = open(setup, outside, jobs, clock, last)?;
+        let mut shell = open(setup, platform, jobs, clock, last)?;
         let end = shell.run(&mut queue).await;
         drop(shell);
         match end {
             End::Stopped => return Ok(()),
-            End::Removed => empty(&setup.data)?,
+            End::Removed => empty(&setup.data_dir)?,
             End::DiskFailed => sleep(REOPEN).await,
         }
     }
@@ -154,19 +154,19 @@
 
 fn open(
     setup: &Setup,
-    outside: &Outside,
+    platform: &Platform,
     jobs: &mpsc::UnboundedSender<Job>,
     clock: Clock,
     life: Incarnation,
 ) -> Result<Shell> {
-    let name = names::instance(setup.ip);
-    let opened = disk::open(&setup.data, &name, life)?;
+    let name = names::instance_name(setup.ip);
+    let opened = disk::open(&setup.data_dir, &name, life)?;
     daemon::report_fate(&opened.fate);
-    let seeds = (outside.seeds)().unwrap_or_default();
-    let peers = seeds.into_iter().map(names::instance).collect();
+    let seeds = (platform.read_seeds)().unwrap_or_default();
+    let peers = seeds.into_iter().map(names::instance_name).collect();
     let raw = RawSettings {
         open: true,
-        founds: setup.first,
+        founds: setup.bootstrap,
         retire: Some(RETIRE),
         heartbeat: HEARTBEAT,
         election: ELECTION,
@@ -186,7 +186,7 @@
         setup,
         writer,
         clock,
-        outside.clone(),
+        platform.clone(),
         jobs.clone(),
     ))
 }
--- a/crates/frontd/src/control/operators.rs
+++ b/crates/frontd/src/control/operators.rs
@@ -17,11 +17,11 @@
 
 /// What came of an operator's call.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Named {
+pub enum CallOutcome {
     /// It is durable: in force, or overtaken by what was there before.
     Done,
     /// The leader may answer.
-    Elsewhere(Option<IpAddr>),
+    NotLeader(Option<IpAddr>),
     /// Not now.
     Busy,
     /// Nobody knows whether it was taken; the same call may be made again.
@@ -40,12 +40,12 @@
     }
 
     /// Publishes a checked edition.
-    pub async fn publish(&self, edition: Edition) -> Named {
+    pub async fn publish(&self, edition: Edition) -> CallOutcome {
         self.name(What::Publish(edition)).await
     }
 
     /// Names an adapter's version.
-    pub async fn revise(&self, adapter: String, version: u32) -> Named {
+    pub async fn set_version(&self, adapter: String, version: u32) -> CallOutcome {
         self.name(What::Revise { adapter, version }).await
     }
 
@@ -54,21 +54,21 @@
     /// # Errors
     ///
     /// Fails where this instance can't be sure which one is the newest.
-    pub async fn newest(&self) -> Result<Option<Edition>, Named> {
+    pub async fn newest(&self) -> Result<Option<Edition>, CallOutcome> {
         let (to, answer) = oneshot::channel();
         self.jobs.send(Job::Newest(to)).ok();
         match timeout(LIMIT, answer).await {
             Ok(Ok(newest)) => newest,
-            _ => Err(Named::Busy),
+            _ => Err(CallOutcome::Busy),
         }
     }
 
-    async fn name(&self, what: What) -> Named {
+    async fn name(&self, what: What) -> CallOutcome {
         let (to, answer) = oneshot::channel();
         self.jobs.send(Job::Name { what, to }).ok();
         match timeout(LIMIT, answer).await {
             Ok(Ok(named)) => named,
-            _ => Named::Unknown,
+            _ => CallOutcome::Unknown,
         }
     }
 }
--- a/crates/frontd/src/control/shell.rs
+++ b/crates/frontd/src/control/shell.rs
@@ -33,8 +33,8 @@
 };
 
 use self::edition_cache::Handout;
-use super::{HANDOVER, Named, Setup};
-use crate::{Outside, names};
+use super::{CallOutcome, HANDOVER, Setup};
+use crate::{Platform, names};
 
 /// Jobs taken in one go before timers are looked at again.
 const BURST: usize = 256;
@@ -90,10 +90,10 @@
         /// What.
         what: What,
         /// Where the answer goes.
-        to: oneshot::Sender<Named>,
+        to: oneshot::Sender<CallOutcome>,
     },
     /// An operator reads the newest edition.
-    Newest(oneshot::Sender<Result<Option<Edition>, Named>>),
+    Newest(oneshot::Sender<Result<Option<Edition>, CallOutcome>>),
     /// This process is to stop.
     Stop,
 }
@@ -113,7 +113,7 @@
 #[derive(Debug)]
 enum Waiter {
     Call(oneshot::Sender<Reply>),
-    Name(oneshot::Sender<Named>),
+    Name(oneshot::Sender<CallOutcome>),
     /// Nobody; the zone that is about to get an owner.
     Zone(String),
     Sync {
@@ -130,7 +130,7 @@
     revisions: Revisions,
     writer: Writer,
     clock: Clock,
-    outside: Outside,
+    platform: Platform,
     jobs: mpsc::UnboundedSender<Job>,
     links: Arc<Links>,
     port: u16,
@@ -177,7 +177,7 @@
         setup: &Setup,
         writer: Writer,
         clock: Clock,
-        outside: Outside,
+        platform: Platform,
         jobs: mpsc::UnboundedSender<Job>,
     ) -> Self {
         let name = control.replica().id().instance.clone();
@@ -194,10 +194,10 @@
             revisions: Revisions::new(rand::random::<u64>() >> 2),
             writer,
             clock,
-            outside,
+            platform,
             jobs,
             links: Arc::new(Links::new(name)),
-            port: setup.peers,
+            port: setup.peer_port,
             wake: Time::ZERO,
             tick: Time::ZERO,
             next_list: Time::ZERO,
@@ -208,7 +208,7 @@
             moving: BTreeSet::new(),
             zone: setup.zone.clone(),
             zones: setup.zones.clone(),
-            turns: setup.turns,
+            turns: setup.takeover_delay,
             tickets: 0,
             waiters: HashMap::new(),
             weights: BTreeMap::new(),
@@ -265,8 +265,8 @@
             self.next_seeds = now + SEEDS_EVERY;
             self.note_store();
             self.note_weights();
-            if let Some(seeds) = (self.outside.seeds)() {
-                let peers = seeds.into_iter().map(names::instance).collect();
+            if let Some(seeds) = (self.platform.read_seeds)() {
+                let peers = seeds.into_iter().map(names::instance_name).collect();
                 self.input(Input::Peers { peers });
             }
         }
@@ -325,11 +325,11 @@
         }
     }
 
-    fn newest(&self) -> Result<Option<Edition>, Named> {
+    fn newest(&self) -> Result<Option<Edition>, CallOutcome> {
         // Failure: this instance was cut off, and another leads and has taken
         // newer editions. Only a leader whose lease runs knows the newest.
         if !self.control.leads(self.clock.now()) {
-            return Err(Named::Elsewhere(self.leader_ip()));
+            return Err(CallOutcome::NotLeader(self.leader_ip()));
         }
         Ok(self.control.state().editions().newest().cloned())
     }
@@ -340,7 +340,7 @@
     }
 
     fn leader_ip(&self) -> Option<IpAddr> {
-        let address = names::address(&self.leader()?, self.port)?;
+        let address = names::instance_address(&self.leader()?, self.port)?;
         Some(address.ip())
     }
 
@@ -395,15 +395,15 @@
         }
     }
 
-    fn named(&self, result: Result<control::Taken, Unnamed>) -> Named {
+    fn named(&self, result: Result<control::Taken, Unnamed>) -> CallOutcome {
         match result {
-            Ok(_) => Named::Done,
+            Ok(_) => CallOutcome::Done,
             Err(Unnamed::Elsewhere { leader }) => {
-                let address = leader.and_then(|name| names::address(&name, self.port));
-                Named::Elsewhere(address.map(|a| a.ip()))
+                let address = leader.and_then(|name| names::instance_address(&name, self.port));
+                CallOutcome::NotLeader(address.map(|a| a.ip()))
             }
-            Err(Unnamed::Busy) => Named::Busy,
-            Err(Unnamed::Unknown) => Named::Unknown,
+            Err(Unnamed::Busy) => CallOutcome::Busy,
+            Err(Unnamed::Unknown) => CallOutcome::Unknown,
         }
     }
 
@@ -413,7 +413,7 @@
     }
 
     fn send(&self, to: &InstanceName, call: Call) {
-        let Some(address) = names::address(to, self.port) else {
+        let Some(address) = names::instance_address(to, self.port) else {
             return;
         };
         let links = Arc::clone(&self.links);
--- a/crates/frontd/src/control/shell/orders.rs
+++ b/crates/frontd/src/control/shell/orders.rs
@@ -12,7 +12,7 @@
 
 impl Shell {
     pub(super) fn read_list(&self, zone: String) {
-        let (list, jobs) = (self.outside.list.clone(), self.jobs.clone());
+        let (list, jobs) = (self.platform.list_targets.clone(), self.jobs.clone());
         let asked = self.clock.now();
         tokio::spawn(async move {
             match list(Some(zone.clone())).await {
@@ -87,7 +87,7 @@
         let jobs = self.jobs.clone();
         match output {
             holder::Output::Order(order) => {
-                let given = (self.outside.give)(order.clone());
+                let given = (self.platform.send_order)(order.clone());
                 tokio::spawn(async move {
                     let ended = given.await;
                     note_order(&order, ended);
@@ -98,7 +98,7 @@
                 });
             }
             holder::Output::Report { id, addr } => {
-                let asked = (self.outside.ask)(id.clone(), addr);
+                let asked = (self.platform.read_report)(id.clone(), addr);
                 tokio::spawn(async move {
                     let report = asked.await;
                     jobs.send(Job::Holder(holder::Input::Reported { id, report }))
@@ -143,7 +143,7 @@
             return;
         };
         self.handout.keep(self.clock.now(), newest);
-        match (self.outside.decode)(&newest.body) {
+        match (self.platform.decode)(&newest.body) {
             Ok(decoded) => self.holder.set_specs(decoded.table.engines()),
             Err(why) => event!(telemetry::Event::TextBroken, why = why),
         }
--- a/crates/frontd/src/control/shell/zones.rs
+++ b/crates/frontd/src/control/shell/zones.rs
@@ -28,7 +28,7 @@
         let Some(leader) = self.leader() else {
             return;
         };
-        let Some(address) = names::address(&leader, self.port) else {
+        let Some(address) = names::instance_address(&leader, self.port) else {
             return;
         };
         let call = Call::Renew {
--- a/crates/frontd/src/entry.rs
+++ b/crates/frontd/src/entry.rs
@@ -23,7 +23,7 @@
 use web::{body::Body, server};
 
 use self::state::State;
-use crate::Outside;
+use crate::Platform;
 
 /// How long new connections are taken after a stop was asked for: the platform
 /// asks for readiness once a second and takes an instance out after two misses.
@@ -53,11 +53,11 @@
     /// Where the platform asks whether it is ready.
     pub ready: SocketAddr,
     /// The port of other instances for each other.
-    pub peers: u16,
+    pub peer_port: u16,
     /// Time from the request to stop to the end of the process.
     pub grace: Duration,
     /// The budget of repeats that all instances share.
-    pub repeats: budget::Limits,
+    pub retries: budget::Limits,
 }
 
 /// Serves until a planned stop has ended.
@@ -65,8 +65,8 @@
 /// # Errors
 ///
 /// Fails when an address can't be listened on.
-pub async fn serve(setup: Setup, outside: Outside) -> Result<()> {
-    let state = Arc::new(State::new(&setup, outside));
+pub async fn serve(setup: Setup, platform: Platform) -> Result<()> {
+    let state = Arc::new(State::new(&setup, platform));
     let stop = CancellationToken::new();
     let stopping = daemon::stop_signal()?;
     let (at_stop, flag) = (stop.clone(), Arc::clone(&state));
--- a/crates/frontd/src/entry/answer.rs
+++ b/crates/frontd/src/entry/answer.rs
@@ -9,7 +9,7 @@
 use web::body::{Body, full};
 
 use super::headers;
-use crate::Dialect;
+use crate::HeaderNames;
 
 /// What ends a request without a target's answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -98,13 +98,13 @@
     }
 
     /// Makes the answer to the request with `headers`.
-    pub(super) fn response(self, headers: &HeaderMap, dialect: &Dialect) -> Response<Body> {
+    pub(super) fn response(self, headers: &HeaderMap, names: &HeaderNames) -> Response<Body> {
         let mut resp = Response::new(full(self.text()));
         *resp.status_mut() = self.status();
         let out = resp.headers_mut();
         out.insert(CONTENT_TYPE, HeaderValue::from_static("text/plain"));
-        if let Some(id) = headers.get(&dialect.request) {
-            out.insert(dialect.request.clone(), id.clone());
+        if let Some(id) = headers.get(&names.request_id) {
+            out.insert(names.request_id.clone(), id.clone());
         }
         if let Ended::NotRun { again, .. } = self {
             let seconds = format!("{:.2}", again.as_secs_f64());
@@ -120,6 +120,6 @@
 }
 
 /// Tells whether a target's answer says that it didn't run the request.
-pub(super) fn refused(status: StatusCode, headers: &HeaderMap, dialect: &Dialect) -> bool {
-    status == StatusCode::MISDIRECTED_REQUEST || headers::text(headers, &dialect.refused).is_some()
+pub(super) fn refused(status: StatusCode, headers: &HeaderMap, names: &HeaderNames) -> bool {
+    status == StatusCode::MISDIRECTED_REQUEST || headers::text(headers, &names.not_run).is_some()
 }
--- a/crates/frontd/src/entry/editions.rs
+++ b/crates/frontd/src/entry/editions.rs
@@ -89,7 +89,7 @@
 }
 
 fn put_in_force(state: &State, number: u64, text: &str) {
-    match (state.outside.decode)(text) {
+    match (state.platform.decode)(text) {
         Ok(decoded) => {
             if state.set_table(number, decoded.table) {
                 event!(telemetry::Event::TextInForce, version = number);
--- a/crates/frontd/src/entry/forward.rs
+++ b/crates/frontd/src/entry/forward.rs
@@ -1,6 +1,6 @@
 //! One request, from its arrival to the head of its answer.
 //!
-//! [`receive`] reads it, [`wait`] finds it a target, [`send`] sends it there; here
+//! [`arrive`] reads it, [`wait`] finds it a target, [`send`] sends it there; here
 //! is decided whether it may be sent once more and what its caller is told.
 
 mod receive;
@@ -74,7 +74,7 @@
 
 impl Job {
     async fn run(mut self, headers: &HeaderMap) -> Response<Body> {
-        let dialect = Arc::clone(&self.state.outside.dialect);
+        let names = Arc::clone(&self.state.platform.header_names);
         self.state.request(&self.service);
         if !self.adapter.is_empty() {
             self.state.view().count(&self.adapter);
@@ -101,7 +101,7 @@
                     refusals = self.refusals,
                     held_ms = millis(self.arrived.elapsed())
                 );
-                ended.response(headers, &dialect)
+                ended.response(headers, &names)
             }
         }
     }
@@ -241,14 +241,14 @@
 
     /// Passes a target's answer on to the caller.
     fn pass_on(self, answer: Answer, place: Place) -> Response<Body> {
-        let dialect = Arc::clone(&self.state.outside.dialect);
+        let names = Arc::clone(&self.state.platform.header_names);
         let status = answer.status;
         if promises(status) {
             // Failure: a target that ran the request answers with a status by
             // which callers understand that it has not run. They would send it
             // again.
             base::hit!(false_promise);
-            return Ended::Failed.response(&self.headers, &dialect);
+            return Ended::Failed.response(&self.headers, &names);
         }
         let headers = headers::back(&answer.headers);
         let resume = match self.route.kind {
--- a/crates/frontd/src/entry/forward/receive.rs
+++ b/crates/frontd/src/entry/forward/receive.rs
@@ -10,7 +10,7 @@
 
 use super::{AGAIN, Job};
 use crate::{
-    Dialect,
+    HeaderNames,
     entry::{
         answer::{Ended, Why},
         headers,
@@ -32,30 +32,30 @@
 /// Answers one request of a caller.
 pub(in crate::entry) async fn answer(state: Arc<State>, req: Request<Incoming>) -> Response<Body> {
     let headers = req.headers().clone();
-    let dialect = Arc::clone(&state.outside.dialect);
+    let names = Arc::clone(&state.platform.header_names);
     match arrive(Arc::clone(&state), req).await {
         Ok(job) => job.run(&headers).await,
         Err(ended) => {
             exposed().request(ended.label());
             event!(
                 telemetry::Event::RequestFailed,
-                request = headers::text(&headers, &dialect.request).unwrap_or_default(),
+                request = headers::text(&headers, &names.request_id).unwrap_or_default(),
                 how = format!("{ended:?}"),
                 why = ended.why(),
                 edition = state.edition()
             );
-            ended.response(&headers, &dialect)
+            ended.response(&headers, &names)
         }
     }
 }
 
 async fn arrive(state: Arc<State>, req: Request<Incoming>) -> Result<Job, Ended> {
     let arrived = Instant::now();
-    let dialect = Arc::clone(&state.outside.dialect);
+    let names = Arc::clone(&state.platform.header_names);
     let (parts, body) = req.into_parts();
     let headers = parts.headers;
     let text = |name| headers::text(&headers, name).unwrap_or_default();
-    let patience = text(&dialect.deadline).parse().map(Duration::from_millis);
+    let patience = text(&names.deadline).parse().map(Duration::from_millis);
     let patience = patience.unwrap_or(PATIENCE);
     // Without any table nobody knows what is allowed: the request hasn't run.
     let table = table(&state, arrived + FIRST_TABLE.min(patience / 3)).await;
@@ -67,13 +67,13 @@
     let body = whole(&table, body).await?;
     let service = route.service(rand::random()).to_owned();
     let adapter = match table.engine(&service) {
-        Some(_) => text(&dialect.model).to_owned(),
+        Some(_) => text(&names.model).to_owned(),
         None => String::new(),
     };
-    let (tokens, answer_tokens) = tokens(&headers, &dialect);
+    let (tokens, answer_tokens) = tokens(&headers, &names);
     let path = parts.uri.path_and_query().map_or("/", |p| p.as_str());
     Ok(Job {
-        id: text(&dialect.request).to_owned(),
+        id: text(&names.request_id).to_owned(),
         service,
         adapter,
         tokens,
@@ -81,7 +81,7 @@
         backup: None,
         method: parts.method,
         path: path.to_owned(),
-        headers: headers::onward(&headers, &dialect),
+        headers: headers::onward(&headers, &names),
         body,
         until: arrived + patience.min(route.limit),
         arrived,
@@ -130,8 +130,8 @@
 }
 
 /// Returns the tokens of the prompt, and the most tokens of the answer.
-fn tokens(headers: &HeaderMap, dialect: &Dialect) -> (u64, u64) {
-    let raw = headers::text(headers, &dialect.tokens).unwrap_or_default();
+fn tokens(headers: &HeaderMap, names: &HeaderNames) -> (u64, u64) {
+    let raw = headers::text(headers, &names.tokens).unwrap_or_default();
     let mut parts = raw.split(',').map(|part| part.trim().parse().unwrap_or(0));
     (parts.next().unwrap_or(0), parts.next().unwrap_or(0))
 }
--- a/crates/frontd/src/entry/forward/send.rs
+++ b/crates/frontd/src/entry/forward/send.rs
@@ -126,7 +126,13 @@
         let Some(backup) = &self.backup else {
             return;
         };
-        let name = self.state.outside.dialect.weights.as_str().as_bytes();
+        let name = self
+            .state
+            .platform
+            .header_names
+            .weights_version
+            .as_str()
+            .as_bytes();
         let mut lines = events.split(|b| *b == b'\n');
         let changes =
             lines.any(|line| line.strip_prefix(name).is_some_and(|l| l.starts_with(b":")));
@@ -138,7 +144,7 @@
 
     /// Tells whether an answer names the weights that a copy's memory was made with.
     fn made_with(&self, backup: &Backup, answer: &Answer) -> bool {
-        let weights = &self.state.outside.dialect.weights;
+        let weights = &self.state.platform.header_names.weights_version;
         let weights = headers::text(&answer.headers, weights);
         weights.is_some_and(|weights| weights.parse() == Ok(backup.origin.weights))
     }
@@ -208,7 +214,7 @@
 
     pub(super) async fn send(&self, target: &str, last: Option<&str>, restored: bool) -> Sent {
         let state = &self.state;
-        let dialect = &state.outside.dialect;
+        let names = &state.platform.header_names;
         let Some(send) = self.request(target, last, restored) else {
             return Sent::Unreached;
         };
@@ -236,7 +242,7 @@
         // Failure: a target sends a second answer, or a late one, where the
         // next one is due. It would reach another caller. Each answer repeats
         // the id of its request.
-        let own = headers::text(&answer.headers, &dialect.request);
+        let own = headers::text(&answer.headers, &names.request_id);
         if own.is_some_and(|id| id != self.id) {
             base::hit!(answer_of_another);
             event!(
@@ -247,7 +253,7 @@
             state.view().outcome(state.now(), target, false);
             return Sent::InDoubt;
         }
-        if refused(answer.status, &answer.headers, dialect) {
+        if refused(answer.status, &answer.headers, names) {
             return self.refused(target, &answer);
         }
         place.begun();
@@ -283,7 +289,7 @@
     }
 
     fn request(&self, target: &str, last: Option<&str>, restored: bool) -> Option<Send> {
-        let dialect = &self.state.outside.dialect;
+        let names = &self.state.platform.header_names;
         let (addr, version, backup) = {
             let view = self.state.view();
             let addr: SocketAddr = view.addr(target)?.parse().ok()?;
@@ -295,23 +301,23 @@
         };
         let left = self.until.saturating_duration_since(Instant::now());
         let mut headers = self.headers.clone();
-        headers::set_number(&mut headers, &dialect.deadline, millis(left).max(1));
-        headers.insert(dialect.target.clone(), web::header_value(target));
+        headers::set_number(&mut headers, &names.deadline, millis(left).max(1));
+        headers.insert(names.target.clone(), web::header_value(target));
         if !self.adapter.is_empty() {
             let priority = u64::from(self.route.priority.min(9));
-            headers::set_number(&mut headers, &dialect.priority, priority);
+            headers::set_number(&mut headers, &names.priority, priority);
             if let Some(version) = version {
-                headers::set_number(&mut headers, &dialect.version, version.into());
+                headers::set_number(&mut headers, &names.adapter_version, version.into());
             }
         }
         if restored {
             let from = format!("{addr}/{}", self.id);
-            headers.insert(dialect.restore.clone(), web::header_value(&from));
+            headers.insert(names.cache_source.clone(), web::header_value(&from));
         } else if let Some(backup) = &backup {
-            headers.insert(dialect.backup.clone(), web::header_value(backup));
+            headers.insert(names.cache_backup.clone(), web::header_value(backup));
         }
         if let Some(last) = last {
-            headers.insert(dialect.resume.clone(), web::header_value(last));
+            headers.insert(names.last_event.clone(), web::header_value(last));
         }
         let mut send = Send::new(addr, self.method.clone(), self.path.clone());
         send.headers = headers;
--- a/crates/frontd/src/entry/headers.rs
+++ b/crates/frontd/src/entry/headers.rs
@@ -8,7 +8,7 @@
     },
 };
 
-use crate::Dialect;
+use crate::HeaderNames;
 
 /// Headers that concern one connection only.
 fn hop_by_hop(name: &HeaderName) -> bool {
@@ -26,10 +26,10 @@
 }
 
 /// Returns the headers of a caller's request that go on to a target.
-pub(super) fn onward(headers: &HeaderMap, dialect: &Dialect) -> HeaderMap {
+pub(super) fn onward(headers: &HeaderMap, names: &HeaderNames) -> HeaderMap {
     let mut out = passing(headers);
     out.remove(CONTENT_LENGTH);
-    for name in &dialect.own {
+    for name in &names.reserved {
         out.remove(name);
     }
     out
--- a/crates/frontd/src/entry/relay.rs
+++ b/crates/frontd/src/entry/relay.rs
@@ -175,7 +175,7 @@
 
     /// Returns the version of the weights that an answer names.
     fn weights<'a>(&self, answer: &'a Answer) -> &'a str {
-        let weights = &self.job.state.outside.dialect.weights;
+        let weights = &self.job.state.platform.header_names.weights_version;
         headers::text(&answer.headers, weights).unwrap_or_default()
     }
 }
--- a/crates/frontd/src/entry/state.rs
+++ b/crates/frontd/src/entry/state.rs
@@ -17,13 +17,13 @@
 use wire::fleet::Target;
 
 use super::{Setup, editions::Editions, sync::Sources};
-use crate::{Outside, names};
+use crate::{Platform, names};
 
 /// Handles that every request uses.
 pub(super) struct State {
     pub(super) name: InstanceName,
     pub(super) port: u16,
-    pub(super) outside: Outside,
+    pub(super) platform: Platform,
     pub(super) client: Client,
     pub(super) links: Links,
     /// Rung when something about targets has changed.
@@ -52,14 +52,14 @@
 const COPY_AFTER: Duration = Duration::from_millis(250);
 
 impl State {
-    pub(super) fn new(setup: &Setup, outside: Outside) -> Self {
-        let name = names::instance(setup.ip);
+    pub(super) fn new(setup: &Setup, platform: Platform) -> Self {
+        let name = names::instance_name(setup.ip);
         let clock = Clock::start();
         State {
             links: Links::new(name.clone()),
             name,
-            port: setup.peers,
-            outside,
+            port: setup.peer_port,
+            platform,
             client: Client::default(),
             changed: Notify::new(),
             settle: Mutex::new(Settle::new(clock.now(), &setup.zones)),
@@ -68,7 +68,7 @@
             entries: AtomicU32::new(ENTRIES_AT_FIRST),
             table: Mutex::default(),
             view: Mutex::new(View::new(setup.zone.clone(), Seed(rand::random()))),
-            budget: Mutex::new(Budget::new(setup.repeats)),
+            budget: Mutex::new(Budget::new(setup.retries)),
             sources: Sources::default(),
             editions: Editions::default(),
             zone: setup.zone.clone(),
@@ -194,7 +194,7 @@
     }
 
     pub(super) fn seeds(&self) -> Vec<IpAddr> {
-        (self.outside.seeds)().unwrap_or_default()
+        (self.platform.read_seeds)().unwrap_or_default()
     }
 }
 
--- a/crates/frontd/src/entry/sync.rs
+++ b/crates/frontd/src/entry/sync.rs
@@ -298,7 +298,7 @@
     let rank = state.rank(source.address, &synced.zones);
     state.editions.told(source.address, synced.edition, rank);
     for name in &synced.controls {
-        if let Some(address) = names::address(name, state.port) {
+        if let Some(address) = names::instance_address(name, state.port) {
             add(state, address);
         }
     }
@@ -345,7 +345,7 @@
     };
     let mut targets = Vec::new();
     for zone in lists {
-        let Some(list) = (state.outside.list)(zone).await else {
+        let Some(list) = (state.platform.list_targets)(zone).await else {
             event!(telemetry::Event::ListStale);
             return;
         };
--- a/crates/frontd/src/lib.rs
+++ b/crates/frontd/src/lib.rs
@@ -13,9 +13,11 @@
 mod platform;
 
 pub use crate::{
-    control::{Named, Operators, Setup as ControlSetup, serve as serve_control},
+    control::{CallOutcome, Operators, Setup as ControlSetup, serve as serve_control},
     entry::{Setup as EntrySetup, serve as serve_entry},
     metrics::serve as serve_metrics,
-    names::{address, instance},
-    platform::{Ask, Decode, Decoded, Dialect, Give, List, Outside, Seeds},
+    names::{instance_address, instance_name},
+    platform::{
+        Decode, Decoded, HeaderNames, ListTargets, Platform, ReadReport, ReadSeeds, SendOrder,
+    },
 };
--- a/crates/frontd/src/names.rs
+++ b/crates/frontd/src/names.rs
@@ -12,7 +12,7 @@
 /// Never: an address has only characters that fit a name once its dots and
 /// colons are dashes.
 #[must_use]
-pub fn instance(ip: IpAddr) -> InstanceName {
+pub fn instance_name(ip: IpAddr) -> InstanceName {
     let name = ip.to_string().replace(['.', ':'], "-");
     let name = format!("i{name}");
     InstanceName::try_from(name.as_str()).expect("an address makes a name")
@@ -20,7 +20,7 @@
 
 /// Returns where the instance of this name listens for others.
 #[must_use]
-pub fn address(name: &InstanceName, port: u16) -> Option<SocketAddr> {
+pub fn instance_address(name: &InstanceName, port: u16) -> Option<SocketAddr> {
     let ip = name.as_str().strip_prefix('i')?.replace('-', ".");
     let ip: IpAddr = ip.parse().ok()?;
     Some(SocketAddr::new(ip, port))
--- a/crates/frontd/src/platform.rs
+++ b/crates/frontd/src/platform.rs
@@ -11,33 +11,33 @@
 
 /// Names of headers by which callers, targets and this system speak.
 #[derive(Clone, Debug)]
-pub struct Dialect {
+pub struct HeaderNames {
     /// The caller's id of the request; targets repeat it.
-    pub request: HeaderName,
+    pub request_id: HeaderName,
     /// Milliseconds that the sender waits.
     pub deadline: HeaderName,
     /// The id of the target that a request is meant for.
     pub target: HeaderName,
     /// The version of the adapter that a request is meant for.
-    pub version: HeaderName,
+    pub adapter_version: HeaderName,
     /// The version of the weights that an answer was made with.
-    pub weights: HeaderName,
+    pub weights_version: HeaderName,
     /// Urgency at an engine; 0 is first.
     pub priority: HeaderName,
     /// Says in an answer that the request has not run.
-    pub refused: HeaderName,
+    pub not_run: HeaderName,
     /// The model, and the adapter after a slash.
     pub model: HeaderName,
     /// Prompt tokens, and after a comma the most tokens of the answer.
     pub tokens: HeaderName,
     /// The last event that a resumed stream goes on after.
-    pub resume: HeaderName,
+    pub last_event: HeaderName,
     /// Where a run's memory is to be kept as well.
-    pub backup: HeaderName,
+    pub cache_backup: HeaderName,
     /// Where a run's memory is taken from.
-    pub restore: HeaderName,
+    pub cache_source: HeaderName,
     /// Headers that only this system may set; a caller's are dropped.
-    pub own: Vec<HeaderName>,
+    pub reserved: Vec<HeaderName>,
 }
 
 /// A configuration as the outside system wrote it, decoded and checked.
@@ -53,34 +53,35 @@
 pub type Decode = Arc<dyn Fn(&str) -> Result<Decoded, String> + Send + Sync>;
 /// Reads the list of targets, of one zone or of all; nothing if it can't be
 /// had.
-pub type List =
+pub type ListTargets =
     Arc<dyn Fn(Option<String>) -> BoxFuture<'static, Option<Vec<Listed>>> + Send + Sync>;
 /// Gives an order to an engine.
-pub type Give = Arc<dyn Fn(Order) -> BoxFuture<'static, Ended> + Send + Sync>;
+pub type SendOrder = Arc<dyn Fn(Order) -> BoxFuture<'static, Ended> + Send + Sync>;
 /// Asks the engine with this id at this address for its report.
-pub type Ask = Arc<dyn Fn(String, String) -> BoxFuture<'static, Option<Report>> + Send + Sync>;
+pub type ReadReport =
+    Arc<dyn Fn(String, String) -> BoxFuture<'static, Option<Report>> + Send + Sync>;
 /// Reads where control instances are to be looked for.
-pub type Seeds = Arc<dyn Fn() -> Option<Vec<IpAddr>> + Send + Sync>;
+pub type ReadSeeds = Arc<dyn Fn() -> Option<Vec<IpAddr>> + Send + Sync>;
 
 /// An outside system.
 #[derive(Clone)]
-pub struct Outside {
+pub struct Platform {
     /// Names of headers.
-    pub dialect: Arc<Dialect>,
+    pub header_names: Arc<HeaderNames>,
     /// Decodes a configuration.
     pub decode: Decode,
     /// Reads the list of targets.
-    pub list: List,
+    pub list_targets: ListTargets,
     /// Gives an order.
-    pub give: Give,
+    pub send_order: SendOrder,
     /// Asks for a report.
-    pub ask: Ask,
+    pub read_report: ReadReport,
     /// Reads the control instances that are set.
-    pub seeds: Seeds,
+    pub read_seeds: ReadSeeds,
 }
 
-impl fmt::Debug for Outside {
+impl fmt::Debug for Platform {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.debug_struct("Outside").finish_non_exhaustive()
+        f.debug_struct("Platform").finish_non_exhaustive()
     }
 }
--- a/crates/frontd/tests/editions.rs
+++ b/crates/frontd/tests/editions.rs
@@ -141,11 +141,11 @@
     let _turn = turn().await;
     let world = World::start().await;
     world.publish(2, &world::body(ROUTES)).await;
-    world.revise("m/a1", 1).await;
+    world.set_version("m/a1", 1).await;
     tokio::time::sleep(Duration::from_millis(500)).await;
     let read = world.read();
     for version in 2..12 {
-        world.revise("m/a1", version).await;
+        world.set_version("m/a1", version).await;
     }
     tokio::time::sleep(Duration::from_millis(500)).await;
     assert_that!(world.read(), eq(read));
@@ -163,7 +163,9 @@
     // A new instance asks more often at first.
     tokio::time::sleep(Duration::from_secs(4)).await;
     for adapter in 0..100 {
-        world.revise(&format!("model/adapter-{adapter}"), 1).await;
+        world
+            .set_version(&format!("model/adapter-{adapter}"), 1)
+            .await;
     }
     tokio::time::sleep(Duration::from_secs(1)).await;
     assert_that!(entry.carried(Duration::from_secs(1)).await, lt(QUIET));
--- a/crates/frontd/tests/editions/world.rs
+++ b/crates/frontd/tests/editions/world.rs
@@ -9,7 +9,7 @@
     time::Duration,
 };
 
-use frontd::{ControlSetup, Decoded, Dialect, EntrySetup, Named, Operators, Outside};
+use frontd::{CallOutcome, ControlSetup, Decoded, EntrySetup, HeaderNames, Operators, Platform};
 use futures::FutureExt;
 use gateway::{
     budget,
@@ -114,7 +114,7 @@
     }
 
     /// Names a version of an adapter, asking until the leader has taken it.
-    pub(crate) async fn revise(&self, adapter: &str, version: u32) {
+    pub(crate) async fn set_version(&self, adapter: &str, version: u32) {
         self.name(&format!("/{version}?adapter"), adapter).await;
     }
 
@@ -153,15 +153,15 @@
             zones: vec!["za".to_owned()],
             listen: SocketAddr::new(ip, CALLERS),
             ready: SocketAddr::new(ip, READY),
-            peers: port,
+            peer_port: port,
             grace: Duration::from_secs(8),
-            repeats: budget::Limits {
+            retries: budget::Limits {
                 ratio: 0.2,
                 extra: 50.0,
                 window: Duration::from_secs(10),
             },
         };
-        tokio::spawn(frontd::serve_entry(setup, outside(self.no)));
+        tokio::spawn(frontd::serve_entry(setup, platform(self.no)));
         Entry { ip, link }
     }
 }
@@ -272,21 +272,21 @@
     let setup = ControlSetup {
         ip,
         listen: SocketAddr::new(ip, OPERATORS),
-        peers: PEERS,
-        data: data.to_owned(),
-        first: true,
+        peer_port: PEERS,
+        data_dir: data.to_owned(),
+        bootstrap: true,
         zone: "za".to_owned(),
         zones: ["za".to_owned()].into(),
-        turns: Duration::from_secs(3),
+        takeover_delay: Duration::from_secs(3),
         list_lag: Duration::from_millis(2_300),
     };
     let read = Arc::clone(read);
-    let mut outside = outside(no);
-    outside.decode = Arc::new(move |body| {
+    let mut platform = platform(no);
+    platform.decode = Arc::new(move |body| {
         read.fetch_add(1, Ordering::Relaxed);
         decode(body)
     });
-    tokio::spawn(frontd::serve_control(setup, outside, take));
+    tokio::spawn(frontd::serve_control(setup, platform, take));
 }
 
 /// Answers an operator's call: the path is the number, the body the edition, or the
@@ -301,12 +301,14 @@
     let body = read(req.into_body(), limits).await.unwrap();
     let body = String::from_utf8(body.to_vec()).unwrap();
     let named = if adapter {
-        operators.revise(body, u32::try_from(number).unwrap()).await
+        operators
+            .set_version(body, u32::try_from(number).unwrap())
+            .await
     } else {
         operators.publish(Edition { number, body }).await
     };
     let mut resp = Response::new(full(""));
-    if named != Named::Done {
+    if named != CallOutcome::Done {
         *resp.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
     }
     resp
@@ -375,30 +377,30 @@
     }
 }
 
-fn outside(no: u8) -> Outside {
+fn platform(no: u8) -> Platform {
     let seeds: Vec<_> = (1..=CONTROLS).map(|c| control_ip(no, c)).collect();
     let header = HeaderName::from_static;
-    Outside {
-        dialect: Arc::new(Dialect {
-            request: header("attempt"),
+    Platform {
+        header_names: Arc::new(HeaderNames {
+            request_id: header("attempt"),
             deadline: header("deadline"),
             target: header("target"),
-            version: header("version"),
-            weights: header("weights"),
+            adapter_version: header("version"),
+            weights_version: header("weights"),
             priority: header("priority"),
-            refused: header("refused"),
+            not_run: header("refused"),
             model: header("model"),
             tokens: header("tokens"),
-            resume: header("resume"),
-            backup: header("backup"),
-            restore: header("restore"),
-            own: Vec::new(),
+            last_event: header("resume"),
+            cache_backup: header("backup"),
+            cache_source: header("restore"),
+            reserved: Vec::new(),
         }),
         decode: Arc::new(decode),
-        list: Arc::new(|_| async { Some(Vec::new()) }.boxed()),
-        give: Arc::new(|_| async { gateway::holder::Ended::Refused }.boxed()),
-        ask: Arc::new(|_, _| async { None }.boxed()),
-        seeds: Arc::new(move || Some(seeds.clone())),
+        list_targets: Arc::new(|_| async { Some(Vec::new()) }.boxed()),
+        send_order: Arc::new(|_| async { gateway::holder::Ended::Refused }.boxed()),
+        read_report: Arc::new(|_, _| async { None }.boxed()),
+        read_seeds: Arc::new(move || Some(seeds.clone())),
     }
 }
 
--- a/crates/frontd/tests/memory.rs
+++ b/crates/frontd/tests/memory.rs
@@ -139,7 +139,7 @@
         world
             .change(1 - first.engine, |holds| holds.adapter = 7)
             .await;
-        world.revise(7).await;
+        world.set_version(7).await;
         world.crash_soon().await;
     };
     let (answer, ()) = tokio::join!(world.whole("1", ADAPTER), change);
@@ -154,7 +154,7 @@
     let world = World::start(&[FIRST, FIRST]).await;
     let change = async {
         world.begun("1").await;
-        world.revise(7).await;
+        world.set_version(7).await;
         world.crash_soon().await;
     };
     let (answer, ()) = tokio::join!(world.whole("1", ADAPTER), change);
--- a/crates/frontd/tests/memory/world.rs
+++ b/crates/frontd/tests/memory/world.rs
@@ -11,7 +11,7 @@
 };
 
 use bytes::Bytes;
-use frontd::{ControlSetup, Decoded, Dialect, EntrySetup, Named, Operators, Outside};
+use frontd::{CallOutcome, ControlSetup, Decoded, EntrySetup, HeaderNames, Operators, Platform};
 use futures::FutureExt;
 use gateway::{
     budget,
@@ -91,20 +91,20 @@
         let no = NEXT.fetch_add(1, Ordering::Relaxed);
         let fleet = start_engines(holds).await;
         let data = tempfile::tempdir().unwrap();
-        let outside = outside(no, &fleet);
+        let platform = platform(no, &fleet);
         tokio::spawn(frontd::serve_control(
             ControlSetup {
                 ip: own_ip(no, 1),
                 listen: SocketAddr::new(own_ip(no, 1), OPERATORS),
-                peers: PEERS,
-                data: data.path().to_owned(),
-                first: true,
+                peer_port: PEERS,
+                data_dir: data.path().to_owned(),
+                bootstrap: true,
                 zone: "za".to_owned(),
                 zones: ["za".to_owned()].into(),
-                turns: Duration::from_secs(3),
+                takeover_delay: Duration::from_secs(3),
                 list_lag: Duration::from_millis(2_300),
             },
-            outside.clone(),
+            platform.clone(),
             take,
         ));
         tokio::spawn(frontd::serve_entry(
@@ -114,15 +114,15 @@
                 zones: vec!["za".to_owned()],
                 listen: SocketAddr::new(own_ip(no, 2), CALLERS),
                 ready: SocketAddr::new(own_ip(no, 2), READY),
-                peers: PEERS,
+                peer_port: PEERS,
                 grace: Duration::from_secs(8),
-                repeats: budget::Limits {
+                retries: budget::Limits {
                     ratio: 0.2,
                     extra: 50.0,
                     window: Duration::from_secs(10),
                 },
             },
-            outside,
+            platform,
         ));
         let world = World {
             no,
@@ -138,7 +138,7 @@
     }
 
     /// Names a version of the adapter, and waits until it is known everywhere.
-    pub(crate) async fn revise(&self, version: u32) {
+    pub(crate) async fn set_version(&self, version: u32) {
         self.name(&format!("/{version}?{ADAPTER}")).await;
         sleep(Duration::from_millis(1_500)).await;
     }
@@ -344,7 +344,7 @@
     let named = match adapter {
         Some(adapter) => {
             operators
-                .revise(adapter, u32::try_from(number).unwrap())
+                .set_version(adapter, u32::try_from(number).unwrap())
                 .await
         }
         None => {
@@ -353,7 +353,7 @@
         }
     };
     let mut resp = Response::new(full(""));
-    if named != Named::Done {
+    if named != CallOutcome::Done {
         *resp.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
     }
     resp
@@ -371,32 +371,32 @@
     ))
 }
 
-fn outside(no: u8, fleet: &Arc<Fleet>) -> Outside {
+fn platform(no: u8, fleet: &Arc<Fleet>) -> Platform {
     let header = HeaderName::from_static;
     let (list, ask) = (Arc::clone(fleet), Arc::clone(fleet));
-    Outside {
-        dialect: Arc::new(Dialect {
-            request: header("attempt"),
+    Platform {
+        header_names: Arc::new(HeaderNames {
+            request_id: header("attempt"),
             deadline: header("deadline"),
             target: header("target"),
-            version: header("version"),
-            weights: header("weights"),
+            adapter_version: header("version"),
+            weights_version: header("weights"),
             priority: header("priority"),
-            refused: header("refused"),
+            not_run: header("refused"),
             model: header("model"),
             tokens: header("tokens"),
-            resume: header("resume"),
-            backup: header("backup"),
-            restore: header("restore"),
-            own: Vec::new(),
+            last_event: header("resume"),
+            cache_backup: header("backup"),
+            cache_source: header("restore"),
+            reserved: Vec::new(),
         }),
         decode: Arc::new(|_| Ok(decoded())),
-        list: Arc::new(move |_| {
+        list_targets: Arc::new(move |_| {
             let list = listed(&list);
             async { Some(list) }.boxed()
         }),
-        give: Arc::new(|_| async { Ended::Refused }.boxed()),
-        ask: Arc::new(move |id, _| {
+        send_order: Arc::new(|_| async { Ended::Refused }.boxed()),
+        read_report: Arc::new(move |id, _| {
             let listed = listed(&ask).into_iter().find(|listed| listed.id == id);
             let report = listed.map(|listed| Report {
                 born: 1,
@@ -405,7 +405,7 @@
             });
             async { report }.boxed()
         }),
-        seeds: Arc::new(move || Some(vec![own_ip(no, 1)])),
+        read_seeds: Arc::new(move || Some(vec![own_ip(no, 1)])),
     }
 }
 
--- a/crates/frontd/tests/unit/state.rs
+++ b/crates/frontd/tests/unit/state.rs
@@ -8,34 +8,34 @@
 use hyper::header::HeaderName;
 
 use super::*;
-use crate::{Decoded, Dialect};
+use crate::{Decoded, HeaderNames};
 
-fn outside() -> Outside {
+fn platform() -> Platform {
     let header = HeaderName::from_static("x");
-    Outside {
-        dialect: Arc::new(Dialect {
-            request: header.clone(),
+    Platform {
+        header_names: Arc::new(HeaderNames {
+            request_id: header.clone(),
             deadline: header.clone(),
             target: header.clone(),
-            version: header.clone(),
-            weights: header.clone(),
+            adapter_version: header.clone(),
+            weights_version: header.clone(),
             priority: header.clone(),
-            refused: header.clone(),
+            not_run: header.clone(),
             model: header.clone(),
             tokens: header.clone(),
-            resume: header.clone(),
-            backup: header.clone(),
-            restore: header,
-            own: Vec::new(),
+            last_event: header.clone(),
+            cache_backup: header.clone(),
+            cache_source: header,
+            reserved: Vec::new(),
         }),
         decode: Arc::new(|_| {
             let table = Table::default();
             Ok(Decoded { number: 0, table })
         }),
-        list: Arc::new(|_| async { None }.boxed()),
-        give: Arc::new(|_| async { Ended::Refused }.boxed()),
-        ask: Arc::new(|_, _| async { None }.boxed()),
-        seeds: Arc::new(|| None),
+        list_targets: Arc::new(|_| async { None }.boxed()),
+        send_order: Arc::new(|_| async { Ended::Refused }.boxed()),
+        read_report: Arc::new(|_, _| async { None }.boxed()),
+        read_seeds: Arc::new(|| None),
     }
 }
 
@@ -47,15 +47,15 @@
         zones: vec!["za".to_owned(), "zb".to_owned()],
         listen: address,
         ready: address,
-        peers: 1,
+        peer_port: 1,
         grace: Duration::from_secs(1),
-        repeats: gateway::budget::Limits {
+        retries: gateway::budget::Limits {
             ratio: 0.2,
             extra: 1.0,
             window: Duration::from_secs(10),
         },
     };
-    State::new(&setup, outside())
+    State::new(&setup, platform())
 }
 
 fn table(bytes: usize) -> Table {
