--- a/crates/frontd/tests/editions.rs
+++ b/crates/frontd/tests/editions.rs
@@ -1,14 +1,14 @@
 //! Large editions on the way to an entry instance whose link is thin: real
 //! shells over loopback, with a throttle between entry and control instances.
 
-#[path = "editions/world.rs"]
-mod world;
+#[path = "editions/deployment.rs"]
+mod deployment;
 
 use std::time::Duration;
 
 use googletest::prelude::*;
 use tokio::sync::{Mutex, MutexGuard};
-use world::World;
+use deployment::World;
 
 /// A change has to be in force everywhere within this time.
 const IN_FORCE: Duration = Duration::from_secs(3);
@@ -44,7 +44,7 @@
     let entry = world.entry(1).await;
     entry.until_ready(IN_FORCE).await;
     let link = entry.link();
-    let body = world::body(ROUTES);
+    let body = deployment::body(ROUTES);
     world.publish(2, &body).await;
     assert_that!(
         entry.until_served("/added/", IN_FORCE).await,
@@ -55,7 +55,7 @@
     // lost, after which a new connection is made.
     let used = entry.link().since(link);
     assert_that!(used.bytes, lt(body.len() / 4));
-    assert_that!(used.connections, le(usize::from(world::CONTROLS)));
+    assert_that!(used.connections, le(usize::from(deployment::CONTROLS)));
 }
 
 /// All processes are killed, with the same edition in force. Entry instances stay
@@ -65,7 +65,7 @@
 async fn a_restarted_entry_instance_gets_a_large_edition() {
     let _turn = turn().await;
     let world = World::start().await;
-    world.publish(2, &world::body(ROUTES)).await;
+    world.publish(2, &deployment::body(ROUTES)).await;
     let entry = world.entry(2).await;
     entry.until_ready(IN_FORCE).await;
     assert_that!(
@@ -83,12 +83,12 @@
     let world = World::start().await;
     let entry = world.entry(6).await;
     entry.until_ready(IN_FORCE).await;
-    for control in 1..=world::CONTROLS {
+    for control in 1..=deployment::CONTROLS {
         let number = u64::from(control) + 1;
         world
             .publish(
                 number,
-                &(world::body(ROUTES) + &format!("a.example /v{number}/\n")),
+                &(deployment::body(ROUTES) + &format!("a.example /v{number}/\n")),
             )
             .await;
         entry.silence(control);
@@ -106,14 +106,14 @@
     let entry = world.entry(3).await;
     entry.until_ready(IN_FORCE).await;
     let link = entry.link();
-    world.publish(2, &world::noise(1_200_000)).await;
+    world.publish(2, &deployment::noise(1_200_000)).await;
     assert_that!(
         entry.until_served("/added/", IN_FORCE).await,
         ok(anything())
     );
     // After a lost exchange a new connection is made.
     let used = entry.link().since(link);
-    assert_that!(used.connections, le(usize::from(world::CONTROLS)));
+    assert_that!(used.connections, le(usize::from(deployment::CONTROLS)));
 }
 
 /// An operator sends the largest configuration that may come, and no control
@@ -128,7 +128,7 @@
 async fn the_largest_edition_is_taken() {
     let _turn = turn().await;
     let world = World::start().await;
-    let body = world::noise(4 << 20);
+    let body = deployment::noise(4 << 20);
     let taken = tokio::time::timeout(TAKEN, world.publish(2, &body)).await;
     assert_that!(taken, ok(anything()));
 }
@@ -140,7 +140,7 @@
 async fn a_named_version_reads_no_configuration_again() {
     let _turn = turn().await;
     let world = World::start().await;
-    world.publish(2, &world::body(ROUTES)).await;
+    world.publish(2, &deployment::body(ROUTES)).await;
     world.set_version("m/a1", 1).await;
     tokio::time::sleep(Duration::from_millis(500)).await;
     let read = world.read();
@@ -182,7 +182,7 @@
     entry.until_ready(IN_FORCE).await;
     for number in 2..12 {
         // The link needs longer for each than until the next.
-        let body = world::noise(400_000) + &format!("a.example /v{number}/\n");
+        let body = deployment::noise(400_000) + &format!("a.example /v{number}/\n");
         world.publish(number, &body).await;
         tokio::time::sleep(Duration::from_millis(100)).await;
         if number == 9 {
--- a/crates/frontd/tests/memory.rs
+++ b/crates/frontd/tests/memory.rs
@@ -1,11 +1,11 @@
 //! What a run's memory may go on with when its engine crashes: real shells over
 //! loopback, and engines that differ in their weights and adapters.
 
-#[path = "memory/world.rs"]
-mod world;
+#[path = "memory/deployment.rs"]
+mod deployment;
 
 use googletest::prelude::*;
-use world::{ADAPTER, Holds, World};
+use deployment::{ADAPTER, Holds, World};
 
 const FOURTH: Holds = Holds {
     weights: 4,
