--- a/crates/frontd/src/control.rs
+++ b/crates/frontd/src/control.rs
@@ -1,5 +1,6 @@
-//! A control instance: replica of the log, state over it, and, while it leads,
-//! the holder of orders to engines.
+//! A control instance: a replica of the log with the state machine over it, the owner of
+//! zones, which gives orders to their engines, and, while it leads the log, the instance
+//! that assigns zones.
 
 mod operators;
 mod shell;
@@ -28,66 +29,66 @@
 use self::shell::{End, Job, Shell};
 use crate::{Platform, names};
 
-/// How long leadership may take to be handed over in a planned stop.
-const HANDOVER: Duration = Duration::from_millis(1_500);
+/// Time-out of the hand-over of leadership in a planned stop.
+const HANDOVER_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Entries between two snapshots. An edition of some hundred routes has 100 KB;
-/// the log then stays below a tenth of a disk of 128 MB. With larger editions
-/// the log's usual bytes bind first.
-const COMPACT: u64 = 64;
+/// Entries between two snapshots. An edition of some hundred routes has 100 KB; with this
+/// limit the log stays below a tenth of a disk of 128 MB. With larger editions the log's
+/// default limit in bytes is reached first.
+const COMPACT_ENTRIES: u64 = 64;
 
 /// Entries kept behind a snapshot for replicas that lag.
-const KEEP: u64 = 16;
+const KEEP_ENTRIES: u64 = 16;
 
-/// Time between two heartbeats of the leader: two milliseconds apart, instances
-/// hear each other within a tenth of this.
-const HEARTBEAT: Duration = Duration::from_millis(100);
+/// Interval between two heartbeats of the leader. Instances are two milliseconds apart,
+/// so they hear each other within a tenth of it.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How long a leader may be silent before another is elected. Without a leader
-/// nothing is loaded and no change is taken, so half of the log's usual time;
-/// five heartbeats still have to be missed.
-const ELECTION: Duration = Duration::from_millis(500);
+/// Election time-out. Without a leader nothing is loaded and no change is accepted, so it
+/// is half of the log's default; it still takes five missed heartbeats.
+const ELECTION_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// How long a voter may be silent before it is removed; longer than the usual
-/// cut or freeze of some seconds.
-const RETIRE: Duration = Duration::from_secs(9);
+/// How long a voter may be unresponsive before it is removed from the voters: longer than
+/// the usual network cut or freeze of some seconds.
+const RETIRE_AFTER: Duration = Duration::from_secs(9);
 
-/// What a life that was refused adds to the next one, in microseconds: clocks are
-/// stepped by seconds, and a refusal takes some ten milliseconds.
-const LIFE_STEP: u64 = 1_000_000;
+/// Added to a refused incarnation number to get the next one, in microseconds. Clocks are
+/// stepped back by seconds, and a refusal takes some ten milliseconds, so a few refusals
+/// overtake the known incarnation.
+const INCARNATION_STEP: u64 = 1_000_000;
 
-/// Rest before the folder is opened again after its disk failed.
-const REOPEN: Duration = Duration::from_millis(500);
+/// Delay before the data folder is opened again after a disk failure.
+const REOPEN_DELAY: Duration = Duration::from_millis(500);
 
-/// What a control instance is started with.
+/// Parameters of a control instance, from the settings of its machine.
 #[derive(Clone, Debug)]
 pub struct Setup {
-    /// Its address.
+    /// Address of this instance; also its identity, see [`crate::instance_name`].
     pub ip: IpAddr,
     /// Where operators connect.
     pub listen: SocketAddr,
-    /// The port for other instances, the same everywhere.
+    /// Port on which instances listen for each other; the same on all of them.
     pub peer_port: u16,
-    /// Folder of log and snapshots.
+    /// Folder of the log and its snapshots.
     pub data_dir: PathBuf,
-    /// Whether the deployment starts for the first time.
+    /// Whether the deployment starts for the first time, so that an empty folder may
+    /// found a new log.
     pub bootstrap: bool,
-    /// Its availability zone.
+    /// Availability zone of this instance.
     pub zone: String,
-    /// All availability zones.
+    /// All availability zones of the deployment.
     pub zones: BTreeSet<String>,
-    /// How long after the last order of one holder another may give its first.
+    /// Least time between the last order of one zone owner and the first of the next.
     pub takeover_delay: Duration,
-    /// How old the platform's list may be when it is asked for.
+    /// How old the platform's list of targets may be when it is read.
     pub list_lag: Duration,
 }
 
-/// Serves until a planned stop has ended. `answer` translates what operators
-/// ask.
+/// Serves until a planned stop has ended. `answer` answers requests of operators.
 ///
 /// # Errors
 ///
-/// Fails when an address can't be listened on or the data folder not be used.
+/// Fails when an address can't be listened on or the data folder can't be used.
 pub async fn serve<H, F>(setup: Setup, platform: Platform, answer: H) -> Result<()>
 where
     H: Fn(Operators, Request<Incoming>) -> F + Send + Sync + 'static,
@@ -110,7 +111,7 @@
         stop.clone(),
     ));
     let at_peers = jobs.clone();
-    let handler = move |req| at_peer(at_peers.clone(), req);
+    let handler = move |req| serve_peer(at_peers.clone(), req);
     tokio::spawn(server::serve(
         listen(SocketAddr::new(setup.ip, setup.peer_port)).await?,
         limits(),
@@ -118,20 +119,20 @@
         CancellationToken::new(),
     ));
     event!(telemetry::Event::Started, listen = setup.listen.to_string());
-    live(&setup, &platform, &jobs, queue).await?;
+    run_incarnations(&setup, &platform, &jobs, queue).await?;
     stop.cancel();
     served.await.context("the operators' listener failed")??;
     event!(telemetry::Event::Stopped, running = 0);
     Ok(())
 }
 
-/// Runs one life of the replica after the other.
+/// Runs incarnations of the replica one after the other.
 ///
-/// Failure: a replica that was silent for long was removed from the voters, or
-/// its disk refused a write. It has to come back under a new identity or with
-/// what its disk really holds. Both are what a restart of the process would
-/// do, without losing the listeners.
-async fn live(
+/// Failure: a replica that was unresponsive for long was removed from the voters, or its
+/// disk failed a write. It has to come back under a new identity, or with what its disk
+/// really holds. A restart of the process would do both; this does it without closing the
+/// listeners.
+async fn run_incarnations(
     setup: &Setup,
     platform: &Platform,
     jobs: &mpsc::UnboundedSender<Job>,
@@ -140,14 +141,14 @@
     let clock = Clock::start();
     let mut last = Incarnation(0);
     loop {
-        last = next_life(daemon::wall_clock()?, last);
+        last = next_incarnation(daemon::wall_clock()?, last);
         let mut shell = open(setup, platform, jobs, clock, last)?;
         let end = shell.run(&mut queue).await;
         drop(shell);
         match end {
             End::Stopped => return Ok(()),
-            End::Removed => empty(&setup.data_dir)?,
-            End::DiskFailed => sleep(REOPEN).await,
+            End::Removed => clear_folder(&setup.data_dir)?,
+            End::DiskFailed => sleep(REOPEN_DELAY).await,
         }
     }
 }
@@ -157,28 +158,32 @@
     platform: &Platform,
     jobs: &mpsc::UnboundedSender<Job>,
     clock: Clock,
-    life: Incarnation,
+    incarnation: Incarnation,
 ) -> Result<Shell> {
     let name = names::instance_name(setup.ip);
-    let opened = disk::open(&setup.data_dir, &name, life)?;
+    let opened = disk::open(&setup.data_dir, &name, incarnation)?;
     daemon::report_fate(&opened.fate);
     let seeds = (platform.read_seeds)().unwrap_or_default();
     let peers = seeds.into_iter().map(names::instance_name).collect();
     let raw = RawSettings {
         open: true,
         founds: setup.bootstrap,
-        retire: Some(RETIRE),
-        heartbeat: HEARTBEAT,
-        election: ELECTION,
-        compact: COMPACT,
-        keep: KEEP,
+        retire: Some(RETIRE_AFTER),
+        heartbeat: HEARTBEAT_INTERVAL,
+        election: ELECTION_TIMEOUT,
+        compact: COMPACT_ENTRIES,
+        keep: KEEP_ENTRIES,
         ..RawSettings::usual(opened.folder.id().clone(), peers, Seed(rand::random()))
     };
     let replica = Replica::new(raw.try_into()?, opened.restored);
-    let control = Control::new(control::Config::default(), replica, Box::new(no_text));
+    let control = Control::new(
+        control::Config::default(),
+        replica,
+        Box::new(reject_brand_text),
+    );
     let at_disk = jobs.clone();
     let writer = daemon::start_writer(opened.folder, move |input| {
-        // After the shell has ended nobody waits for it.
+        // Once the shell has ended no one waits for the result.
         at_disk.send(Job::Input(input)).ok();
     })?;
     Ok(Shell::new(
@@ -191,24 +196,25 @@
     ))
 }
 
-/// Texts of brands play no part in such a deployment.
-fn no_text(_: &str) -> Result<Checked, Vec<String>> {
+/// Rejects texts of brands: operators of this deployment publish full configurations
+/// instead.
+fn reject_brand_text(_: &str) -> Result<Checked, Vec<String>> {
     Err(vec![String::from(
-        "this deployment is driven by whole configurations",
+        "this deployment takes full configurations, not texts of brands",
     )])
 }
 
-/// Returns the life that an empty folder gets next.
+/// Returns the incarnation number for an empty folder.
 ///
-/// Failure: a disk is lost while the wall clock is stepped back by seconds. The
-/// members know a later life of this instance and refuse the new one until the
-/// clock has caught up. Each refusal therefore adds to the next life.
-fn next_life(clock: Duration, last: Incarnation) -> Incarnation {
+/// Failure: a disk is lost while the wall clock is stepped back by seconds. The members
+/// know a later incarnation of this instance and refuse the new one until the clock has
+/// caught up. Therefore each refusal adds a step to the next incarnation.
+fn next_incarnation(clock: Duration, last: Incarnation) -> Incarnation {
     let clock = u64::try_from(clock.as_micros()).unwrap_or(u64::MAX);
-    Incarnation(clock.max(last.get().saturating_add(LIFE_STEP)))
+    Incarnation(clock.max(last.get().saturating_add(INCARNATION_STEP)))
 }
 
-fn empty(data: &Path) -> Result<()> {
+fn clear_folder(data: &Path) -> Result<()> {
     for entry in std::fs::read_dir(data)? {
         let path = entry?.path();
         if path.is_dir() {
@@ -229,16 +235,16 @@
     }
 }
 
-async fn at_peer(jobs: mpsc::UnboundedSender<Job>, req: Request<Incoming>) -> Response<Body> {
+async fn serve_peer(jobs: mpsc::UnboundedSender<Job>, req: Request<Incoming>) -> Response<Body> {
     if !peer::wants_upgrade(&req) {
         return reply::failure(&base::Failure::not_run(base::Refusal::NotFound));
     }
-    let handler = move |_: InstanceName, call| take(jobs.clone(), call);
+    let handler = move |_: InstanceName, call| forward_call(jobs.clone(), call);
     let upgrade = peer::accept(req, handler);
     upgrade.map(|empty| empty.map_err(|never| match never {}).boxed_unsync())
 }
 
-async fn take(jobs: mpsc::UnboundedSender<Job>, call: Call) -> Reply {
+async fn forward_call(jobs: mpsc::UnboundedSender<Job>, call: Call) -> Reply {
     let (to, reply) = tokio::sync::oneshot::channel();
     jobs.send(Job::Call { call, to }).ok();
     reply.await.unwrap_or(Reply::Elsewhere { leader: None })
--- a/crates/frontd/src/control/operators.rs
+++ b/crates/frontd/src/control/operators.rs
@@ -1,4 +1,4 @@
-//! What operators may ask of a control instance.
+//! The requests that operators can make of a control instance.
 
 use std::{net::IpAddr, time::Duration};
 
@@ -11,24 +11,25 @@
 
 use super::shell::Job;
 
-/// How long an operator's change may take. A majority answers within
-/// milliseconds; an operator turns to another instance after a second.
-const LIMIT: Duration = Duration::from_secs(3);
+/// Time-out of an operator's change. A majority answers within milliseconds; an operator
+/// tries another instance after a second.
+const CHANGE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// What came of an operator's call.
+/// The outcome of an operator's request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CallOutcome {
-    /// It is durable: in force, or overtaken by what was there before.
+    /// The change is durable: it is in force, or something newer was in force before.
     Done,
-    /// The leader may answer.
+    /// This instance doesn't lead the log; the leader's address is given where it is
+    /// known.
     NotLeader(Option<IpAddr>),
-    /// Not now.
+    /// This instance can't accept the request now.
     Busy,
-    /// Nobody knows whether it was taken; the same call may be made again.
+    /// The outcome is unknown; the same request may be made again.
     Unknown,
 }
 
-/// Hands operators' calls to the control instance.
+/// Passes requests of operators to the control instance.
 #[derive(Clone, Debug)]
 pub struct Operators {
     jobs: mpsc::UnboundedSender<Job>,
@@ -39,35 +40,35 @@
         Operators { jobs }
     }
 
-    /// Publishes a checked edition.
+    /// Publishes an edition, which the caller has checked.
     pub async fn publish(&self, edition: Edition) -> CallOutcome {
-        self.name(What::Publish(edition)).await
+        self.submit(What::Publish(edition)).await
     }
 
-    /// Names an adapter's version.
+    /// Sets the version that requests for an adapter have to run on.
     pub async fn set_version(&self, adapter: String, version: u32) -> CallOutcome {
-        self.name(What::Revise { adapter, version }).await
+        self.submit(What::Revise { adapter, version }).await
     }
 
     /// Reads the newest edition.
     ///
     /// # Errors
     ///
-    /// Fails where this instance can't be sure which one is the newest.
+    /// Fails where this instance doesn't lead the log, as it may lack the newest edition.
     pub async fn newest(&self) -> Result<Option<Edition>, CallOutcome> {
         let (to, answer) = oneshot::channel();
         self.jobs.send(Job::Newest(to)).ok();
-        match timeout(LIMIT, answer).await {
+        match timeout(CHANGE_TIMEOUT, answer).await {
             Ok(Ok(newest)) => newest,
             _ => Err(CallOutcome::Busy),
         }
     }
 
-    async fn name(&self, what: What) -> CallOutcome {
+    async fn submit(&self, change: What) -> CallOutcome {
         let (to, answer) = oneshot::channel();
-        self.jobs.send(Job::Name { what, to }).ok();
-        match timeout(LIMIT, answer).await {
-            Ok(Ok(named)) => named,
+        self.jobs.send(Job::Change { change, to }).ok();
+        match timeout(CHANGE_TIMEOUT, answer).await {
+            Ok(Ok(outcome)) => outcome,
             _ => CallOutcome::Unknown,
         }
     }
--- a/crates/frontd/src/control/shell.rs
+++ b/crates/frontd/src/control/shell.rs
@@ -1,5 +1,6 @@
-//! The one task that owns the control instance, the granting of zones and the
-//! holder of orders.
+//! The task that does the I/O of a control instance. It owns the state machine of the
+//! replicated log ([`Control`]), the one that gives orders to the engines of owned zones,
+//! and the assignment of zones to their owners.
 
 mod edition_cache;
 mod orders;
@@ -32,101 +33,102 @@
     fleet::{Edition, Weights},
 };
 
-use self::edition_cache::Handout;
-use super::{CallOutcome, HANDOVER, Setup};
+use self::edition_cache::EditionCache;
+use super::{CallOutcome, HANDOVER_TIMEOUT, Setup};
 use crate::{Platform, names};
 
-/// Jobs taken in one go before timers are looked at again.
-const BURST: usize = 256;
+/// Most jobs taken at once before timers are checked again.
+const MAX_BATCH: usize = 256;
 
-/// How often the holder looks for what is due without any news.
-const TICK: Duration = Duration::from_millis(100);
+/// Interval at which the zone owner acts on what is due without any input.
+const OWNER_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How often the owner of a zone reads the platform's list of it. It lags by
-/// most of a second itself, and targets that leave have to be left within three.
-const LIST_EVERY: Duration = Duration::from_millis(600);
+/// Interval at which a zone's owner reads the platform's list of it. The list itself lags
+/// by most of a second, and a target that leaves must get no requests after three seconds.
+const LIST_INTERVAL: Duration = Duration::from_millis(600);
 
-/// How often the right to give orders is renewed; a tenure outlasts many lost
-/// renewals.
-const RENEW_EVERY: Duration = Duration::from_millis(400);
+/// Interval at which the zone lease is renewed; it outlasts many lost renewals.
+const RENEW_INTERVAL: Duration = Duration::from_millis(400);
 
-/// The same for an instance without any zone: after a restart of all, or with a
-/// new leader, callers wait for adapters until each zone has its owner again.
-const RENEW_SOON: Duration = Duration::from_millis(80);
+/// Interval for an instance that owns no zone. After a restart of the whole deployment or
+/// an election, callers wait for adapters until each zone has an owner again.
+const RENEW_INTERVAL_IDLE: Duration = Duration::from_millis(80);
 
-/// How long a renewal may take.
-const RENEW_LIMIT: Duration = Duration::from_millis(300);
+/// Time-out of a renewal.
+const RENEW_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// How often the settings are looked at for other control instances.
-const SEEDS_EVERY: Duration = Duration::from_secs(1);
+/// Interval at which the settings are read for other control instances.
+const SEEDS_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How long a message of the log may take; it is lost then, and the log sends
-/// it again.
-const MESSAGE_LIMIT: Duration = Duration::from_millis(500);
+/// Time-out of a message of the replicated log. After it the message is lost, and the log
+/// sends it again.
+const MESSAGE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// What the shell takes in.
+/// Inputs of the shell.
 #[derive(Debug)]
 pub(crate) enum Job {
-    /// Something for the control instance.
+    /// An input of the replicated log.
     Input(Input),
-    /// Something for the holder.
-    Holder(holder::Input),
-    /// Another instance calls.
+    /// An input of the zone owner.
+    ZoneOwner(holder::Input),
+    /// A call of another instance.
     Call {
-        /// Its call.
+        /// The call.
         call: Call,
         /// Where the reply goes.
         to: oneshot::Sender<Reply>,
     },
-    /// The leader has renewed the right to give orders.
+    /// The leader has renewed the zone lease.
     Renewed {
-        /// When it was asked to.
+        /// When the renewal was requested.
         asked: Time,
-        /// Zones and fencing numbers.
+        /// The zones that this instance owns, with their fencing numbers.
         zones: Vec<(String, u64)>,
     },
-    /// An operator names something.
-    Name {
-        /// What.
-        what: What,
-        /// Where the answer goes.
+    /// A change by an operator.
+    Change {
+        /// The change.
+        change: What,
+        /// Where the outcome goes.
         to: oneshot::Sender<CallOutcome>,
     },
-    /// An operator reads the newest edition.
+    /// A read of the newest edition by an operator.
     Newest(oneshot::Sender<Result<Option<Edition>, CallOutcome>>),
-    /// This process is to stop.
+    /// A planned stop was requested.
     Stop,
 }
 
-/// How a life of the replica ended.
+/// Why an incarnation of the replica ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum End {
-    /// By a planned stop.
+    /// A planned stop.
     Stopped,
-    /// It was removed from the log.
+    /// It was removed from the voters of the log.
     Removed,
-    /// Its disk refused a write.
+    /// Its disk failed a write.
     DiskFailed,
 }
 
-/// Whoever waits for a ticket.
+/// Whoever waits for the result of a ticket.
 #[derive(Debug)]
 enum Waiter {
     Call(oneshot::Sender<Reply>),
-    Name(oneshot::Sender<CallOutcome>),
-    /// Nobody; the zone that is about to get an owner.
+    Change(oneshot::Sender<CallOutcome>),
+    /// No one; the zone's new owner is in the log once the ticket has its result.
     Zone(String),
     Sync {
         to: oneshot::Sender<Reply>,
-        /// Which named versions the asker has.
+        /// Number of the last change of adapter versions that the requester knows.
         revision: u64,
     },
 }
 
+/// A control instance with its I/O.
 pub(crate) struct Shell {
     control: Control,
-    holder: Holder,
-    handout: Handout,
+    zone_owner: Holder,
+    editions: EditionCache,
+    /// Versions of adapters, numbered by their changes.
     revisions: Revisions,
     writer: Writer,
     clock: Clock,
@@ -134,38 +136,40 @@
     jobs: mpsc::UnboundedSender<Job>,
     links: Arc<Links>,
     port: u16,
-    wake: Time,
-    tick: Time,
+    /// When the state machine of the log is due.
+    next_log: Time,
+    /// When the zone owner is due.
+    next_owner: Time,
     next_list: Time,
     next_seeds: Time,
     next_renew: Time,
     granter: Granter,
-    tenure: Tenure,
-    /// Zones whose next owner is on its way through the log.
-    moving: BTreeSet<String>,
+    zone_lease: Tenure,
+    /// Zones whose next owner has been proposed and isn't in the log yet.
+    granting: BTreeSet<String>,
     zone: String,
     zones: BTreeSet<String>,
-    turns: Duration,
+    takeover_delay: Duration,
     tickets: u64,
     waiters: HashMap<Ticket, Waiter>,
-    /// How many engines held which weights when that was last logged.
+    /// Number of engines by the weights they hold, as last logged.
     weights: BTreeMap<Weights, usize>,
     end: Option<End>,
 }
 
 impl Job {
-    /// Returns its place among jobs that have come together, lower first.
+    /// Returns the priority of a job among those taken at once; lower ones go first.
     ///
-    /// Failure: an instance is behind with its work, and exchanges of entry instances
-    /// stand before the answers of engines. Orders count as lost that aren't, heartbeats
-    /// are late, and it falls further behind.
+    /// Failure: an instance is overloaded, and exchanges with entry instances are handled
+    /// before answers of engines. Orders count as lost that aren't, heartbeats are late,
+    /// and it falls further behind.
     fn rank(&self) -> u8 {
         match self {
             Job::Call {
                 call: Call::Sync(_) | Call::Edition { .. },
                 ..
             } => 2,
-            Job::Holder(_) => 1,
+            Job::ZoneOwner(_) => 1,
             _ => 0,
         }
     }
@@ -189,8 +193,8 @@
         };
         Shell {
             control,
-            holder: Holder::new(config, serial),
-            handout: Handout::default(),
+            zone_owner: Holder::new(config, serial),
+            editions: EditionCache::default(),
             revisions: Revisions::new(rand::random::<u64>() >> 2),
             writer,
             clock,
@@ -198,17 +202,17 @@
             jobs,
             links: Arc::new(Links::new(name)),
             port: setup.peer_port,
-            wake: Time::ZERO,
-            tick: Time::ZERO,
+            next_log: Time::ZERO,
+            next_owner: Time::ZERO,
             next_list: Time::ZERO,
             next_seeds: Time::ZERO,
             next_renew: Time::ZERO,
             granter: Granter::default(),
-            tenure: Tenure::default(),
-            moving: BTreeSet::new(),
+            zone_lease: Tenure::default(),
+            granting: BTreeSet::new(),
             zone: setup.zone.clone(),
             zones: setup.zones.clone(),
-            turns: setup.takeover_delay,
+            takeover_delay: setup.takeover_delay,
             tickets: 0,
             waiters: HashMap::new(),
             weights: BTreeMap::new(),
@@ -218,7 +222,7 @@
 
     pub(super) async fn run(&mut self, queue: &mut mpsc::UnboundedReceiver<Job>) -> End {
         self.input(Input::Wake);
-        let mut burst = Vec::with_capacity(BURST);
+        let mut batch = Vec::with_capacity(MAX_BATCH);
         let mut stop_at = None;
         loop {
             let now = self.clock.now();
@@ -228,74 +232,82 @@
             if stop_at.is_some_and(|at| now >= at || !self.control.leads(now)) {
                 return End::Stopped;
             }
-            let wake = stop_at.map_or(self.wake, |at| self.wake.min(at));
+            let wake = stop_at.map_or(self.next_log, |at| self.next_log.min(at));
             let wake = wake.min(self.next_seeds).min(self.next_renew);
-            let wake = wake.min(self.tick);
-            let wake = self.holder.next().map_or(wake, |at| wake.min(at));
+            let wake = wake.min(self.next_owner);
+            let wake = self.zone_owner.next().map_or(wake, |at| wake.min(at));
             tokio::select! {
-                count = queue.recv_many(&mut burst, BURST) => {
+                count = queue.recv_many(&mut batch, MAX_BATCH) => {
                     if count == 0 {
                         return End::Stopped;
                     }
                 }
                 () = sleep_until(self.clock.instant(wake)) => {}
             }
-            burst.sort_by_key(Job::rank);
-            for job in burst.drain(..) {
+            batch.sort_by_key(Job::rank);
+            for job in batch.drain(..) {
                 if matches!(job, Job::Stop) {
                     event!(telemetry::Event::DrainBegun);
                     self.input(Input::HandOver);
-                    stop_at = Some(self.clock.now() + HANDOVER);
+                    stop_at = Some(self.clock.now() + HANDOVER_TIMEOUT);
                 } else {
-                    self.job(job);
+                    self.handle_job(job);
                 }
             }
-            self.timers();
-            self.order();
+            self.run_timers();
+            self.run_owner();
         }
     }
 
-    fn timers(&mut self) {
+    fn run_timers(&mut self) {
         let now = self.clock.now();
-        if now >= self.wake {
-            self.wake = now + SEEDS_EVERY;
+        if now >= self.next_log {
+            self.next_log = now + SEEDS_INTERVAL;
             self.input(Input::Wake);
         }
         if now >= self.next_seeds {
-            self.next_seeds = now + SEEDS_EVERY;
-            self.note_store();
-            self.note_weights();
+            self.next_seeds = now + SEEDS_INTERVAL;
+            self.log_store();
+            self.log_weights();
             if let Some(seeds) = (self.platform.read_seeds)() {
                 let peers = seeds.into_iter().map(names::instance_name).collect();
                 self.input(Input::Peers { peers });
             }
         }
         if now >= self.next_renew {
-            let idle = self.tenure.zones(now).is_empty();
-            self.next_renew = now + if idle { RENEW_SOON } else { RENEW_EVERY };
+            let idle = self.zone_lease.zones(now).is_empty();
+            self.next_renew = now
+                + if idle {
+                    RENEW_INTERVAL_IDLE
+                } else {
+                    RENEW_INTERVAL
+                };
             self.renew(now);
         }
         if now >= self.next_list {
-            self.next_list = now + LIST_EVERY;
-            for zone in self.tenure.zones(now) {
+            self.next_list = now + LIST_INTERVAL;
+            for zone in self.zone_lease.zones(now) {
                 self.read_list(zone);
             }
         }
-        if now >= self.tick {
-            self.tick = now + TICK;
-            self.hold(holder::Input::Wake);
+        if now >= self.next_owner {
+            self.next_owner = now + OWNER_INTERVAL;
+            self.owner_input(holder::Input::Wake);
         }
     }
 
-    fn job(&mut self, job: Job) {
+    fn handle_job(&mut self, job: Job) {
         match job {
             Job::Input(input) => self.input(input),
-            Job::Holder(input) => self.hold(input),
+            Job::ZoneOwner(input) => self.owner_input(input),
             Job::Call { call, to } => self.call(call, to),
             Job::Renewed { asked, zones } => self.renewed(asked, zones),
-            Job::Name { what, to } => {
-                let ticket = self.wait(Waiter::Name(to));
-                self.input(Input::Name { ticket, what });
+            Job::Change { change, to } => {
+                let ticket = self.wait(Waiter::Change(to));
+                self.input(Input::Name {
+                    ticket,
+                    what: change,
+                });
             }
             Job::Newest(to) => {
                 to.send(self.newest()).ok();
@@ -309,14 +321,14 @@
             Call::Sync(sync) => {
                 let revision = sync.revision;
                 let ticket = self.wait(Waiter::Sync { to, revision });
-                self.hold(holder::Input::Sync(ticket, *sync));
+                self.owner_input(holder::Input::Sync(ticket, *sync));
             }
             Call::Edition { number, from } => {
-                let part = self.handout.part(self.clock.now(), number, from);
+                let part = self.editions.part(self.clock.now(), number, from);
                 to.send(Reply::Edition(part)).ok();
             }
             Call::Renew { instance, zone } => {
-                to.send(self.grant(&instance, &zone)).ok();
+                to.send(self.renew_for(&instance, &zone)).ok();
             }
             call => {
                 let ticket = self.wait(Waiter::Call(to));
@@ -326,8 +338,8 @@
     }
 
     fn newest(&self) -> Result<Option<Edition>, CallOutcome> {
-        // Failure: this instance was cut off, and another leads and has taken
-        // newer editions. Only a leader whose lease runs knows the newest.
+        // Failure: this instance was cut off, and another one leads and has accepted
+        // newer editions. Only a leader whose lease is running knows the newest one.
         if !self.control.leads(self.clock.now()) {
             return Err(CallOutcome::NotLeader(self.leader_ip()));
         }
@@ -355,11 +367,11 @@
         let mut outputs = Vec::new();
         self.control.handle(self.clock.now(), input, &mut outputs);
         for output in outputs {
-            self.one(output);
+            self.handle_output(output);
         }
     }
 
-    fn one(&mut self, output: Output) {
+    fn handle_output(&mut self, output: Output) {
         match output {
             Output::Reply { ticket, reply } => {
                 if let Some(Waiter::Call(to)) = self.waiters.remove(&ticket) {
@@ -367,11 +379,11 @@
                 }
             }
             Output::Named { ticket, result } => match self.waiters.remove(&ticket) {
-                Some(Waiter::Name(to)) => {
-                    to.send(self.named(result)).ok();
+                Some(Waiter::Change(to)) => {
+                    to.send(self.call_outcome(result)).ok();
                 }
                 Some(Waiter::Zone(zone)) => {
-                    self.moving.remove(&zone);
+                    self.granting.remove(&zone);
                     self.next_renew = Time::ZERO;
                 }
                 _ => {}
@@ -387,15 +399,15 @@
                 snapshot,
                 records,
             }),
-            Output::Wake(at) => self.wake = at,
-            Output::Event(report) => self.report(report),
-            // Texts of brands and hand-made changes of replicas play no part
-            // here: nothing asks for them.
+            Output::Wake(at) => self.next_log = at,
+            Output::Event(event) => self.handle_event(event),
+            // Texts of brands and membership changes by operators aren't used in this
+            // deployment: nothing requests them.
             Output::Applied { .. } | Output::Pass { .. } | Output::Members { .. } => {}
         }
     }
 
-    fn named(&self, result: Result<control::Taken, Unnamed>) -> CallOutcome {
+    fn call_outcome(&self, result: Result<control::Taken, Unnamed>) -> CallOutcome {
         match result {
             Ok(_) => CallOutcome::Done,
             Err(Unnamed::Elsewhere { leader }) => {
@@ -418,14 +430,14 @@
         };
         let links = Arc::clone(&self.links);
         tokio::spawn(async move {
-            // A lost message is the log's own affair.
-            links.to(address).call(call, MESSAGE_LIMIT).await.ok();
+            // The log itself sends a lost message again.
+            links.to(address).call(call, MESSAGE_TIMEOUT).await.ok();
         });
     }
 
-    fn report(&mut self, report: Event) {
+    fn handle_event(&mut self, event: Event) {
         use telemetry::Event as Line;
-        match report {
+        match event {
             Event::Leads { term } => {
                 event!(Line::LeaderElected, term = term);
                 self.granter.lead(self.clock.now());
@@ -435,7 +447,7 @@
                 event!(Line::LeaderLost);
                 self.granter.follow();
             }
-            Event::Named => self.named_changed(),
+            Event::Named => self.editions_changed(),
             Event::Halted { reason } => {
                 event!(Line::DiskFailed, why = reason.to_string());
                 self.end = Some(match reason {
--- a/crates/frontd/src/control/shell/edition_cache.rs
+++ b/crates/frontd/src/control/shell/edition_cache.rs
@@ -1,4 +1,5 @@
-//! Editions that entry instances are getting, cut and packed once for all.
+//! Editions that entry instances download. Each is split into parts and packed once for
+//! all of them.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -12,82 +13,90 @@
     patch::digest,
 };
 
-/// How long an edition is kept after anybody asked for a part of it: longer than an
-/// entry instance needs to ask another source after a lost one.
-const KEPT: Duration = Duration::from_secs(3);
+/// How long an edition is kept after a part of it was last requested: longer than an
+/// entry instance needs to turn to another source after it has lost one.
+const RETENTION: Duration = Duration::from_secs(3);
 
-/// The most that editions take beside the newest one; those that were asked for longest
-/// ago go first.
-const KEPT_MOST: Bytes = Bytes(32 << 20);
+/// Most bytes of editions that are kept besides the newest one. The one requested least
+/// recently is evicted first.
+const MAX_CACHED: Bytes = Bytes(32 << 20);
 
-/// The newest editions, the last one last.
+/// The newest editions, in the order of publication.
 #[derive(Debug, Default)]
-pub(super) struct Handout {
-    kept: VecDeque<Kept>,
+pub(super) struct EditionCache {
+    editions: VecDeque<CachedEdition>,
 }
 
 #[derive(Debug)]
-struct Kept {
+struct CachedEdition {
     edition: Edition,
     digest: u64,
-    /// When it came or was last asked for.
-    used: Time,
-    /// Parts that were asked for, by where they begin.
+    /// When it was published or last requested.
+    last_used: Time,
+    /// The parts requested so far, by their offset.
     parts: BTreeMap<u64, Part>,
 }
 
-impl Handout {
+impl EditionCache {
     /// Returns the number of the newest edition.
     pub(super) fn newest(&self) -> Option<u64> {
-        self.kept.back().map(|kept| kept.edition.number)
+        self.editions.back().map(|cached| cached.edition.number)
     }
 
-    /// Keeps the newest edition beside those before it.
+    /// Adds the newest edition and keeps those before it.
     ///
-    /// Failure: an entry instance has got half of an edition when its source dies and
-    /// a newer one is published. The others never handed it out; had they kept only
-    /// what was asked for there, it would begin anew.
+    /// Failure: an entry instance has downloaded half of an edition when its source dies
+    /// and a newer one is published. If other instances kept only editions that were
+    /// requested from them, the download would start again from the beginning.
     ///
-    /// Failure: an edition comes more slowly than four changes follow each other. Had
-    /// only so many been kept, it would be gone before it was whole, and the next as well.
-    pub(super) fn keep(&mut self, now: Time, edition: &Edition) {
-        self.kept.retain(|kept| now.since(kept.used) < KEPT);
-        while self.bytes() > KEPT_MOST.get() {
-            self.drop_oldest();
+    /// Failure: a link carries an edition more slowly than four changes are made. If only
+    /// the last four editions were kept, it would be evicted before its download is
+    /// complete, and so would the next.
+    pub(super) fn insert(&mut self, now: Time, edition: &Edition) {
+        self.editions
+            .retain(|cached| now.since(cached.last_used) < RETENTION);
+        while self.bytes() > MAX_CACHED.get() {
+            self.evict_oldest();
         }
-        self.kept.push_back(Kept {
+        self.editions.push_back(CachedEdition {
             edition: edition.clone(),
             digest: digest(&edition.body),
-            used: now,
+            last_used: now,
             parts: BTreeMap::new(),
         });
     }
 
     fn bytes(&self) -> u64 {
-        let sizes = self.kept.iter().map(|kept| kept.edition.body.len() as u64);
+        let sizes = self
+            .editions
+            .iter()
+            .map(|cached| cached.edition.body.len() as u64);
         sizes.sum()
     }
 
-    fn drop_oldest(&mut self) {
-        let oldest = self.kept.iter().map(|kept| kept.used).min();
-        let at = self.kept.iter().position(|kept| Some(kept.used) == oldest);
+    fn evict_oldest(&mut self) {
+        let oldest = self.editions.iter().map(|cached| cached.last_used).min();
+        let at = self
+            .editions
+            .iter()
+            .position(|cached| Some(cached.last_used) == oldest);
         if let Some(at) = at {
-            self.kept.remove(at);
+            self.editions.remove(at);
         }
     }
 
-    /// Returns a part of an edition that is kept.
+    /// Returns the part at offset `from` of an edition that is cached.
     pub(super) fn part(&mut self, now: Time, number: u64, from: u64) -> Option<Part> {
-        let mut kept = self.kept.iter_mut();
-        let kept = kept.find(|kept| kept.edition.number == number)?;
-        kept.used = now;
-        let part = kept.part(from)?;
+        let mut cached = self.editions.iter_mut();
+        let cached = cached.find(|cached| cached.edition.number == number)?;
+        cached.last_used = now;
+        let part = cached.part(from)?;
         exposed().edition_bytes(part.packed.len());
         Some(part)
     }
 }
 
-impl Kept {
+impl CachedEdition {
     fn part(&mut self, from: u64) -> Option<Part> {
         if let Some(part) = self.parts.get(&from) {
             return Some(part.clone());
--- a/crates/frontd/src/control/shell/orders.rs
+++ b/crates/frontd/src/control/shell/orders.rs
@@ -1,4 +1,4 @@
-//! What goes to the holder of orders, and what it wants done.
+//! Inputs and outputs of the zone owner.
 
 use base::Ticket;
 use gateway::holder::{self, Act, Ended, Order};
@@ -19,35 +19,36 @@
                 Some(list) => {
                     let zones = vec![zone];
                     let listed = holder::Input::Listed { asked, zones, list };
-                    jobs.send(Job::Holder(listed)).ok();
+                    jobs.send(Job::ZoneOwner(listed)).ok();
                 }
                 None => event!(telemetry::Event::ListStale),
             }
         });
     }
 
-    /// Hands one input to the holder; what follows from it is due with [`Self::order`].
-    pub(super) fn hold(&mut self, input: holder::Input) {
-        self.holder.take(self.clock.now(), input);
+    /// Passes one input to the zone owner; what follows from it is done by
+    /// [`Self::run_owner`].
+    pub(super) fn owner_input(&mut self, input: holder::Input) {
+        self.zone_owner.take(self.clock.now(), input);
     }
 
-    /// Gives the orders and answers that follow from all that came together.
+    /// Carries out the orders and answers that follow from all inputs of a batch.
     ///
-    /// Failure: each message of each entry instance was followed by a plan. The more
-    /// adapters were missing the more messages came and the dearer each plan was, until
-    /// answers of engines were read too late.
-    pub(super) fn order(&mut self) {
+    /// Failure: a plan was made for each message of each entry instance. The more
+    /// adapters were missing, the more messages arrived and the more each plan cost,
+    /// until answers of engines were read too late.
+    pub(super) fn run_owner(&mut self) {
         let mut outputs = Vec::new();
-        self.holder.act(self.clock.now(), &mut outputs);
+        self.zone_owner.act(self.clock.now(), &mut outputs);
         for output in outputs {
-            self.carry_out(output);
+            self.execute(output);
         }
     }
 
-    /// Logs what was learned of the store, once a second at most and only while
-    /// adapters wait for it.
-    pub(super) fn note_store(&mut self) {
-        let learned = self.holder.learned();
+    /// Logs what was learned about the weight store while adapters wait for it; called
+    /// once a second at most.
+    pub(super) fn log_store(&mut self) {
+        let learned = self.zone_owner.learned();
         if learned.waiting == 0 {
             return;
         }
@@ -63,9 +64,9 @@
         );
     }
 
-    /// Logs which weights the engines hold, where these differ and that has changed.
-    pub(super) fn note_weights(&mut self) {
-        let held = self.holder.weights();
+    /// Logs which weights the engines hold, if they differ and this has changed.
+    pub(super) fn log_weights(&mut self) {
+        let held = self.zone_owner.weights();
         if held == self.weights {
             return;
         }
@@ -83,17 +84,17 @@
         self.weights = held;
     }
 
-    fn carry_out(&mut self, output: holder::Output) {
+    fn execute(&mut self, output: holder::Output) {
         let jobs = self.jobs.clone();
         match output {
             holder::Output::Order(order) => {
                 let given = (self.platform.send_order)(order.clone());
                 tokio::spawn(async move {
                     let ended = given.await;
-                    note_order(&order, ended);
+                    log_order(&order, ended);
                     exposed().order(ended.as_str());
                     let id = order.id;
-                    jobs.send(Job::Holder(holder::Input::Ended { id, ended }))
+                    jobs.send(Job::ZoneOwner(holder::Input::Ended { id, ended }))
                         .ok();
                 });
             }
@@ -101,57 +102,59 @@
                 let asked = (self.platform.read_report)(id.clone(), addr);
                 tokio::spawn(async move {
                     let report = asked.await;
-                    jobs.send(Job::Holder(holder::Input::Reported { id, report }))
+                    jobs.send(Job::ZoneOwner(holder::Input::Reported { id, report }))
                         .ok();
                 });
             }
-            holder::Output::Answer { ticket, synced } => self.answer(ticket, synced),
+            holder::Output::Answer { ticket, synced } => self.reply_sync(ticket, synced),
         }
     }
 
-    fn answer(&mut self, ticket: Ticket, mut synced: Synced) {
+    fn reply_sync(&mut self, ticket: Ticket, mut synced: Synced) {
         let Some(Waiter::Sync { to, revision }) = self.waiters.remove(&ticket) else {
             return;
         };
         let editions = self.control.state().editions();
         synced.edition = editions.newest().map_or(0, |newest| newest.number);
-        let told = self.revisions.since(revision);
-        (synced.versions, synced.revision) = (told.versions, told.known);
+        let unknown = self.revisions.since(revision);
+        (synced.versions, synced.revision) = (unknown.versions, unknown.known);
         if let Some(members) = self.control.replica().members() {
             synced.controls = members.all().map(|id| id.instance.clone()).collect();
         }
         to.send(Reply::Sync(Box::new(synced))).ok();
     }
 
-    pub(super) fn named_changed(&mut self) {
-        self.take_newest();
+    pub(super) fn editions_changed(&mut self) {
+        self.cache_newest();
         let versions = self.control.state().editions().versions().clone();
         self.revisions.take(&versions);
-        self.hold(holder::Input::Versions(versions));
+        self.owner_input(holder::Input::Versions(versions));
     }
 
-    /// Takes the newest edition once: keeps it for entry instances, and reads what
+    /// Takes a newest edition once: caches it for entry instances, and reads from it what
     /// engines can hold.
     ///
-    /// Failure: a configuration of four megabytes takes a control instance a tenth of
-    /// a second to read, and versions of adapters are named ten times a second. Read
-    /// for each of them, it left no time for heartbeats, and the leader was lost.
-    fn take_newest(&mut self) {
+    /// Failure: a control instance needs a tenth of a second to read a configuration of
+    /// four megabytes, and versions of adapters are set ten times a second. Reading the
+    /// configuration for each of them left no time for heartbeats, and the leader was
+    /// lost.
+    fn cache_newest(&mut self) {
         let newest = self.control.state().editions().newest();
-        let taken = self.handout.newest();
+        let taken = self.editions.newest();
         let Some(newest) = newest.filter(|newest| taken != Some(newest.number)) else {
             return;
         };
-        self.handout.keep(self.clock.now(), newest);
+        self.editions.insert(self.clock.now(), newest);
         match (self.platform.decode)(&newest.body) {
-            Ok(decoded) => self.holder.set_specs(decoded.table.engines()),
+            Ok(decoded) => self.zone_owner.set_specs(decoded.table.engines()),
             Err(why) => event!(telemetry::Event::TextBroken, why = why),
         }
     }
 }
 
-/// Logs what came of an order, so that a refused request's adapter can be followed.
-fn note_order(order: &Order, ended: Ended) {
+/// Logs the outcome of an order, so that the log shows why an adapter was missing for a
+/// refused request.
+fn log_order(order: &Order, ended: Ended) {
     use telemetry::Event as Line;
     let (id, expected, how) = (&order.id, order.expected, ended.as_str());
     let taken = matches!(ended, Ended::Accepted | Ended::Done);
--- a/crates/frontd/src/control/shell/zones.rs
+++ b/crates/frontd/src/control/shell/zones.rs
@@ -1,5 +1,4 @@
-//! Which zones this instance gives orders in, and, as the leader, which instance
-//! does in each zone.
+//! Renews the zone lease of this instance and, on the leader, assigns zones to owners.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -9,12 +8,12 @@
 use telemetry::{event, exposed};
 use wire::call::{Call, Reply};
 
-use super::{Job, RENEW_LIMIT, Shell, Waiter};
+use super::{Job, RENEW_TIMEOUT, Shell, Waiter};
 use crate::names;
 
 impl Shell {
-    /// Renews the right to give orders; as the leader, grants it to itself and
-    /// gives zones without an owner to somebody.
+    /// Renews the zone lease. The leader grants it to itself and assigns zones that have
+    /// no owner.
     pub(super) fn renew(&mut self, now: Time) {
         let name = self.control.replica().id().instance.clone();
         if self.control.leads(now) {
@@ -22,7 +21,7 @@
             self.granter.renew(now, &name, &zone);
             let zones = self.owned_by(&name);
             self.renewed(now, zones);
-            self.give_zones(now);
+            self.assign_zones(now);
             return;
         }
         let Some(leader) = self.leader() else {
@@ -37,46 +36,48 @@
         };
         let (links, jobs) = (Arc::clone(&self.links), self.jobs.clone());
         tokio::spawn(async move {
-            let reply = links.to(address).call(call, RENEW_LIMIT).await;
-            // What is lost is asked for again before the tenure ends.
+            let reply = links.to(address).call(call, RENEW_TIMEOUT).await;
+            // A lost renewal is sent again before the lease ends.
             if let Ok(Reply::Renewed(zones)) = reply {
                 jobs.send(Job::Renewed { asked: now, zones }).ok();
             }
         });
     }
 
-    /// Returns the zones that `instance` owns and that are not about to get
-    /// another owner.
+    /// Returns the zones that `instance` owns and that are not about to get another
+    /// owner.
     ///
-    /// Failure: an owner that was silent for long asks again just after its
-    /// zone was given to another, before that is through the log. Renewing its
-    /// right would make two owners.
+    /// Failure: an owner that was unresponsive for long asks for a renewal just after its
+    /// zone was assigned to another, before that is in the log. Renewing its lease would
+    /// make two owners.
     fn owned_by(&self, instance: &InstanceName) -> Vec<(String, u64)> {
         let own = self.control.state().zones().of(instance);
-        let own = own.filter(|(zone, _)| !self.moving.contains(*zone));
+        let own = own.filter(|(zone, _)| !self.granting.contains(*zone));
         own.map(|(zone, fence)| (zone.to_owned(), fence)).collect()
     }
 
     pub(super) fn renewed(&mut self, asked: Time, zones: Vec<(String, u64)>) {
-        let before = self.tenure.zones(self.clock.now());
-        self.tenure.granted(asked, zones);
-        let after = self.tenure.zones(self.clock.now());
+        let before = self.zone_lease.zones(self.clock.now());
+        self.zone_lease.granted(asked, zones);
+        let after = self.zone_lease.zones(self.clock.now());
         exposed().zones(after.len());
         if before != after {
             event!(telemetry::Event::EngineTaken, zones = after.join(","));
             self.next_list = Time::ZERO;
         }
-        let tenure = self.tenure.clone();
-        self.hold(holder::Input::Tenure(tenure));
+        let lease = self.zone_lease.clone();
+        self.owner_input(holder::Input::Tenure(lease));
     }
 
-    fn give_zones(&mut self, now: Time) {
+    fn assign_zones(&mut self, now: Time) {
         let owners = self.control.state().zones().all().iter();
         let owners = owners.map(|(zone, owner)| (zone.clone(), owner.instance.clone()));
         let owners: BTreeMap<_, _> = owners.collect();
-        let due = self.granter.due(now, &self.zones, &owners, self.turns);
+        let due = self
+            .granter
+            .due(now, &self.zones, &owners, self.takeover_delay);
         for (zone, instance) in due {
-            if !self.moving.insert(zone.clone()) {
+            if !self.granting.insert(zone.clone()) {
                 continue;
             }
             let ticket = self.wait(Waiter::Zone(zone.clone()));
@@ -85,10 +86,10 @@
         }
     }
 
-    pub(super) fn grant(&mut self, instance: &InstanceName, zone: &str) -> Reply {
+    pub(super) fn renew_for(&mut self, instance: &InstanceName, zone: &str) -> Reply {
         let now = self.clock.now();
-        // Failure: this instance was frozen while it led, and another has
-        // given the asker's zones away since.
+        // Failure: this instance was frozen while it led, and another leader has assigned
+        // the requester's zones to others since.
         if !self.control.leads(now) {
             let leader = self.leader();
             return Reply::Elsewhere { leader };
--- a/crates/frontd/src/lib.rs
+++ b/crates/frontd/src/lib.rs
@@ -1,10 +1,10 @@
-//! Shells of a deployment that forwards by host and path: an entry instance
-//! that callers connect to, and a control instance that keeps the log and gives
-//! orders to engines.
+//! The two kinds of processes of a deployment that forwards by host and path: an entry
+//! instance, which callers connect to, and a control instance, which keeps the replicated
+//! log and gives orders to engines.
 //!
-//! They own clock, sockets and data folder. What is decided is decided by
-//! `gateway` and `control`; how an outside system names things is handed in as
-//! a [`Dialect`] and an [`Outside`].
+//! This crate is the I/O shell: it owns clock, sockets and data folder. Decisions are
+//! made by the state machines of `gateway` and `control`, which do no I/O. How the
+//! hosting platform names things is passed in as [`HeaderNames`] and [`Platform`].
 
 mod control;
 mod entry;
--- a/crates/frontd/src/metrics.rs
+++ b/crates/frontd/src/metrics.rs
@@ -14,11 +14,10 @@
     server,
 };
 
-/// The usual exposition format.
+/// Content type of the Prometheus text format.
 const TEXT: &str = "text/plain; version=0.0.4";
 
-/// Serves metrics at `address` under every path, for as long as the process
-/// runs.
+/// Serves metrics at `address` under every path, for as long as the process runs.
 ///
 /// # Errors
 ///
--- a/crates/frontd/src/platform.rs
+++ b/crates/frontd/src/platform.rs
@@ -1,4 +1,4 @@
-//! What the shells need from an outside system, as plain values and closures.
+//! The interface to the hosting platform, as plain values and closures.
 
 use std::{fmt, net::IpAddr, sync::Arc};
 
@@ -9,61 +9,61 @@
 };
 use hyper::header::HeaderName;
 
-/// Names of headers by which callers, targets and this system speak.
+/// Names of the headers that callers, targets and this system exchange.
 #[derive(Clone, Debug)]
 pub struct HeaderNames {
-    /// The caller's id of the request; targets repeat it.
+    /// The caller's id of the request; targets repeat it in their answers.
     pub request_id: HeaderName,
-    /// Milliseconds that the sender waits.
+    /// How long the sender waits for the answer, in milliseconds.
     pub deadline: HeaderName,
     /// The id of the target that a request is meant for.
     pub target: HeaderName,
     /// The version of the adapter that a request is meant for.
     pub adapter_version: HeaderName,
-    /// The version of the weights that an answer was made with.
+    /// The version of the weights that an answer was computed with.
     pub weights_version: HeaderName,
-    /// Urgency at an engine; 0 is first.
+    /// The priority of a request at an engine; 0 is served first.
     pub priority: HeaderName,
     /// Says in an answer that the request has not run.
     pub not_run: HeaderName,
-    /// The model, and the adapter after a slash.
+    /// The model, followed by a slash and the adapter if there is one.
     pub model: HeaderName,
-    /// Prompt tokens, and after a comma the most tokens of the answer.
+    /// The number of prompt tokens, a comma, and the most tokens of the answer.
     pub tokens: HeaderName,
-    /// The last event that a resumed stream goes on after.
+    /// The id of the last event that the caller has of a stream that is resumed.
     pub last_event: HeaderName,
-    /// Where a run's memory is to be kept as well.
+    /// The address of the engine that keeps a copy of the run's KV cache.
     pub cache_backup: HeaderName,
-    /// Where a run's memory is taken from.
+    /// The place of the copy of a KV cache that a run continues from.
     pub cache_source: HeaderName,
-    /// Headers that only this system may set; a caller's are dropped.
+    /// Headers that only this system may set; those of a caller are dropped.
     pub reserved: Vec<HeaderName>,
 }
 
-/// A configuration as the outside system wrote it, decoded and checked.
+/// A configuration of the platform, decoded and checked.
 #[derive(Clone, Debug)]
 pub struct Decoded {
-    /// Its number.
+    /// Its number; a configuration with a higher number replaces it.
     pub number: u64,
-    /// Its routes.
+    /// Its routes and services.
     pub table: Table,
 }
 
-/// Decodes and checks a configuration; errors are for operators.
+/// Decodes and checks a configuration; error texts are for operators.
 pub type Decode = Arc<dyn Fn(&str) -> Result<Decoded, String> + Send + Sync>;
-/// Reads the list of targets, of one zone or of all; nothing if it can't be
-/// had.
+/// Reads the list of targets of one zone, or of all for `None`; `None` if it can't be
+/// read.
 pub type ListTargets =
     Arc<dyn Fn(Option<String>) -> BoxFuture<'static, Option<Vec<Listed>>> + Send + Sync>;
-/// Gives an order to an engine.
+/// Sends an order to an engine.
 pub type SendOrder = Arc<dyn Fn(Order) -> BoxFuture<'static, Ended> + Send + Sync>;
-/// Asks the engine with this id at this address for its report.
+/// Reads the report of the engine with this id at this address.
 pub type ReadReport =
     Arc<dyn Fn(String, String) -> BoxFuture<'static, Option<Report>> + Send + Sync>;
-/// Reads where control instances are to be looked for.
+/// Reads the addresses of control instances from the settings.
 pub type ReadSeeds = Arc<dyn Fn() -> Option<Vec<IpAddr>> + Send + Sync>;
 
-/// An outside system.
+/// The hosting platform.
 #[derive(Clone)]
 pub struct Platform {
     /// Names of headers.
@@ -72,11 +72,11 @@
     pub decode: Decode,
     /// Reads the list of targets.
     pub list_targets: ListTargets,
-    /// Gives an order.
+    /// Sends an order to an engine.
     pub send_order: SendOrder,
-    /// Asks for a report.
+    /// Reads an engine's report.
     pub read_report: ReadReport,
-    /// Reads the control instances that are set.
+    /// Reads the configured control instances.
     pub read_seeds: ReadSeeds,
 }
 
--- a/crates/frontd/tests/unit/control.rs
+++ b/crates/frontd/tests/unit/control.rs
@@ -1,30 +1,31 @@
-//! Which life an empty folder gets.
+//! Which incarnation number an empty data folder gets.
 
 use std::time::Duration;
 
 use base::Incarnation;
 use googletest::prelude::*;
 
-use super::next_life;
+use super::next_incarnation;
 
-/// A disk is lost while the wall clock is five seconds behind. The instance kept
-/// out of the log until the clock had caught up; now a few refusals are enough.
+/// Guards against an instance that stays out of the log after its disk is lost while the
+/// wall clock is five seconds behind: it was refused until the clock had caught up. A few
+/// refusals have to be enough.
 #[gtest]
-fn refused_lives_overtake_a_clock_that_was_stepped_back() {
+fn refused_incarnations_overtake_a_clock_that_was_stepped_back() {
     let before = Duration::from_secs(1_000);
-    let known = next_life(before, Incarnation(0));
+    let known = next_incarnation(before, Incarnation(0));
     let stepped = before - Duration::from_secs(5);
-    let mut life = next_life(stepped, Incarnation(0));
+    let mut incarnation = next_incarnation(stepped, Incarnation(0));
     let mut refused = 0;
-    while life <= known {
-        life = next_life(stepped, life);
+    while incarnation <= known {
+        incarnation = next_incarnation(stepped, incarnation);
         refused += 1;
     }
     assert_that!(refused, le(6));
 }
 
 #[gtest]
-fn a_life_follows_the_clock_where_that_is_ahead() {
-    let life = next_life(Duration::from_secs(2_000), Incarnation(7));
-    assert_that!(life, eq(Incarnation(2_000_000_000)));
+fn an_incarnation_follows_a_clock_that_is_ahead() {
+    let incarnation = next_incarnation(Duration::from_secs(2_000), Incarnation(7));
+    assert_that!(incarnation, eq(Incarnation(2_000_000_000)));
 }
