--- a/crates/frontd/tests/editions/deployment.rs
+++ b/crates/frontd/tests/editions/deployment.rs
@@ -1,4 +1,5 @@
-//! Three control instances, entry instances, and the links between them.
+//! A deployment of three control instances, and entry instances behind links of limited
+//! bandwidth.
 
 use std::{
     net::{IpAddr, Ipv4Addr, SocketAddr},
@@ -28,31 +29,31 @@
 };
 use wire::fleet::Edition;
 
-/// What an entry instance's link carries, in bytes a second: 10 Mbit/s.
-const LINK_RATE: f64 = 1_250_000.0;
+/// Bandwidth of an entry instance's link: 10 Mbit/s.
+const LINK_BYTES_PER_SECOND: f64 = 1_250_000.0;
 
-/// Bytes that pass the link in one go.
+/// Bytes that a link passes at once.
 const SLICE: usize = 4 << 10;
 
 pub(crate) const CONTROLS: u8 = 3;
-/// Instances of one deployment at most.
+/// Addresses reserved for the instances of one deployment.
 const INSTANCES: u8 = 16;
-/// Where control instances listen for each other.
+/// Port on which control instances listen for each other.
 const PEERS: u16 = 17_480;
 const OPERATORS: u16 = 17_481;
-/// Where entry instances reach them; the port differs for each link.
+/// Lowest port of the proxies in front of control instances; each link has its own.
 const LINKS: u16 = 17_490;
 const CALLERS: u16 = 17_482;
 const READY: u16 = 17_483;
 
-/// Tells the deployments of one test process apart.
+/// Number of the next deployment in this test process.
 static NEXT: AtomicU8 = AtomicU8::new(1);
 
 /// A deployment in this process.
-pub(crate) struct World {
+pub(crate) struct Deployment {
     no: u8,
-    /// How often a control instance has read an edition.
-    read: Arc<AtomicUsize>,
+    /// How often control instances have decoded an edition.
+    decoded: Arc<AtomicUsize>,
     _data: Vec<tempfile::TempDir>,
 }
 
@@ -62,7 +63,7 @@
     link: Arc<Link>,
 }
 
-/// What a link has carried to its entry instance.
+/// Traffic that a link has carried to its entry instance.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Used {
     pub(crate) bytes: usize,
@@ -82,48 +83,48 @@
 struct Link {
     /// When the next bytes may pass.
     free: Mutex<Option<Instant>>,
-    /// Control instances whose bytes stay on the way.
+    /// The control instance whose bytes are held back.
     silent: Mutex<Option<u8>>,
     bytes: AtomicUsize,
     connections: AtomicUsize,
 }
 
-impl World {
-    /// Starts control instances and publishes a first edition, of one route.
-    pub(crate) async fn start() -> World {
+impl Deployment {
+    /// Starts the control instances and publishes a first edition of one route.
+    pub(crate) async fn start() -> Deployment {
         let no = NEXT.fetch_add(1, Ordering::Relaxed);
-        let read = Arc::new(AtomicUsize::new(0));
+        let decoded = Arc::new(AtomicUsize::new(0));
         let mut data = Vec::new();
         for control in 1..=CONTROLS {
             let folder = tempfile::tempdir().unwrap();
-            start_control(no, control, folder.path(), &read);
+            start_control(no, control, folder.path(), &decoded);
             data.push(folder);
         }
-        let world = World {
+        let deployment = Deployment {
             no,
-            read,
+            decoded,
             _data: data,
         };
-        world.publish(1, "a.example /first/\n").await;
-        world
+        deployment.publish(1, "a.example /first/\n").await;
+        deployment
     }
 
-    /// Publishes an edition, asking until the leader has taken it.
+    /// Publishes an edition, retrying until the leader has accepted it.
     pub(crate) async fn publish(&self, number: u64, body: &str) {
-        self.name(&format!("/{number}"), body).await;
+        self.submit(&format!("/{number}"), body).await;
     }
 
-    /// Names a version of an adapter, asking until the leader has taken it.
+    /// Sets the version of an adapter, retrying until the leader has accepted it.
     pub(crate) async fn set_version(&self, adapter: &str, version: u32) {
-        self.name(&format!("/{version}?adapter"), adapter).await;
+        self.submit(&format!("/{version}?adapter"), adapter).await;
     }
 
-    /// Returns how often control instances have read an edition.
-    pub(crate) fn read(&self) -> usize {
-        self.read.load(Ordering::Relaxed)
+    /// Returns how often control instances have decoded an edition.
+    pub(crate) fn decode_count(&self) -> usize {
+        self.decoded.load(Ordering::Relaxed)
     }
 
-    async fn name(&self, path: &str, body: &str) {
+    async fn submit(&self, path: &str, body: &str) {
         for control in (1..=CONTROLS).cycle().take(300) {
             let addr = SocketAddr::new(control_ip(self.no, control), OPERATORS);
             let mut send = Send::new(addr, Method::POST, path);
@@ -134,7 +135,7 @@
             }
             sleep(Duration::from_millis(20)).await;
         }
-        panic!("nobody takes {path}");
+        panic!("no control instance accepts {path}");
     }
 
     /// Starts an entry instance behind a link of its own.
@@ -144,7 +145,7 @@
         for control in 1..=CONTROLS {
             let ip = control_ip(self.no, control);
             let listener = TcpListener::bind((ip, port)).await.unwrap();
-            tokio::spawn(carry(Arc::clone(&link), listener, ip, control));
+            tokio::spawn(proxy(Arc::clone(&link), listener, ip, control));
         }
         let ip = own_ip(self.no, CONTROLS + no);
         let setup = EntrySetup {
@@ -167,7 +168,7 @@
 }
 
 impl Entry {
-    /// Waits until it says that it is ready.
+    /// Waits until its readiness probe succeeds.
     pub(crate) async fn until_ready(&self, limit: Duration) {
         let addr = SocketAddr::new(self.ip, READY);
         let ready = async {
@@ -175,10 +176,12 @@
                 sleep(Duration::from_millis(20)).await;
             }
         };
-        timeout(limit, ready).await.expect("it never gets ready");
+        timeout(limit, ready)
+            .await
+            .expect("the entry instance is not ready in time");
     }
 
-    /// Waits until a request finds a route, and returns how long that took.
+    /// Waits until a request matches a route, and returns how long that took.
     pub(crate) async fn until_served(
         &self,
         path: &str,
@@ -192,18 +195,18 @@
                 return Ok(begun.elapsed());
             }
             if begun.elapsed() >= limit {
-                return Err(format!("{path} isn't there after {limit:?}"));
+                return Err(format!("{path} is not served after {limit:?}"));
             }
             sleep(Duration::from_millis(20)).await;
         }
     }
 
-    /// Keeps what a control instance sends on its way until another one is named.
+    /// Holds back all bytes of one control instance, and no longer those of another.
     pub(crate) fn silence(&self, control: u8) {
         *self.link.silent.lock().unwrap() = Some(control);
     }
 
-    /// Returns the bytes that its link carries to it during `time`.
+    /// Returns the bytes that the link carries to the instance during `time`.
     pub(crate) async fn carried(&self, time: Duration) -> usize {
         let before = self.link();
         sleep(time).await;
@@ -218,7 +221,7 @@
     }
 }
 
-/// Returns an edition of so many routes, each as long as in practice, and of
+/// Returns an edition of `routes` routes as long as those of real configurations, and of
 /// `/added/`.
 pub(crate) fn body(routes: usize) -> String {
     let mut text = String::from("a.example /first/\na.example /added/\n");
@@ -232,8 +235,8 @@
     text
 }
 
-/// Returns an edition of `/added/` and so many bytes that can hardly be packed.
-pub(crate) fn noise(bytes: usize) -> String {
+/// Returns an edition of `/added/` and about `bytes` bytes that hardly compress.
+pub(crate) fn incompressible_body(bytes: usize) -> String {
     let mut text = String::from("a.example /first/\na.example /added/\n");
     let mut no: u64 = 0;
     while text.len() < bytes {
@@ -253,10 +256,10 @@
     own_ip(no, control)
 }
 
-/// Returns an address of this process and deployment.
+/// Returns an address that is unique to this process and deployment.
 ///
-/// Failure: two checkouts test at the same time on one machine. With the same addresses
-/// the instances of one meet those of the other.
+/// Failure: two checkouts are tested at the same time on one machine. With the same
+/// addresses their instances would connect to each other.
 fn own_ip(no: u8, instance: u8) -> IpAddr {
     let [.., high, low] = std::process::id().to_be_bytes();
     IpAddr::V4(Ipv4Addr::new(
@@ -267,7 +270,7 @@
     ))
 }
 
-fn start_control(no: u8, control: u8, data: &std::path::Path, read: &Arc<AtomicUsize>) {
+fn start_control(no: u8, control: u8, data: &std::path::Path, decoded: &Arc<AtomicUsize>) {
     let ip = control_ip(no, control);
     let setup = ControlSetup {
         ip,
@@ -280,17 +283,17 @@
         takeover_delay: Duration::from_secs(3),
         list_lag: Duration::from_millis(2_300),
     };
-    let read = Arc::clone(read);
+    let decoded = Arc::clone(decoded);
     let mut platform = platform(no);
     platform.decode = Arc::new(move |body| {
-        read.fetch_add(1, Ordering::Relaxed);
+        decoded.fetch_add(1, Ordering::Relaxed);
         decode(body)
     });
     tokio::spawn(frontd::serve_control(setup, platform, take));
 }
 
-/// Answers an operator's call: the path is the number, the body the edition, or the
-/// adapter whose version the number is.
+/// Answers a request of an operator. The path is the number of the edition in the body;
+/// with a query the body is an adapter and the path its version.
 async fn take(operators: Operators, req: Request<Incoming>) -> Response<Body> {
     let number: u64 = req.uri().path()[1..].parse().unwrap();
     let adapter = req.uri().query().is_some();
@@ -300,7 +303,7 @@
     };
     let body = read(req.into_body(), limits).await.unwrap();
     let body = String::from_utf8(body.to_vec()).unwrap();
-    let named = if adapter {
+    let outcome = if adapter {
         operators
             .set_version(body, u32::try_from(number).unwrap())
             .await
@@ -308,7 +311,7 @@
         operators.publish(Edition { number, body }).await
     };
     let mut resp = Response::new(full(""));
-    if named != CallOutcome::Done {
+    if outcome != CallOutcome::Done {
         *resp.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
     }
     resp
@@ -321,8 +324,8 @@
     answer.ok().map(|answer| answer.status)
 }
 
-/// Carries connections from an entry instance to one control instance.
-async fn carry(link: Arc<Link>, listener: TcpListener, ip: IpAddr, control: u8) {
+/// Forwards connections of an entry instance to one control instance over the link.
+async fn proxy(link: Arc<Link>, listener: TcpListener, ip: IpAddr, control: u8) {
     loop {
         let Ok((near, _)) = listener.accept().await else {
             return;
@@ -344,7 +347,7 @@
 }
 
 impl Link {
-    /// Passes bytes on at the link's rate, which all its connections share.
+    /// Passes bytes on at the link's bandwidth, which all its connections share.
     async fn pass(
         &self,
         control: u8,
@@ -360,18 +363,18 @@
             while *self.silent.lock().unwrap() == Some(control) {
                 sleep(Duration::from_millis(20)).await;
             }
-            sleep_until(self.turn(count)).await;
+            sleep_until(self.reserve(count)).await;
             to.write_all(&slice[..count]).await?;
             self.bytes.fetch_add(count, Ordering::Relaxed);
         }
     }
 
-    /// Returns when so many bytes have passed the link.
-    fn turn(&self, count: usize) -> Instant {
+    /// Reserves the link for `count` bytes, and returns when they have passed.
+    fn reserve(&self, count: usize) -> Instant {
         let mut free = self.free.lock().unwrap();
         let now = Instant::now();
         let begin = free.unwrap_or(now).max(now);
-        let end = begin + Duration::from_secs_f64(count as f64 / LINK_RATE);
+        let end = begin + Duration::from_secs_f64(count as f64 / LINK_BYTES_PER_SECOND);
         *free = Some(end);
         end
     }
@@ -404,7 +407,7 @@
     }
 }
 
-/// Reads an edition: a route a line, host and prefix first.
+/// Decodes an edition: one route per line, beginning with host and prefix.
 fn decode(body: &str) -> Result<Decoded, String> {
     let mut table = RawTable::default();
     table
--- a/crates/frontd/tests/memory/deployment.rs
+++ b/crates/frontd/tests/memory/deployment.rs
@@ -31,14 +31,14 @@
 /// The adapter that every engine holds.
 pub(crate) const ADAPTER: &str = "m/a";
 
-/// Instances of one deployment.
+/// Addresses reserved for the instances of one deployment.
 const INSTANCES: u8 = 2;
 const PEERS: u16 = 17_580;
 const OPERATORS: u16 = 17_581;
 const CALLERS: u16 = 17_582;
 const READY: u16 = 17_583;
 
-/// Tells the deployments of one test process apart.
+/// Number of the next deployment in this test process.
 static NEXT: AtomicU8 = AtomicU8::new(1);
 
 /// What an engine holds.
@@ -48,7 +48,7 @@
     pub(crate) weights: u32,
     /// Version of the adapter.
     pub(crate) adapter: u32,
-    /// Version of the weights that the platform's list names.
+    /// Version of the weights according to the platform's list.
     pub(crate) listed: u32,
     /// Version of the weights from the second event of a run on.
     pub(crate) midway: u32,
@@ -60,7 +60,7 @@
     pub(crate) request: String,
     pub(crate) engine: usize,
     pub(crate) holds: Holds,
-    /// Whether it goes on from the memory of a run at another engine.
+    /// Whether it continues from the KV cache of a run at another engine.
     pub(crate) restored: bool,
 }
 
@@ -72,22 +72,22 @@
 struct Fleet {
     engines: Vec<Engine>,
     runs: Mutex<Vec<Run>>,
-    /// Copies of runs' memory: where each lies, and the request.
+    /// Copies of KV caches, written ADDRESS/REQUEST.
     copies: Mutex<BTreeSet<String>>,
-    /// Rung when streams are to break off.
+    /// Notified when streams have to break off.
     crash: Notify,
 }
 
 /// A deployment in this process.
-pub(crate) struct World {
+pub(crate) struct Deployment {
     no: u8,
     fleet: Arc<Fleet>,
     _data: tempfile::TempDir,
 }
 
-impl World {
-    /// Starts everything and waits until a request finds its way.
-    pub(crate) async fn start(holds: &[Holds]) -> World {
+impl Deployment {
+    /// Starts all instances and waits until a request is answered.
+    pub(crate) async fn start(holds: &[Holds]) -> Deployment {
         let no = NEXT.fetch_add(1, Ordering::Relaxed);
         let fleet = start_engines(holds).await;
         let data = tempfile::tempdir().unwrap();
@@ -124,22 +124,22 @@
             },
             platform,
         ));
-        let world = World {
+        let deployment = Deployment {
             no,
             fleet,
             _data: data,
         };
-        world.name("/1").await;
-        while world.whole("0", "m").await.is_none() {
+        deployment.submit("/1").await;
+        while deployment.complete_answer("0", "m").await.is_none() {
             sleep(Duration::from_millis(20)).await;
         }
-        world.fleet.runs.lock().unwrap().clear();
-        world
+        deployment.fleet.runs.lock().unwrap().clear();
+        deployment
     }
 
-    /// Names a version of the adapter, and waits until it is known everywhere.
+    /// Sets the version of the adapter, and waits until it is known everywhere.
     pub(crate) async fn set_version(&self, version: u32) {
-        self.name(&format!("/{version}?{ADAPTER}")).await;
+        self.submit(&format!("/{version}?{ADAPTER}")).await;
         sleep(Duration::from_millis(1_500)).await;
     }
 
@@ -149,14 +149,14 @@
         sleep(Duration::from_millis(1_500)).await;
     }
 
-    /// Breaks off all streams, once their first events are with their callers.
-    pub(crate) async fn crash_soon(&self) {
+    /// Breaks off all streams, once their callers have the first events.
+    pub(crate) async fn crash_streams(&self) {
         sleep(Duration::from_millis(50)).await;
         self.fleet.crash.notify_waiters();
     }
 
-    /// Waits until a request runs, and returns where.
-    pub(crate) async fn begun(&self, request: &str) -> Run {
+    /// Waits until a request runs, and returns the run.
+    pub(crate) async fn started(&self, request: &str) -> Run {
         loop {
             if let Some(run) = self.runs().into_iter().find(|run| run.request == request) {
                 return run;
@@ -169,8 +169,8 @@
         self.fleet.runs.lock().unwrap().clone()
     }
 
-    /// Sends a request for `model` and returns its answer, if that comes whole.
-    pub(crate) async fn whole(&self, request: &str, model: &str) -> Option<String> {
+    /// Sends a request for `model`, and returns its answer if it is complete.
+    pub(crate) async fn complete_answer(&self, request: &str, model: &str) -> Option<String> {
         let addr = SocketAddr::new(own_ip(self.no, 2), CALLERS);
         let mut send = Send::new(addr, Method::POST, "/x");
         let fields = [
@@ -191,7 +191,7 @@
         Some(String::from_utf8_lossy(&body).into_owned())
     }
 
-    async fn name(&self, path: &str) {
+    async fn submit(&self, path: &str) {
         let addr = SocketAddr::new(own_ip(self.no, 1), OPERATORS);
         loop {
             let send = Send::new(addr, Method::POST, path);
@@ -233,8 +233,8 @@
     fleet
 }
 
-/// Runs a request: two events, then the engine waits for its crash; a run that goes on
-/// from memory ends with two more, and so does one without an adapter.
+/// Runs a request. A run with the adapter sends two events and waits for the crash of its
+/// engine; one that continues from a KV cache, or has no adapter, sends the last two.
 async fn run(fleet: Arc<Fleet>, engine: usize, req: Request<Incoming>) -> Response<Body> {
     let headers = req.headers().clone();
     let text = |name: &str| headers.get(name)?.to_str().ok().map(str::to_owned);
@@ -253,7 +253,7 @@
     let restored = text("restore");
     if restored
         .as_ref()
-        .is_some_and(|copy| !fleet.keeps(engine, copy, &request))
+        .is_some_and(|copy| !fleet.has_copy(engine, copy, &request))
     {
         return head(&headers, holds, StatusCode::SERVICE_UNAVAILABLE, full(""));
     }
@@ -277,15 +277,15 @@
     let (writer, events) = body::channel(4);
     tokio::spawn(async move {
         let crash = fleet.crash.notified();
-        let begin = begin(holds);
-        writer.piece(Bytes::from(begin)).await.ok();
+        let first = first_events(holds);
+        writer.piece(Bytes::from(first)).await.ok();
         crash.await;
     });
     head(&headers, holds, StatusCode::OK, events)
 }
 
 /// Returns the first two events of a run.
-fn begin(holds: Holds) -> String {
+fn first_events(holds: Holds) -> String {
     let change = if holds.midway == holds.weights {
         String::new()
     } else {
@@ -295,8 +295,8 @@
 }
 
 impl Fleet {
-    /// Tells whether an engine keeps the copy of a request that is named as `copy`.
-    fn keeps(&self, engine: usize, copy: &str, request: &str) -> bool {
+    /// Returns whether an engine keeps the copy `copy` of the KV cache of `request`.
+    fn has_copy(&self, engine: usize, copy: &str, request: &str) -> bool {
         let own = format!("{}/{request}", self.engines[engine].addr);
         copy == own && self.copies.lock().unwrap().contains(copy)
     }
@@ -335,13 +335,13 @@
     }
 }
 
-/// Answers an operator's call: the path is a number, the query the adapter whose version
-/// it is; without any it is an edition's.
+/// Answers a request of an operator: the path is a number, the query the adapter whose
+/// version it is; without a query it is the number of an edition.
 async fn take(operators: Operators, req: Request<Incoming>) -> Response<Body> {
     let number: u64 = req.uri().path()[1..].parse().unwrap();
     let adapter = req.uri().query().map(str::to_owned);
     read(req.into_body(), ReadLimits::default()).await.unwrap();
-    let named = match adapter {
+    let outcome = match adapter {
         Some(adapter) => {
             operators
                 .set_version(adapter, u32::try_from(number).unwrap())
@@ -353,14 +353,14 @@
         }
     };
     let mut resp = Response::new(full(""));
-    if named != CallOutcome::Done {
+    if outcome != CallOutcome::Done {
         *resp.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
     }
     resp
 }
 
-/// Returns an address of this process and deployment, so that two checkouts may test at
-/// the same time on one machine.
+/// Returns an address that is unique to this process and deployment, so that two
+/// checkouts can be tested at the same time on one machine.
 fn own_ip(no: u8, instance: u8) -> IpAddr {
     let [.., high, low] = std::process::id().to_be_bytes();
     IpAddr::V4(Ipv4Addr::new(
@@ -409,7 +409,7 @@
     }
 }
 
-/// Returns the one configuration: a route whose streams can't be resumed.
+/// Returns the only configuration: a route whose streams can't be resumed.
 fn decoded() -> Decoded {
     let spec = Spec {
         models: vec![Model {
