--- a/crates/frontd/tests/unit/state.rs
+++ b/crates/frontd/tests/unit/state.rs
@@ -1,4 +1,4 @@
-//! What an entry instance goes by.
+//! Which configuration is in force, and which control instance is asked first.
 
 use std::sync::Arc;
 
@@ -8,34 +8,34 @@
 use hyper::header::HeaderName;
 
 use super::*;
-use crate::{Decoded, Dialect};
+use crate::{Decoded, HeaderNames};
 
-fn outside() -> Outside {
+fn platform() -> Platform {
     let header = HeaderName::from_static("x");
-    Outside {
-        dialect: Arc::new(Dialect {
-            request: header.clone(),
+    Platform {
+        header_names: Arc::new(HeaderNames {
+            request_id: header.clone(),
             deadline: header.clone(),
             target: header.clone(),
-            version: header.clone(),
-            weights: header.clone(),
+            adapter_version: header.clone(),
+            weights_version: header.clone(),
             priority: header.clone(),
-            refused: header.clone(),
+            not_run: header.clone(),
             model: header.clone(),
             tokens: header.clone(),
-            resume: header.clone(),
-            backup: header.clone(),
-            restore: header,
-            own: Vec::new(),
+            last_event: header.clone(),
+            cache_backup: header.clone(),
+            cache_source: header,
+            reserved: Vec::new(),
         }),
         decode: Arc::new(|_| {
             let table = Table::default();
             Ok(Decoded { number: 0, table })
         }),
-        list: Arc::new(|_| async { None }.boxed()),
-        give: Arc::new(|_| async { OrderOutcome::Refused }.boxed()),
-        ask: Arc::new(|_, _| async { None }.boxed()),
-        seeds: Arc::new(|| None),
+        list_targets: Arc::new(|_| async { None }.boxed()),
+        send_order: Arc::new(|_| async { OrderOutcome::Refused }.boxed()),
+        read_report: Arc::new(|_, _| async { None }.boxed()),
+        read_seeds: Arc::new(|| None),
     }
 }
 
@@ -47,15 +47,15 @@
         zones: vec!["za".to_owned(), "zb".to_owned()],
         listen: address,
         ready: address,
-        peers: 1,
+        peer_port: 1,
         grace: Duration::from_secs(1),
-        repeats: gateway::budget::Limits {
+        retries: gateway::budget::Limits {
             ratio: 0.2,
             extra: 1.0,
             window: Duration::from_secs(10),
         },
     };
-    State::new(&setup, outside())
+    State::new(&setup, platform())
 }
 
 fn table(bytes: usize) -> Table {
@@ -66,8 +66,8 @@
     Table::try_from(raw).unwrap()
 }
 
-/// Editions arrive out of order. Callers would see the new configuration, then the one
-/// before; the number in force only rises.
+/// Guards against editions that arrive out of order: callers would see the new
+/// configuration and then the previous one. The number in force only increases.
 #[gtest]
 fn an_older_edition_is_never_put_into_force() {
     let state = state();
@@ -79,15 +79,15 @@
     assert_that!((held, state.edition()), eq((Some(7), 7)));
 }
 
-/// Bytes between zones cost, and a zone that is cut off has no other source: the owner
-/// of the own zone is asked for editions before all others.
+/// The owner of the instance's own zone is asked for editions first: traffic between
+/// zones costs money, and a zone that is cut off has no other source.
 #[gtest]
 fn the_owner_of_the_own_zone_is_asked_first() {
     let state = state();
     let zone = |name: &str| [name.to_owned()];
     for port in 1..50 {
-        let near = state.rank(SocketAddr::from(([10, 0, 0, 9], 1)), &zone("za"));
-        let far = state.rank(SocketAddr::from(([10, 0, 0, 1], port)), &zone("zb"));
+        let near = state.source_rank(SocketAddr::from(([10, 0, 0, 9], 1)), &zone("za"));
+        let far = state.source_rank(SocketAddr::from(([10, 0, 0, 1], port)), &zone("zb"));
         assert_that!(near, lt(far));
     }
 }
--- a/crates/node/src/engines/ownership.rs
+++ b/crates/node/src/engines/ownership.rs
@@ -227,7 +227,12 @@
 
 /// Returns the scheduler's view of an owned engine; none unless the text in
 /// force names the target's pool as one of engines.
-fn owned(shared: &Shared, target: TargetNo, own: Ownership, incarnation: Incarnation) -> Option<Owned> {
+fn owned(
+    shared: &Shared,
+    target: TargetNo,
+    own: Ownership,
+    incarnation: Incarnation,
+) -> Option<Owned> {
     let engine = shared.targets.get(&target)?.engine()?;
     let policy = match own {
         Ownership::Full { .. } => LoadPolicy::Full,
