--- a/crates/telemetry/src/catalogue.rs
+++ b/crates/telemetry/src/catalogue.rs
@@ -1,18 +1,18 @@
-//! The catalogue of events as `docs/logs.md` holds it.
+//! Renders the table of events for `docs/logs.md` and compares it with the page.
 
 use std::collections::BTreeMap;
 
 use crate::Event;
 
-/// Begins the generated part of the page.
+/// Marks the start of the generated part of the page.
 pub const BEGIN: &str = "<!-- events: begin -->";
-/// Ends the generated part of the page.
+/// Marks the end of the generated part of the page.
 pub const END: &str = "<!-- events: end -->";
 
-/// Numbers of one area lie within one of these steps.
-const AREA: u16 = 1_000;
+/// Size of an area: event numbers are grouped by thousands.
+const AREA_SIZE: u16 = 1_000;
 
-/// Headings of the areas, by thousands.
+/// Headings of the areas, starting with 1xxx.
 const AREAS: [&str; 7] = [
     "The process",
     "The replicated log",
@@ -29,10 +29,10 @@
     let mut page = String::new();
     let mut area = 0;
     for event in Event::ALL {
-        let thousands = event.number() / AREA;
+        let thousands = event.number() / AREA_SIZE;
         if thousands != area {
             area = thousands;
-            page += &head(thousands);
+            page += &heading(thousands);
         }
         page += &row(*event);
         page.push('\n');
@@ -44,32 +44,31 @@
 /// line each.
 #[must_use]
 pub fn differences(page: &str) -> Vec<String> {
-    let mut written = BTreeMap::new();
+    let mut rows = BTreeMap::new();
     let mut found = Vec::new();
     for line in page.lines().filter(|line| line.starts_with("| E")) {
         let number = line.split_whitespace().nth(1).unwrap_or_default();
-        if written.insert(number.to_owned(), line.trim()).is_some() {
-            found.push(format!("{number} stands twice on the page"));
+        if rows.insert(number.to_owned(), line.trim()).is_some() {
+            found.push(format!("{number} appears twice on the page"));
         }
     }
     for event in Event::ALL {
-        match written.remove(&event.to_string()) {
+        match rows.remove(&event.to_string()) {
             None => found.push(format!("{event} {event:?} is not on the page")),
             Some(line) if line != row(*event) => {
-                found.push(format!("{event} {event:?} reads otherwise on the page"));
+                found.push(format!("{event} {event:?} differs on the page"));
             }
             Some(_) => {}
         }
     }
     found.extend(
-        written
-            .keys()
+        rows.keys()
             .map(|number| format!("{number} is not in the code")),
     );
     found
 }
 
-/// Returns `page` with its generated part written anew, where it has one.
+/// Returns `page` with its generated part replaced, or `None` where it has no such part.
 #[must_use]
 pub fn update(page: &str) -> Option<String> {
     let (before, rest) = page.split_once(BEGIN)?;
@@ -77,7 +76,7 @@
     Some(format!("{before}{BEGIN}\n{}\n{END}{after}", render()))
 }
 
-fn head(thousands: u16) -> String {
+fn heading(thousands: u16) -> String {
     let title = AREAS.get(usize::from(thousands) - 1).unwrap_or(&"Other");
     format!(
         "\n### {thousands}xxx: {title}\n\n| event | level | line | what it means |\n|---|---|---|---|\n"
--- a/crates/telemetry/src/export.rs
+++ b/crates/telemetry/src/export.rs
@@ -10,12 +10,12 @@
 };
 use tokio::runtime::Handle;
 
-/// Longest time for one export; a collector that hangs costs what lies in the
-/// queue, never a request.
+/// Longest time for one export. A collector that hangs loses the spans and metrics in
+/// the queue but delays no request.
 const EXPORT_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Sends exports from the exporter's own threads on a tokio runtime: those
-/// threads have no reactor, without which hyper panics.
+/// HTTP client that runs the exporter's requests on a tokio runtime: the exporter's own
+/// threads have no tokio reactor, and hyper panics without one.
 #[derive(Debug)]
 struct Client {
     handle: Handle,
--- a/crates/telemetry/src/exposed.rs
+++ b/crates/telemetry/src/exposed.rs
@@ -1,9 +1,8 @@
-//! Counters and histograms that a process serves as text, by the usual
-//! exposition format.
+//! Counters and histograms that a process serves in the Prometheus text format.
 //!
-//! They tell what the lines of the log tell, for all requests and not only for
-//! those worth a line. Labels are events, outcomes and kinds only: no adapter,
-//! target or caller makes a series.
+//! They cover what the log covers, but for all requests and not only for those that
+//! are logged. Labels are only events, outcomes and kinds, so that the number of time
+//! series doesn't grow with adapters, targets or callers.
 
 use std::{sync::LazyLock, time::Duration};
 
@@ -14,20 +13,21 @@
 
 use crate::Event;
 
-/// Bounds in seconds: from a hop inside a zone to the longest time limit, with
-/// what the users' sheets promise for a first piece (0.3, 0.6, 0.8 and 1 s).
-const SECONDS: [f64; 14] = [
+/// Bucket bounds in seconds: from a network hop inside a zone to the longest time limit,
+/// including the service levels for the first piece of an answer (0.3, 0.6, 0.8 and
+/// 1 s).
+const SECONDS_BUCKETS: [f64; 14] = [
     0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.6, 0.8, 1.0, 1.5, 3.0, 6.0, 15.0,
 ];
 
 static EXPOSED: LazyLock<Exposed> = LazyLock::new(Exposed::new);
 
-/// All that is served.
+/// The Prometheus metrics of a process.
 #[derive(Debug)]
 pub struct Exposed {
     registry: Registry,
     events: IntCounterVec,
-    left_out: IntCounter,
+    dropped: IntCounter,
     requests: IntCounterVec,
     head: HistogramVec,
     place: Histogram,
@@ -37,19 +37,19 @@
     edition_bytes: IntCounter,
 }
 
-/// Returns what the process serves.
+/// Returns the process's Prometheus metrics.
 #[must_use]
 pub fn exposed() -> &'static Exposed {
     &EXPOSED
 }
 
-pub(crate) fn count(event: Event) {
+pub(crate) fn count_event(event: Event) {
     let number = event.to_string();
     EXPOSED.events.with_label_values(&[&number]).inc();
 }
 
-pub(crate) fn line_left_out() {
-    EXPOSED.left_out.inc();
+pub(crate) fn count_dropped_line() {
+    EXPOSED.dropped.inc();
 }
 
 impl Exposed {
@@ -57,44 +57,47 @@
         let registry = Registry::new();
         let counters = |name: &str, help: &str, label: &str| {
             let made = IntCounterVec::new(Opts::new(name, help), &[label]);
-            added(&registry, made.expect("a valid name"))
+            register(&registry, made.expect("a valid name"))
         };
         let events = counters("quetzal_events_total", "Events of the log", "event");
         let requests = counters(
             "quetzal_requests_total",
-            "Requests that ended here",
+            "Requests that ended at this instance",
             "outcome",
         );
         let sends = counters("quetzal_sends_total", "Requests sent to targets", "outcome");
         let orders = counters("quetzal_orders_total", "Orders to engines", "outcome");
-        let left_out = IntCounter::new("quetzal_log_left_out_total", "Lines that found no room");
-        let left_out = added(&registry, left_out.expect("a valid name"));
+        let dropped = IntCounter::new(
+            "quetzal_log_left_out_total",
+            "Log lines dropped because the queue was full",
+        );
+        let dropped = register(&registry, dropped.expect("a valid name"));
         let head = HistogramOpts::new(
             "quetzal_head_seconds",
             "Seconds from a request's arrival to the head of its answer",
         );
-        let head = HistogramVec::new(head.buckets(SECONDS.to_vec()), &["kind"]);
-        let head = added(&registry, head.expect("a valid name"));
+        let head = HistogramVec::new(head.buckets(SECONDS_BUCKETS.to_vec()), &["kind"]);
+        let head = register(&registry, head.expect("a valid name"));
         let place = HistogramOpts::new(
             "quetzal_place_seconds",
             "Seconds from a request's arrival to its first target",
         );
-        let place = Histogram::with_opts(place.buckets(SECONDS.to_vec()));
-        let place = added(&registry, place.expect("a valid name"));
+        let place = Histogram::with_opts(place.buckets(SECONDS_BUCKETS.to_vec()));
+        let place = register(&registry, place.expect("a valid name"));
         let zones = IntGauge::new(
             "quetzal_zones_owned",
-            "Zones whose engines are ordered here",
+            "Zones of which this instance is the zone owner",
         );
-        let zones = added(&registry, zones.expect("a valid name"));
+        let zones = register(&registry, zones.expect("a valid name"));
         let edition_bytes = IntCounter::new(
             "quetzal_edition_bytes_total",
-            "Bytes of editions handed out to entry instances",
+            "Bytes of editions sent to entry instances",
         );
-        let edition_bytes = added(&registry, edition_bytes.expect("a valid name"));
+        let edition_bytes = register(&registry, edition_bytes.expect("a valid name"));
         Exposed {
             registry,
             events,
-            left_out,
+            dropped,
             requests,
             head,
             place,
@@ -110,35 +113,35 @@
         self.requests.with_label_values(&[outcome]).inc();
     }
 
-    /// Records how long a request waited for its target and for the head of its
-    /// answer.
+    /// Records the time from a request's arrival to its first target (`place`) and to
+    /// the head of its answer (`head`).
     pub fn answered(&self, kind: &str, place: Duration, head: Duration) {
         self.place.observe(place.as_secs_f64());
         let heads = self.head.with_label_values(&[kind]);
         heads.observe(head.as_secs_f64());
     }
 
-    /// Counts a request sent to a target.
+    /// Counts a request sent to a target, by its `outcome`.
     pub fn send(&self, outcome: &str) {
         self.sends.with_label_values(&[outcome]).inc();
     }
 
-    /// Counts an order to an engine.
+    /// Counts an order to an engine, by its `outcome`.
     pub fn order(&self, outcome: &str) {
         self.orders.with_label_values(&[outcome]).inc();
     }
 
-    /// Sets how many zones this instance gives orders in.
+    /// Sets of how many zones this instance is the zone owner.
     pub fn zones(&self, owned: usize) {
         self.zones.set(i64::try_from(owned).unwrap_or(i64::MAX));
     }
 
-    /// Counts bytes of an edition that were handed out to an entry instance.
+    /// Counts bytes of an edition that were sent to an entry instance.
     pub fn edition_bytes(&self, bytes: usize) {
         self.edition_bytes.inc_by(bytes as u64);
     }
 
-    /// Returns all as text.
+    /// Returns all metrics in the Prometheus text format.
     #[must_use]
     pub fn text(&self) -> String {
         let text = TextEncoder::new().encode_to_string(&self.registry.gather());
@@ -146,7 +149,7 @@
     }
 }
 
-fn added<C: prometheus::core::Collector + Clone + 'static>(registry: &Registry, made: C) -> C {
+fn register<C: prometheus::core::Collector + Clone + 'static>(registry: &Registry, made: C) -> C {
     let result = registry.register(Box::new(made.clone()));
     result.expect("each name is registered once");
     made
--- a/crates/telemetry/src/fields.rs
+++ b/crates/telemetry/src/fields.rs
@@ -1,11 +1,11 @@
-//! Fields of an event.
+//! Fields of an event, and the macros that build them and log events.
 
 use serde_json::{Map, Value};
 
-/// Named values that go with an event.
+/// Named values that are logged with an event.
 pub type Fields = Map<String, Value>;
 
-/// Makes [`Fields`] of anything that serialises:
+/// Builds [`Fields`] from values that implement `Serialize`:
 /// `fields!(engine = target, fence = 7)`.
 #[macro_export]
 macro_rules! fields {
@@ -16,8 +16,8 @@
     };
 }
 
-/// Logs an event with its fields, and builds them only if the event's level is
-/// written: `event!(Event::EngineTaken, engine = target, fence = 7)`.
+/// Logs an event with its fields, which are built only if the event's level is
+/// enabled: `event!(Event::EngineTaken, engine = target, fence = 7)`.
 #[macro_export]
 macro_rules! event {
     ($event:expr $(, $key:ident = $value:expr)* $(,)?) => {{
--- a/crates/telemetry/src/lib.rs
+++ b/crates/telemetry/src/lib.rs
@@ -1,9 +1,10 @@
 //! Logs, metrics and traces of a process.
 //!
-//! Logs are JSON lines with numbered events (see `docs/logs.md`); metrics and
-//! traces are OpenTelemetry's and leave the process only where a collector is
-//! set. Keys and prompts never go into any of them: wrap what is secret in a
-//! [`Secret`], which writes itself as stars.
+//! Logs are JSON lines with numbered events (see `docs/logs.md`). Metrics and
+//! traces use OpenTelemetry and leave the process only where a collector is
+//! set; some metrics are also served in the Prometheus text format. Keys and
+//! prompts never go into any of them: wrap secrets in a [`Secret`], which is
+//! formatted and serialised as `***`.
 
 pub mod catalogue;
 
--- a/crates/telemetry/src/logs.rs
+++ b/crates/telemetry/src/logs.rs
@@ -1,8 +1,8 @@
 //! One JSON line for each event.
 //!
-//! The line is composed here and handed to `flexi_logger` as a message;
-//! its format function puts time, level and origin before it. Libraries' own
-//! lines pass through the same function under the event number 0.
+//! [`event`] serialises the event and passes it to `flexi_logger` as the message;
+//! the format function [`line`] puts time, level and origin before it. Lines logged
+//! by libraries pass through the same function as event number 0 (`E0`).
 
 use std::{io, sync::OnceLock};
 
@@ -13,12 +13,12 @@
 
 use crate::{Event, Fields, LogLevel, TelemetrySettings, exposed, queue::Queue, trace};
 
-/// Target of our own lines, which are JSON already.
-const OWN: &str = "quetzalarch";
+/// Log target of the lines written by [`event`], whose message is already JSON.
+const LOG_TARGET: &str = "quetzalarch";
 
 static ORIGIN: OnceLock<Origin> = OnceLock::new();
 
-/// Where a line comes from.
+/// The process that writes the lines.
 #[derive(Serialize)]
 struct Origin {
     service: String,
@@ -38,24 +38,24 @@
     fields: Fields,
 }
 
-/// Returns whether `event` is written at the level that is set.
+/// Returns whether the level of `event` is enabled by the settings.
 #[must_use]
 pub fn enabled(event: Event) -> bool {
     level(event.level()) <= log::max_level()
 }
 
-/// Returns the line that tells how many lines found no room.
-fn left_out(lines: u64) -> String {
+/// Returns a log line that reports how many `lines` were dropped.
+fn dropped_line(lines: u64) -> String {
     let fields = crate::fields!(lines = lines);
     let mut out = Vec::new();
     let body = body(Event::LinesLeftOut, fields);
     let args = format_args!("{body}");
     let record = Record::builder()
-        .target(OWN)
+        .target(LOG_TARGET)
         .level(log::Level::Warn)
         .args(args)
         .build();
-    // Writing to memory doesn't fail.
+    // Writing to a `Vec` doesn't fail.
     line(&mut out, &mut DeferredNow::new(), &record).ok();
     out.push(b'\n');
     String::from_utf8(out).unwrap_or_default()
@@ -63,10 +63,10 @@
 
 /// Writes one line for `event`; see [`event!`](crate::event!).
 pub fn event(event: Event, fields: Fields) {
-    exposed::count(event);
+    exposed::count_event(event);
     let body = body(event, fields);
     if let Some(level) = level(event.level()).to_level() {
-        log::log!(target: OWN, level, "{body}");
+        log::log!(target: LOG_TARGET, level, "{body}");
     }
 }
 
@@ -94,13 +94,13 @@
     DeferredNow::force_utc();
     let spec = LogSpecification::builder()
         .default(LevelFilter::Warn)
-        .module(OWN, level(settings.level))
+        .module(LOG_TARGET, level(settings.level))
         .build();
     let logger = Logger::with(spec).format(line);
     let logger = match &settings.file {
         Some(file) => logger.log_to_file(FileSpec::try_from(file)?).append(),
         None if settings.stdout => {
-            let queue = Queue::start(io::stdout(), line, left_out)?;
+            let queue = Queue::start(io::stdout(), line, dropped_line)?;
             logger.log_to_writer(Box::new(queue))
         }
         None => logger.log_to_stderr(),
@@ -118,32 +118,33 @@
     }
 }
 
-/// Writes a whole line: head, then the event's body without its brace.
+/// Writes a complete line: time, level and origin, then the fields of the body.
+/// Both are JSON objects that are merged by leaving out their braces.
 fn line(out: &mut dyn io::Write, now: &mut DeferredNow, record: &Record) -> io::Result<()> {
     let time = now.now().to_rfc3339();
     let level = record.level().as_str().to_lowercase();
     write!(out, r#"{{"time":"{time}","level":"{level}""#)?;
     if let Some(origin) = ORIGIN.get() {
         let origin = serde_json::to_string(origin)?;
-        write!(out, ",{}", inner(&origin))?;
+        write!(out, ",{}", without_braces(&origin))?;
     }
-    if record.target() == OWN {
+    if record.target() == LOG_TARGET {
         let body = record.args().to_string();
-        return write!(out, ",{}}}", inner(&body));
+        return write!(out, ",{}}}", without_braces(&body));
     }
-    let foreign = Body {
+    let library = Body {
         event: "E0".to_owned(),
         name: record.target().to_owned(),
         message: &record.args().to_string(),
         trace: None,
         fields: Fields::new(),
     };
-    let foreign = serde_json::to_string(&foreign)?;
-    write!(out, ",{}}}", inner(&foreign))
+    let library = serde_json::to_string(&library)?;
+    write!(out, ",{}}}", without_braces(&library))
 }
 
 /// Returns a JSON object without its braces.
-fn inner(object: &str) -> &str {
+fn without_braces(object: &str) -> &str {
     let object = object.strip_prefix('{').unwrap_or(object);
     object.strip_suffix('}').unwrap_or(object)
 }
--- a/crates/telemetry/src/metrics.rs
+++ b/crates/telemetry/src/metrics.rs
@@ -1,7 +1,7 @@
-//! What is measured, with the units and labels that `docs/logs.md` lists.
+//! OpenTelemetry metrics, with the units and labels that `docs/logs.md` lists.
 //!
-//! Labels are kept to brands, classes, zones and outcomes: an adapter's name
-//! as a label would make 48,000 series.
+//! Labels are limited to brands, classes, pools, zones and outcomes: a label with
+//! the adapter's name would create 48,000 time series.
 
 use std::{sync::OnceLock, time::Duration};
 
@@ -11,19 +11,20 @@
     metrics::{Counter, Gauge, Histogram, Meter},
 };
 
-/// Bounds of histograms of seconds: from a hop inside a zone to an overnight
-/// queue.
-const SECONDS: [f64; 16] = [
+/// Bucket bounds of histograms in seconds: from a network hop inside a zone to the
+/// queueing time of overnight batch requests.
+const SECONDS_BUCKETS: [f64; 16] = [
     0.001, 0.0025, 0.005, 0.01, 0.025, 0.037, 0.05, 0.1, 0.25, 0.5, 1.0, 1.9, 5.0, 10.0, 60.0,
     3600.0,
 ];
-/// Bounds of histograms of a fraction.
-const FRACTION: [f64; 10] = [0.1, 0.2, 0.3, 0.4, 0.5, 0.6, 0.7, 0.8, 0.9, 1.0];
+/// Bucket bounds of histograms of a fraction.
+const FRACTION_BUCKETS: [f64; 10] = [0.1, 0.2, 0.3, 0.4, 0.5, 0.6, 0.7, 0.8, 0.9, 1.0];
 
 static METRICS: OnceLock<Metrics> = OnceLock::new();
 
-/// Returns the process's metrics. Called before [`start`](crate::start()), it
-/// binds them to nowhere for good: start telemetry first.
+/// Returns the process's metrics. [`start`](crate::start()) must be called first:
+/// the instruments bind to the global meter provider at the first call, and those
+/// created before a provider is set discard all values.
 #[must_use]
 pub fn metrics() -> &'static Metrics {
     METRICS.get_or_init(|| Metrics::new(&global::meter("quetzalarch")))
@@ -32,11 +33,11 @@
 /// How a load of an adapter ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Load {
-    /// The adapter is resident.
+    /// The adapter is loaded.
     Done,
     /// The engine or the store refused.
     Failed,
-    /// The engine refused a stale owner.
+    /// The engine refused the order because its fencing number is stale.
     Fenced,
 }
 
@@ -50,7 +51,7 @@
     }
 }
 
-/// All instruments of a process.
+/// The OpenTelemetry instruments of a process.
 #[derive(Debug)]
 pub struct Metrics {
     requests: Counter<u64>,
@@ -76,14 +77,14 @@
             meter
                 .f64_histogram(name)
                 .with_unit("s")
-                .with_boundaries(SECONDS.to_vec())
+                .with_boundaries(SECONDS_BUCKETS.to_vec())
                 .build()
         };
         let fraction = |name: &'static str| {
             meter
                 .f64_histogram(name)
                 .with_unit("1")
-                .with_boundaries(FRACTION.to_vec())
+                .with_boundaries(FRACTION_BUCKETS.to_vec())
                 .build()
         };
         let counter = |name: &'static str| meter.u64_counter(name).build();
@@ -136,52 +137,52 @@
             .record(gap.as_secs_f64(), &[class_label(class)]);
     }
 
-    /// Records the time a request waited for a place at an engine.
+    /// Records how long a request waited in the queue for an engine with free capacity.
     pub fn queue_wait(&self, class: Class, wait: Duration) {
         self.queue_wait
             .record(wait.as_secs_f64(), &[class_label(class)]);
     }
 
-    /// Records the time a request waited for an adapter to be loaded: the
-    /// measure that the agency weighs most. Requests that found it resident
-    /// count with zero.
+    /// Records how long a request waited for its adapter to be loaded, which is zero
+    /// if it was resident. This is the agency deployment's most important metric.
     pub fn load_stall(&self, class: Class, wait: Duration) {
         self.load_stall
             .record(wait.as_secs_f64(), &[class_label(class)]);
     }
 
-    /// Counts a load and records how long it took.
+    /// Counts a load of an adapter and records how long it took.
     pub fn load(&self, pool: &PoolName, how: Load, took: Duration) {
         let labels = [pool_label(pool), KeyValue::new("outcome", how.as_str())];
         self.loads.add(1, &labels);
         self.load_time.record(took.as_secs_f64(), &labels);
     }
 
-    /// Records how much of an engine's batch was used: the measure that the
-    /// consortium weighs most.
+    /// Records which fraction of an engine's batch was used: `used` of `places`. This is
+    /// the consortium deployment's most important metric.
     pub fn batch_efficiency(&self, pool: &PoolName, used: u32, places: u32) {
         let share = f64::from(used) / f64::from(places.max(1));
         self.batch.record(share, &[pool_label(pool)]);
     }
 
-    /// Sets how many engines this instance owns, and how many of them under a
-    /// lease that nobody could confirm.
+    /// Sets how many engines this instance owns, and how many of them are restricted
+    /// because their lease expired and no instance could confirm it.
     pub fn engines(&self, owned: u64, restricted: u64) {
         self.owned.record(owned, &[]);
         self.restricted.record(restricted, &[]);
     }
 
-    /// Sets the version of the text in force here.
+    /// Sets the version of the text that is in force on this instance.
     pub fn text_version(&self, version: TextVersion) {
         self.text.record(version.get(), &[]);
     }
 
-    /// Records the time from a change's acceptance to its being in force here.
+    /// Records the time from the acceptance of a change of the text until it is in
+    /// force on this instance.
     pub fn apply_lag(&self, lag: Duration) {
         self.apply_lag.record(lag.as_secs_f64(), &[]);
     }
 
-    /// Counts a connection that was replaced because it had gone silent.
+    /// Counts a connection that was replaced because it was unresponsive.
     pub fn silent_connection(&self) {
         self.silent.add(1, &[]);
     }
--- a/crates/telemetry/src/queue.rs
+++ b/crates/telemetry/src/queue.rs
@@ -1,9 +1,9 @@
-//! Lines on their way to standard output.
+//! Bounded queue of log lines for standard output.
 //!
-//! Failure: whoever reads standard output stalls. The pipe fills, and a process
-//! that writes to it stands still with all its requests. Lines are handed to a
-//! thread of their own through a queue with a bound; what finds it full is left
-//! out, counted, and told in a line once the reader goes on.
+//! If the reader of standard output stalls, the pipe fills up, and a process that
+//! writes to it directly blocks together with all its requests. Lines are therefore
+//! sent to a separate thread through a bounded queue. Lines that find the queue full
+//! are dropped and counted, and their number is logged once the reader continues.
 
 use std::{
     io::{self, Write},
@@ -19,24 +19,25 @@
 
 use crate::exposed;
 
-/// Lines that wait at most: two seconds of a busy entry instance, some 600 KB.
-const LINES: usize = 2_048;
+/// Most lines in the queue: two seconds of a busy entry instance, some 600 KB.
+const QUEUE_CAPACITY: usize = 2_048;
 
-/// How long the end of a process waits for its last lines.
-const FLUSH: Duration = Duration::from_millis(200);
+/// How long a flush, such as at the end of the process, waits for the queued lines.
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
 
 enum Item {
     Line(Vec<u8>),
+    /// Asks the writing thread to flush and to confirm on the channel.
     Flush(SyncSender<()>),
 }
 
-/// The writer that the logger hands its lines to.
+/// Log writer that queues lines for the thread that writes them.
 pub(crate) struct Queue {
     lines: SyncSender<Item>,
     format: FormatFunction,
-    left_out: AtomicU64,
-    /// Makes the line that tells how many were left out.
-    tell: fn(u64) -> String,
+    dropped: AtomicU64,
+    /// Formats the line that reports how many lines were dropped.
+    dropped_line: fn(u64) -> String,
 }
 
 impl Queue {
@@ -44,64 +45,64 @@
     pub(crate) fn start(
         out: impl Write + Send + 'static,
         format: FormatFunction,
-        tell: fn(u64) -> String,
+        dropped_line: fn(u64) -> String,
     ) -> io::Result<Self> {
-        let (lines, taken) = sync_channel(LINES);
+        let (lines, queued) = sync_channel(QUEUE_CAPACITY);
         thread::Builder::new()
             .name("log".to_owned())
-            .spawn(move || write_all(&taken, out))?;
+            .spawn(move || write_all(&queued, out))?;
         Ok(Queue {
             lines,
             format,
-            left_out: AtomicU64::new(0),
-            tell,
+            dropped: AtomicU64::new(0),
+            dropped_line,
         })
     }
 
-    /// Hands a line over; returns whether there was room.
-    fn offer(&self, line: Vec<u8>) -> bool {
+    /// Queues a line; returns whether there was room.
+    fn try_push(&self, line: Vec<u8>) -> bool {
         match self.lines.try_send(Item::Line(line)) {
             Ok(()) => true,
             Err(TrySendError::Full(_) | TrySendError::Disconnected(_)) => false,
         }
     }
 
-    fn tell_left_out(&self) {
-        let left_out = self.left_out.swap(0, Ordering::Relaxed);
-        if left_out > 0 && !self.offer((self.tell)(left_out).into_bytes()) {
-            self.left_out.fetch_add(left_out, Ordering::Relaxed);
+    fn report_dropped(&self) {
+        let dropped = self.dropped.swap(0, Ordering::Relaxed);
+        if dropped > 0 && !self.try_push((self.dropped_line)(dropped).into_bytes()) {
+            self.dropped.fetch_add(dropped, Ordering::Relaxed);
         }
     }
 }
 
 impl LogWriter for Queue {
     fn write(&self, now: &mut DeferredNow, record: &Record<'_>) -> io::Result<()> {
-        self.tell_left_out();
+        self.report_dropped();
         let mut line = Vec::new();
         (self.format)(&mut line, now, record)?;
         line.push(b'\n');
-        if !self.offer(line) {
-            self.left_out.fetch_add(1, Ordering::Relaxed);
-            exposed::line_left_out();
+        if !self.try_push(line) {
+            self.dropped.fetch_add(1, Ordering::Relaxed);
+            exposed::count_dropped_line();
         }
         Ok(())
     }
 
     fn flush(&self) -> io::Result<()> {
-        self.tell_left_out();
+        self.report_dropped();
         let (done, wait) = sync_channel(1);
         if self.lines.try_send(Item::Flush(done)).is_ok() {
-            // A reader that stalls costs the last lines, not the end.
-            wait.recv_timeout(FLUSH).ok();
+            // A stalled reader loses the last lines but doesn't block the shutdown.
+            wait.recv_timeout(FLUSH_TIMEOUT).ok();
         }
         Ok(())
     }
 }
 
-fn write_all(taken: &Receiver<Item>, mut out: impl Write) {
-    while let Ok(item) = taken.recv() {
+fn write_all(queued: &Receiver<Item>, mut out: impl Write) {
+    while let Ok(item) = queued.recv() {
         match item {
-            // There is nowhere left to tell that the output is gone.
+            // There is no other output on which to report a failed write.
             Item::Line(line) => drop(out.write_all(&line)),
             Item::Flush(done) => {
                 out.flush().ok();
--- a/crates/telemetry/src/secret.rs
+++ b/crates/telemetry/src/secret.rs
@@ -1,23 +1,23 @@
-//! A value that must not be read in a log, a span or a panic.
+//! Values that must not appear in a log, a span or a panic message.
 
 use std::fmt;
 
 use serde::{Serialize, Serializer};
 
-/// What stands in place of a secret.
-const STARS: &str = "***";
+/// Text that is written in place of a secret.
+const REDACTED: &str = "***";
 
-/// Hides a key or a prompt from whoever formats or serialises it.
+/// Wraps a key or a prompt so that formatting and serialising it write `***`.
 #[derive(Clone, PartialEq, Eq)]
 pub struct Secret<T>(T);
 
 impl<T> Secret<T> {
-    /// Hides `value`.
+    /// Wraps `value`.
     pub fn new(value: T) -> Self {
         Secret(value)
     }
 
-    /// Returns the value, for the one use that needs it.
+    /// Returns the wrapped value, for the code that has to use it.
     pub fn reveal(&self) -> &T {
         &self.0
     }
@@ -25,18 +25,18 @@
 
 impl<T> fmt::Debug for Secret<T> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(STARS)
+        f.write_str(REDACTED)
     }
 }
 
 impl<T> fmt::Display for Secret<T> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(STARS)
+        f.write_str(REDACTED)
     }
 }
 
 impl<T> Serialize for Secret<T> {
     fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
-        serializer.serialize_str(STARS)
+        serializer.serialize_str(REDACTED)
     }
 }
--- a/crates/telemetry/src/start.rs
+++ b/crates/telemetry/src/start.rs
@@ -17,7 +17,7 @@
 
 /// Time between two exports of metrics.
 const METRICS_INTERVAL: Duration = Duration::from_secs(10);
-/// Longest time that the end of a process waits for its last spans.
+/// Longest time that the process waits at its end for the last spans and metrics.
 const FLUSH_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Keeps logs, metrics and traces running; flushes them when dropped.
@@ -40,10 +40,11 @@
     let resource = resource(service, instance, settings);
     let tracer = tracer(settings, runtime.as_ref(), resource.clone())?;
     let meter = meter(settings, runtime.as_ref(), resource)?;
-    let own = filter::filter_fn(|meta| meta.is_span() && meta.target() == trace::TARGET);
+    let own_spans = filter::filter_fn(|meta| meta.is_span() && meta.target() == trace::TARGET);
     let layer = tracing_opentelemetry::layer().with_tracer(tracer.tracer(trace::TARGET));
-    let subscriber = tracing_subscriber::registry().with(layer.with_filter(own));
-    tracing::subscriber::set_global_default(subscriber).context("telemetry runs already")?;
+    let subscriber = tracing_subscriber::registry().with(layer.with_filter(own_spans));
+    tracing::subscriber::set_global_default(subscriber)
+        .context("telemetry has already been started")?;
     global::set_tracer_provider(tracer.clone());
     global::set_meter_provider(meter.clone());
     Ok(Guard {
@@ -56,16 +57,16 @@
 
 impl Drop for Guard {
     fn drop(&mut self) {
-        // Nobody is left to be told of a failed flush but the log itself.
+        // `drop` can't return an error, so a failed flush is only logged.
         if let Err(err) = self.tracer.shutdown_with_timeout(FLUSH_TIMEOUT) {
-            log::warn!("last spans not exported: {err}");
+            log::warn!("can't export the last spans: {err}");
         }
         if let Err(err) = self.meter.shutdown_with_timeout(FLUSH_TIMEOUT) {
-            log::warn!("last metrics not exported: {err}");
+            log::warn!("can't export the last metrics: {err}");
         }
         self.logger.flush();
         if let Some(runtime) = self.runtime.take() {
-            // A plain drop would panic inside the daemon's own runtime.
+            // Dropping a runtime inside the daemon's own async runtime would panic.
             runtime.shutdown_background();
         }
     }
@@ -91,8 +92,8 @@
         .build()
 }
 
-/// Makes the tracer. Without a collector no span is kept, yet ids are drawn
-/// and passed on, so that the hops of others stay joined.
+/// Builds the tracer. Without a collector no span is recorded, but ids are still
+/// generated and propagated, so that the spans of other hops stay connected.
 fn tracer(
     settings: &TelemetrySettings,
     runtime: Option<&Runtime>,
--- a/crates/telemetry/tests/catalogue.rs
+++ b/crates/telemetry/tests/catalogue.rs
@@ -1,4 +1,4 @@
-//! The page of logs and the code say the same.
+//! `docs/logs.md` lists the same events and metrics as the code.
 
 use std::{collections::BTreeSet, fs, path::PathBuf};
 
@@ -26,12 +26,12 @@
 }
 
 base::cases! {
-    /// Each way in which page and code can differ is noticed.
+    /// Each kind of difference between page and code is reported.
     difference_is_noticed: check_difference => {
         gone: ("| E1001 `Started`", "| gone", "E1001 Started is not on the page"),
-        reworded: ("| started |", "| begun |", "E1001 Started reads otherwise on the page"),
+        reworded: ("| started |", "| begun |", "E1001 Started differs on the page"),
         extra: ("| E1001 `Started`", "| E9999 `New` |\n| E1001 `Started`", "E9999 is not in the code"),
-        twice: ("| E1001 `Started`", "| E1002 `X` |\n| E1001 `Started`", "E1002 stands twice on the page"),
+        twice: ("| E1001 `Started`", "| E1002 `X` |\n| E1001 `Started`", "E1002 appears twice on the page"),
     }
 }
 
@@ -41,7 +41,7 @@
     assert_that!(catalogue::differences(&changed), contains(eq(expected)));
 }
 
-/// An instrument that the page doesn't list is one that no operator finds.
+/// The page must list every metric, because operators look metrics up there.
 #[test]
 fn metrics_and_page_agree() {
     let code = fs::read_to_string(root().join("crates/telemetry/src/metrics.rs")).unwrap();
--- a/crates/telemetry/tests/logs.rs
+++ b/crates/telemetry/tests/logs.rs
@@ -1,4 +1,4 @@
-//! One event is one JSON line with all that `docs/logs.md` promises.
+//! Each event is logged as one JSON line with the fields that `docs/logs.md` lists.
 
 use std::fs;
 
--- a/crates/telemetry/tests/otlp.rs
+++ b/crates/telemetry/tests/otlp.rs
@@ -1,4 +1,4 @@
-//! What a collector gets: spans joined from hop to hop, and metrics.
+//! What a collector receives: the connected spans of several hops, and metrics.
 
 use std::{
     net::SocketAddr,
@@ -15,18 +15,18 @@
 use telemetry::{LogLevel, TelemetrySettings, metrics};
 use tokio::net::TcpListener;
 
-/// What the fake collector was sent: path and body.
+/// Path and body of each request that the fake collector received.
 type Sent = Arc<Mutex<Vec<(String, Value)>>>;
 
 async fn collector() -> (SocketAddr, Sent) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let addr = listener.local_addr().unwrap();
     let sent = Sent::default();
-    let kept = sent.clone();
+    let received = sent.clone();
     tokio::spawn(async move {
         while let Ok((stream, _)) = listener.accept().await {
-            let kept = kept.clone();
-            let service = service_fn(move |req| take(req, kept.clone()));
+            let received = received.clone();
+            let service = service_fn(move |req| record_request(req, received.clone()));
             let conn = hyper::server::conn::http1::Builder::new();
             tokio::spawn(conn.serve_connection(TokioIo::new(stream), service));
         }
@@ -34,7 +34,10 @@
     (addr, sent)
 }
 
-async fn take(req: Request<Incoming>, sent: Sent) -> hyper::Result<Response<Empty<Bytes>>> {
+async fn record_request(
+    req: Request<Incoming>,
+    sent: Sent,
+) -> hyper::Result<Response<Empty<Bytes>>> {
     let path = req.uri().path().to_owned();
     let body = req.into_body().collect().await?.to_bytes();
     sent.lock()
@@ -43,7 +46,7 @@
     Ok(Response::new(Empty::new()))
 }
 
-/// All objects below `value` that have `key`.
+/// Collects in `found` all objects below `value` that have `key`.
 fn having<'v>(value: &'v Value, key: &str, found: &mut Vec<&'v Value>) {
     match value {
         Value::Array(items) => items.iter().for_each(|item| having(item, key, found)),
@@ -57,8 +60,8 @@
     }
 }
 
-/// A caller's trace goes on at the entry instance and at the owner of the
-/// engine, as one trace of three spans; the flush at the end loses none.
+/// The spans of the entry instance and of the engine's owner belong to the caller's
+/// trace, which then has three spans, and the flush at the end exports all of them.
 #[tokio::test]
 async fn spans_of_two_hops_are_joined() {
     let (addr, sent) = collector().await;
--- a/crates/telemetry/tests/unit/queue.rs
+++ b/crates/telemetry/tests/unit/queue.rs
@@ -1,4 +1,4 @@
-//! The queue of lines before standard output.
+//! The bounded queue of log lines for standard output.
 
 use std::{
     io::{self, Write},
@@ -13,9 +13,9 @@
 use googletest::prelude::*;
 use log::{Level, Record};
 
-use super::{LINES, Queue};
+use super::{QUEUE_CAPACITY, Queue};
 
-/// An output whose reader takes a line only when told.
+/// An output that blocks each write until the test sends on `go` or drops the sender.
 struct Stalled {
     go: Receiver<()>,
     written: Arc<Mutex<Vec<u8>>>,
@@ -55,24 +55,24 @@
     queue.write(&mut now, &record).unwrap();
 }
 
-/// The reader of standard output stalls for good. The process went on only when
-/// the reader did, and its requests with it.
+/// The reader of standard output stalls for good: writing log lines must not block
+/// the process and its requests.
 #[gtest]
 fn a_stalled_reader_holds_nobody_up() {
     let (queue, _go, _) = start();
     let began = Instant::now();
-    for n in 0..LINES * 4 {
+    for n in 0..QUEUE_CAPACITY * 4 {
         line(&queue, &format!("line {n}"));
     }
-    // The bound is far above what the lines take, and far below for ever.
+    // 10 s is far more than queueing the lines takes; a blocked write would never return.
     assert_that!(began.elapsed().as_secs(), lt(10));
 }
 
-/// Lines were left out while the reader stalled. It is told how many.
+/// Lines are dropped while the reader stalls; their number is logged afterwards.
 #[gtest]
 fn what_was_left_out_is_told() {
     let (queue, go, written) = start();
-    for n in 0..LINES + 11 {
+    for n in 0..QUEUE_CAPACITY + 11 {
         line(&queue, &format!("line {n}"));
     }
     drop(go);
