--- a/crates/text/src/check.rs
+++ b/crates/text/src/check.rs
@@ -1,5 +1,5 @@
-//! From raw types to the model: whether names refer to something that exists
-//! and fits.
+//! Builds the model from raw types and checks that each name refers to something that
+//! exists and has the right kind.
 
 mod brand;
 mod service;
@@ -58,16 +58,16 @@
     }
 }
 
-/// What the checks look names up in, and the problems they have found.
+/// Tables in which the checks look up names, and the problems found so far.
 struct Check<'r> {
     pools: BTreeMap<&'r str, &'r Option<PoolKind>>,
-    adapters: BTreeMap<&'r AdapterName, Owned<'r>>,
+    adapters: BTreeMap<&'r AdapterName, Declared<'r>>,
     keys: BTreeMap<[u8; 32], &'r BrandName>,
     problems: Vec<Problem>,
 }
 
 /// An adapter and the brand that declared its name first.
-struct Owned<'r> {
+struct Declared<'r> {
     brand: &'r RawBrand,
     adapter: &'r RawAdapter,
 }
@@ -100,12 +100,12 @@
                 adapter: name.clone(),
                 brand,
             };
-            return self.note(adapter.name.at, fault);
+            return self.report(adapter.name.at, fault);
         }
-        self.adapters.insert(name, Owned { brand, adapter });
+        self.adapters.insert(name, Declared { brand, adapter });
     }
 
-    fn note(&mut self, at: usize, fault: Fault) {
+    fn report(&mut self, at: usize, fault: Fault) {
         self.problems.push(Problem { at, fault });
     }
 }
--- a/crates/text/src/check/brand.rs
+++ b/crates/text/src/check/brand.rs
@@ -8,11 +8,11 @@
     check::Check,
     fault::Fault,
     model::{Adapter, Brand, Model, PoolKind},
-    query::{ADAPTER_MARK, VERSION_MARK},
-    raw::{At, RawAdapter, RawBrand},
+    query::{ADAPTER_PLACEHOLDER, VERSION_PLACEHOLDER},
+    raw::{Located, RawAdapter, RawBrand},
 };
 
-/// Checks `brand` and puts it and its adapters into `model`.
+/// Checks `brand` and adds it and its adapters to `model`.
 pub(super) fn check<'r>(check: &mut Check<'r>, brand: &'r RawBrand, model: &mut Model) {
     let keys = keys(check, brand);
     let name = brand.name.value.clone();
@@ -24,9 +24,9 @@
         },
     );
     if let Some(weights) = &brand.weights
-        && !weights.value.contains(ADAPTER_MARK)
+        && !weights.value.contains(ADAPTER_PLACEHOLDER)
     {
-        check.note(weights.at, Fault::WeightsAdapter);
+        check.report(weights.at, Fault::WeightsWithoutAdapter);
     }
     if let Some(base) = &brand.base {
         check_base(check, base);
@@ -46,11 +46,11 @@
         return Vec::new();
     };
     if keys.is_empty() {
-        check.note(brand.name.at, Fault::NoKeys(brand.name.value.clone()));
+        check.report(brand.name.at, Fault::NoKeys(brand.name.value.clone()));
     }
     for key in keys {
         if let Some(other) = check.keys.insert(key.value, &brand.name.value) {
-            check.note(key.at, Fault::KeyTaken(other.clone()));
+            check.report(key.at, Fault::KeyTaken(other.clone()));
         }
     }
     keys.iter().map(|key| key.value).collect()
@@ -66,11 +66,11 @@
     }
     let base = raw.base.as_ref().or(brand.base.as_ref());
     if base.is_none() {
-        check.note(name.at, Fault::NoBase(name.value.clone()));
+        check.report(name.at, Fault::NoBase(name.value.clone()));
     }
     let weights = raw.weights.as_ref().or(brand.weights.as_ref());
     if weights.is_none() {
-        check.note(name.at, Fault::NoWeights(name.value.clone()));
+        check.report(name.at, Fault::NoWeights(name.value.clone()));
     }
     let (serve, versions) = versions(check, raw)?;
     Some(Adapter {
@@ -78,7 +78,9 @@
         base: base?.value.clone(),
         serve,
         versions,
-        weights: weights?.value.replace(ADAPTER_MARK, name.value.as_str()),
+        weights: weights?
+            .value
+            .replace(ADAPTER_PLACEHOLDER, name.value.as_str()),
     })
 }
 
@@ -87,24 +89,24 @@
     let mut versions = BTreeSet::new();
     for version in listed {
         if !versions.insert(version.value) {
-            check.note(version.at, Fault::DoubleVersion(version.value));
+            check.report(version.at, Fault::DuplicateVersion(version.value));
         }
     }
     let name = || raw.name.value.clone();
     let serve = match (&raw.serve, versions.len()) {
         (_, 0) => {
-            check.note(raw.name.at, Fault::NoVersions(name()));
+            check.report(raw.name.at, Fault::NoVersions(name()));
             return None;
         }
         (Some(serve), _) => serve.clone(),
         (None, 1) => listed[0].clone(),
         (None, _) => {
-            check.note(raw.name.at, Fault::ServeUnsaid(name()));
+            check.report(raw.name.at, Fault::AmbiguousServe(name()));
             return None;
         }
     };
     if !versions.contains(&serve.value) {
-        check.note(
+        check.report(
             serve.at,
             Fault::ServeUnknown {
                 adapter: name(),
@@ -115,20 +117,20 @@
     Some((serve.value, versions.into_iter().collect()))
 }
 
-fn check_base(check: &mut Check<'_>, base: &At<base::BaseName>) {
+fn check_base(check: &mut Check<'_>, base: &Located<base::BaseName>) {
     let mut runs = check.pools.values().map(|kind| match kind {
         Some(PoolKind::Engine { base: runs, .. }) => *runs == base.value,
         Some(PoolKind::Plain { .. }) => false,
-        // A pool that could not be read may be the one.
+        // A pool whose kind could not be read may run this base model.
         None => true,
     });
     if !runs.any(|runs| runs) {
-        check.note(base.at, Fault::UnknownBase(base.value.clone()));
+        check.report(base.at, Fault::UnknownBase(base.value.clone()));
     }
 }
 
-fn check_weights(check: &mut Check<'_>, weights: &At<String>) {
-    if !weights.value.contains(VERSION_MARK) {
-        check.note(weights.at, Fault::WeightsVersion);
+fn check_weights(check: &mut Check<'_>, weights: &Located<String>) {
+    if !weights.value.contains(VERSION_PLACEHOLDER) {
+        check.report(weights.at, Fault::WeightsWithoutVersion);
     }
 }
--- a/crates/text/src/check/service.rs
+++ b/crates/text/src/check/service.rs
@@ -1,4 +1,4 @@
-//! Checks of a brand's services and of what they need.
+//! Checks of a brand's services and of their dependencies.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,10 +9,10 @@
     fault::Fault,
     model::{Model, PoolKind, Service, ServiceKind},
     order,
-    raw::{At, RawBrand, RawEach, RawKind, RawService},
+    raw::{Located, RawBrand, RawEachAdapter, RawKind, RawService},
 };
 
-/// Checks the services of `brand` and puts them into `model`.
+/// Checks the services of `brand` and adds them to `model`.
 pub(super) fn check(check: &mut Check<'_>, brand: &RawBrand, model: &mut Model) {
     let mut services = BTreeMap::new();
     for raw in &brand.services {
@@ -44,12 +44,12 @@
     })
 }
 
-fn plain(check: &mut Check<'_>, pool: Option<&At<PoolName>>) -> Option<ServiceKind> {
+fn plain(check: &mut Check<'_>, pool: Option<&Located<PoolName>>) -> Option<ServiceKind> {
     let pool = pool?;
     match find_pool(check, pool)? {
         PoolKind::Plain { .. } => Some(ServiceKind::Plain),
         PoolKind::Engine { .. } => {
-            check.note(pool.at, Fault::EnginePool(pool.value.clone()));
+            check.report(pool.at, Fault::EnginePool(pool.value.clone()));
             None
         }
     }
@@ -58,8 +58,8 @@
 fn assistant(
     check: &mut Check<'_>,
     brand: &BrandName,
-    adapter: Option<&At<AdapterName>>,
-    pool: Option<&At<PoolName>>,
+    adapter: Option<&Located<AdapterName>>,
+    pool: Option<&Located<PoolName>>,
 ) -> Option<ServiceKind> {
     let base = adapter.and_then(|adapter| adapter_base(check, brand, adapter));
     let runs = pool.and_then(|pool| engine_base(check, pool));
@@ -67,7 +67,7 @@
     let (base, runs) = (base?, runs?);
     if base != runs {
         let (adapter, pool) = (adapter.value.clone(), pool.clone());
-        check.note(
+        check.report(
             pool.at,
             Fault::OtherBase {
                 adapter,
@@ -83,14 +83,14 @@
     })
 }
 
-/// Returns the base model of an adapter, where it exists and is the brand's.
+/// Returns the base model of an adapter, if it exists and belongs to the brand.
 fn adapter_base(
     check: &mut Check<'_>,
     brand: &BrandName,
-    adapter: &At<AdapterName>,
+    adapter: &Located<AdapterName>,
 ) -> Option<BaseName> {
     let Some(found) = check.adapters.get(&adapter.value) else {
-        check.note(adapter.at, Fault::UnknownAdapter(adapter.value.clone()));
+        check.report(adapter.at, Fault::UnknownAdapter(adapter.value.clone()));
         return None;
     };
     let owner = &found.brand.name.value;
@@ -101,7 +101,7 @@
             owner: owner.clone(),
             brand: brand.clone(),
         };
-        check.note(at, fault);
+        check.report(at, fault);
         return None;
     }
     let base = found.adapter.base.as_ref().or(found.brand.base.as_ref());
@@ -109,32 +109,32 @@
 }
 
 /// Returns the base model that a pool's engines run.
-fn engine_base(check: &mut Check<'_>, pool: &At<PoolName>) -> Option<BaseName> {
+fn engine_base(check: &mut Check<'_>, pool: &Located<PoolName>) -> Option<BaseName> {
     match find_pool(check, pool)? {
         PoolKind::Engine { base, .. } => Some(base.clone()),
         PoolKind::Plain { .. } => {
-            check.note(pool.at, Fault::PlainPool(pool.value.clone()));
+            check.report(pool.at, Fault::PlainPool(pool.value.clone()));
             None
         }
     }
 }
 
-fn find_pool<'r>(check: &mut Check<'r>, pool: &At<PoolName>) -> Option<&'r PoolKind> {
+fn find_pool<'r>(check: &mut Check<'r>, pool: &Located<PoolName>) -> Option<&'r PoolKind> {
     match check.pools.get(pool.value.as_str()) {
         Some(kind) => kind.as_ref(),
         None => {
-            check.note(pool.at, Fault::UnknownPool(pool.value.clone()));
+            check.report(pool.at, Fault::UnknownPool(pool.value.clone()));
             None
         }
     }
 }
 
-/// Adds a service of its own name for every adapter of the brand. What is
-/// wrong with the pool is noted once, not for each adapter.
+/// Adds a service for every adapter of the brand, under the adapter's name. A problem
+/// with the pool is reported once, not for each adapter.
 fn each_adapter(
     check: &mut Check<'_>,
     brand: &RawBrand,
-    each: &RawEach,
+    each: &RawEachAdapter,
     services: &mut BTreeMap<ServiceName, Service>,
 ) {
     let declared: BTreeSet<_> = brand
@@ -148,7 +148,7 @@
             continue;
         };
         if declared.contains(&name) {
-            check.note(raw.name.at, Fault::ServiceTaken(name));
+            check.report(raw.name.at, Fault::ServiceTaken(name));
             continue;
         }
         let base = raw.base.as_ref().or(brand.base.as_ref());
@@ -158,7 +158,7 @@
         if base.value != *runs {
             let (adapter, base) = (raw.name.value.clone(), base.value.clone());
             let (pool, runs) = (pool.value.clone(), runs.clone());
-            check.note(
+            check.report(
                 raw.name.at,
                 Fault::OtherBase {
                     adapter,
@@ -179,9 +179,9 @@
 
 fn adapter_service(
     adapter: AdapterName,
-    pool: &At<PoolName>,
+    pool: &Located<PoolName>,
     class: Class,
-    each: &RawEach,
+    each: &RawEachAdapter,
 ) -> Service {
     Service {
         kind: ServiceKind::Assistant { adapter },
@@ -220,18 +220,18 @@
     check: &mut Check<'_>,
     brand: &RawBrand,
     service: &ServiceName,
-    needs: &[At<ServiceName>],
+    needs: &[Located<ServiceName>],
     known: &BTreeSet<&str>,
 ) {
     let mut seen = BTreeSet::new();
     for need in needs {
         if !seen.insert(&need.value) {
-            check.note(need.at, Fault::DoubleNeed(need.value.clone()));
+            check.report(need.at, Fault::DuplicateNeed(need.value.clone()));
         }
         if !known.contains(need.value.as_str()) {
             let (service, need, at) = (service.clone(), need.value.clone(), need.at);
             let brand = brand.name.value.clone();
-            check.note(
+            check.report(
                 at,
                 Fault::UnknownNeed {
                     service,
@@ -243,10 +243,9 @@
     }
 }
 
-/// Notes each circle at the service where it is entered first by name.
+/// Reports each cycle once, at the first by name of its declared services.
 ///
-/// A circle would leave all of its services waiting for each other: the
-/// system would report them as coming up for ever.
+/// The services of a cycle would wait for each other and never come up.
 fn check_cycles(
     check: &mut Check<'_>,
     brand: &RawBrand,
@@ -273,6 +272,6 @@
             .iter()
             .find(|service| cycle.0.contains(&service.name.value));
         let at = first.map_or(brand.name.at, |service| service.name.at);
-        check.note(at, cycle.into());
+        check.report(at, cycle.into());
     }
 }
--- a/crates/text/src/diff.rs
+++ b/crates/text/src/diff.rs
@@ -1,4 +1,4 @@
-//! What changes between two texts, in the operators' own words.
+//! Differences between two texts, in terms of the text's own keys.
 
 use std::{collections::BTreeMap, fmt};
 
@@ -6,17 +6,17 @@
 
 use crate::model::{Adapter, Brand, Limits, Model, Pool, PoolKind, Service, ServiceKind, Store};
 
-/// Hex digits of a key's hash that a difference shows.
-const HASH_SHOWN: usize = 4;
+/// Bytes of a key's hash that a difference shows, as two hex digits each.
+const HASH_BYTES_SHOWN: usize = 4;
 
 record! {
-    /// What differs.
+    /// Kind of a thing that differs.
     #[derive(Copy, PartialOrd, Ord)]
     #[serde(rename_all = "lowercase")]
     pub enum What {
-        /// Limits for everybody.
+        /// Limits for all brands.
         Limits,
-        /// What the weight store allows.
+        /// Limits of the weight store.
         Store,
         /// A pool.
         Pool,
@@ -24,13 +24,13 @@
         Brand,
         /// An adapter.
         Adapter,
-        /// A version of an adapter that both texts have.
+        /// A version of an adapter, where both texts have the adapter.
         Version,
         /// A service.
         Service,
     }
 
-    /// How it differs.
+    /// How a thing differs.
     #[derive(Copy, PartialOrd, Ord)]
     #[serde(rename_all = "lowercase")]
     pub enum How {
@@ -44,26 +44,27 @@
 
     /// One difference.
     pub struct Change {
-        /// What differs.
+        /// Kind of the thing that differs.
         pub what: What,
-        /// Its name.
+        /// Its name; empty for limits and store.
         pub name: String,
         /// How it differs.
         pub how: How,
-        /// Each value that differs, as `key: old -> new`.
+        /// Each value that differs, as `key: old -> new`; for an added thing, all its
+        /// values, as `key: value`.
         pub details: Vec<String>,
     }
 
     /// All differences, in a fixed order.
     #[derive(Default)]
     pub struct Diff {
-        /// One for each thing that differs.
+        /// One change for each thing that differs.
         pub changes: Vec<Change>,
     }
 }
 
-/// Things of one kind by name, each as its keys and values.
-type Things = BTreeMap<String, Vec<(&'static str, String)>>;
+/// Items of one kind by name, each with its keys and values.
+type Items = BTreeMap<String, Vec<(&'static str, String)>>;
 
 /// Compares two texts.
 #[must_use]
@@ -72,32 +73,32 @@
     compare(
         &mut changes,
         What::Limits,
-        one(limits(&old.limits)),
-        one(limits(&new.limits)),
+        single(limits(&old.limits)),
+        single(limits(&new.limits)),
     );
     compare(
         &mut changes,
         What::Store,
-        one(store(&old.store)),
-        one(store(&new.store)),
+        single(store(&old.store)),
+        single(store(&new.store)),
     );
     compare(
         &mut changes,
         What::Pool,
-        each(&old.pools, pool),
-        each(&new.pools, pool),
+        items(&old.pools, pool),
+        items(&new.pools, pool),
     );
     compare(
         &mut changes,
         What::Brand,
-        each(&old.brands, brand),
-        each(&new.brands, brand),
+        items(&old.brands, brand),
+        items(&new.brands, brand),
     );
     compare(
         &mut changes,
         What::Adapter,
-        each(&old.adapters, adapter),
-        each(&new.adapters, adapter),
+        items(&old.adapters, adapter),
+        items(&new.adapters, adapter),
     );
     compare(
         &mut changes,
@@ -110,7 +111,7 @@
 }
 
 impl Diff {
-    /// Returns whether both texts say the same.
+    /// Returns whether both texts declare the same.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.changes.is_empty()
@@ -157,7 +158,7 @@
     }
 }
 
-fn compare(changes: &mut Vec<Change>, what: What, old: Things, new: Things) {
+fn compare(changes: &mut Vec<Change>, what: What, old: Items, new: Items) {
     let mut change = |name: &str, how, details| {
         changes.push(Change {
             what,
@@ -186,8 +187,8 @@
     }
 }
 
-/// Lists values that differ. Values are matched by key, as a pool or service
-/// of another kind has other keys.
+/// Lists values that differ. Values are matched by key, because pools and services of
+/// different kinds have different keys.
 fn details(old: &[(&'static str, String)], new: &[(&'static str, String)]) -> Vec<String> {
     let find = |list: &[(&'static str, String)], key| {
         list.iter()
@@ -205,14 +206,15 @@
         .collect()
 }
 
-fn one(values: Vec<(&'static str, String)>) -> Things {
+/// Returns the values of a thing that has no name.
+fn single(values: Vec<(&'static str, String)>) -> Items {
     BTreeMap::from([(String::new(), values)])
 }
 
-fn each<N: fmt::Display, T>(
+fn items<N: fmt::Display, T>(
     things: &BTreeMap<N, T>,
     values: impl Fn(&T) -> Vec<(&'static str, String)>,
-) -> Things {
+) -> Items {
     things
         .iter()
         .map(|(name, thing)| (name.to_string(), values(thing)))
@@ -278,7 +280,7 @@
 
 fn short_hash(hash: &[u8; 32]) -> String {
     hash.iter()
-        .take(HASH_SHOWN)
+        .take(HASH_BYTES_SHOWN)
         .map(|byte| format!("{byte:02x}"))
         .collect()
 }
@@ -292,10 +294,10 @@
     ]
 }
 
-/// Versions of the adapters of `one` that `other` has too; those of the rest
-/// come and go with their adapters.
-fn versions(one: &Model, other: &Model) -> Things {
-    let shared = one
+/// Returns the versions of those adapters of `model` that `other` has too. For the other
+/// adapters, the addition or removal of the adapter covers its versions.
+fn versions(model: &Model, other: &Model) -> Items {
+    let shared = model
         .adapters
         .iter()
         .filter(|(name, _)| other.adapters.contains_key(*name));
@@ -308,7 +310,7 @@
     names.map(|name| (name, Vec::new())).collect()
 }
 
-fn services(model: &Model) -> Things {
+fn services(model: &Model) -> Items {
     let all = model.services.iter().flat_map(|(brand, services)| {
         services
             .iter()
--- a/crates/text/src/errors.rs
+++ b/crates/text/src/errors.rs
@@ -1,10 +1,10 @@
-//! All errors of a text, with line and column.
+//! The errors of a text, with line and column.
 
 use std::fmt;
 
 use crate::fault::Fault;
 
-/// A fault at a byte of the text.
+/// A fault and its byte offset in the text.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Problem {
     pub(crate) at: usize,
@@ -18,21 +18,21 @@
     pub line: usize,
     /// Column in characters, from 1.
     pub column: usize,
-    /// What is wrong there.
+    /// What is wrong at that position.
     pub fault: Fault,
 }
 
-/// All errors of a text, in its order; never empty.
+/// All errors of a text, ordered by position; never empty.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Errors(Vec<Error>);
 
 impl Errors {
-    /// Places `problems` in `source`.
+    /// Converts the byte offsets of `problems` in `source` to lines and columns.
     pub(crate) fn new(source: &str, mut problems: Vec<Problem>) -> Self {
         problems.sort_by_key(|problem| problem.at);
         problems.dedup();
         let lines = line_starts(source);
-        let place = |problem: Problem| {
+        let locate = |problem: Problem| {
             let at = problem.at.min(source.len());
             let line = lines.partition_point(|start| *start <= at);
             let before = source.get(lines[line - 1]..at).unwrap_or_default();
@@ -42,21 +42,22 @@
                 fault: problem.fault,
             }
         };
-        Errors(problems.into_iter().map(place).collect())
+        Errors(problems.into_iter().map(locate).collect())
     }
 
-    /// Iterates over the errors in the order of the text.
+    /// Iterates over the errors, ordered by position in the text.
     pub fn iter(&self) -> impl Iterator<Item = &Error> {
         self.0.iter()
     }
 
-    /// Returns one message an error.
+    /// Returns one message for each error.
     #[must_use]
     pub fn messages(&self) -> Vec<String> {
         self.0.iter().map(Error::to_string).collect()
     }
 }
 
+/// Returns the byte offset at which each line starts.
 fn line_starts(source: &str) -> Vec<usize> {
     let breaks = source
         .bytes()
--- a/crates/text/src/keys.rs
+++ b/crates/text/src/keys.rs
@@ -1,4 +1,4 @@
-//! Callers' keys, of which the text holds only hashes.
+//! Callers' keys. The text contains only their hashes.
 
 use std::collections::BTreeMap;
 
@@ -8,26 +8,26 @@
 
 use crate::model::Model;
 
-/// Hex digits of a hash.
+/// Hex digits of a SHA-256 hash.
 const HASH_DIGITS: usize = 64;
 
-/// Says that a text is no key's hash.
+/// A string that is not the hash of a key; holds its length in characters.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
-#[error("a key is written as its SHA-256: {HASH_DIGITS} hex digits, not {0} characters of text")]
+#[error("a key must be given as its SHA-256: {HASH_DIGITS} hex digits, not {0} characters of text")]
 pub struct BadHash(usize);
 
-/// Hashes a caller's key as the text writes it.
+/// Returns the hash under which the text lists a caller's key.
 #[must_use]
 pub fn key_hash(key: &str) -> [u8; 32] {
     Sha256::digest(key.as_bytes()).into()
 }
 
-/// Reads a key's hash from hex digits.
+/// Parses a key's hash from hex digits.
 ///
 /// # Errors
 ///
-/// Fails on anything but 64 hex digits. The message doesn't repeat the text:
-/// it may be a key that was pasted by mistake.
+/// Fails on anything but 64 hex digits. The message doesn't repeat the
+/// input, which may be a key that was pasted by mistake.
 pub fn parse_hash(raw: &str) -> Result<[u8; 32], BadHash> {
     let bad = || BadHash(raw.chars().count());
     if raw.len() != HASH_DIGITS || !raw.bytes().all(|byte| byte.is_ascii_hexdigit()) {
@@ -40,16 +40,15 @@
     Ok(hash)
 }
 
-/// Finds the brand that a key names.
+/// Maps the hashes of keys to brands.
 ///
-/// The search compares hashes, not keys: how long it takes depends on the
-/// hash of what a caller sent, which tells nothing about how near that was to
-/// a real key.
+/// The lookup compares hashes, not keys, so its timing depends only on the hash of
+/// what a caller sent and doesn't reveal how similar that was to a valid key.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Keys(BTreeMap<[u8; 32], BrandName>);
 
 impl Keys {
-    /// Returns the brand that the key with this hash names.
+    /// Returns the brand of the key with this hash.
     #[must_use]
     pub fn brand(&self, hash: &[u8; 32]) -> Option<&BrandName> {
         self.0.get(hash)
--- a/crates/text/src/lib.rs
+++ b/crates/text/src/lib.rs
@@ -1,9 +1,9 @@
-//! The operators' text: from raw TOML to a checked model.
+//! The operators' configuration text ("the text"): from TOML to a checked model.
 //!
-//! `Model::try_from(text)` reads and checks in two passes. The first turns the
-//! TOML into raw types that remember where each value stands; the second
-//! turns raw types into the [`Model`]. Both go on after an error, so that all
-//! errors come out together, each with its line and column.
+//! `Model::try_from(text)` works in two passes. The first parses the TOML into raw
+//! types that keep the position of each value; the second checks these and builds
+//! the [`Model`]. Both continue after an error, so that all errors are reported
+//! together, each with its line and column.
 
 mod check;
 mod diff;
--- a/crates/text/src/model.rs
+++ b/crates/text/src/model.rs
@@ -1,8 +1,8 @@
 //! The checked model of the text.
 //!
-//! Whoever holds a [`Model`] holds one that passed every check: all names
-//! refer to something that exists, no dependency runs in a circle, every
-//! number lies within its limits.
+//! A [`Model`] that was built from a text has passed every check: all names refer to
+//! something that exists, there are no dependency cycles, and every number is within
+//! its limits.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -12,62 +12,62 @@
 };
 
 record! {
-    /// All that operators declare.
+    /// Everything that the text declares.
     #[derive(Default)]
     pub struct Model {
-        /// Limits that hold for everybody.
+        /// Limits that apply to all brands.
         pub limits: Limits,
-        /// What the weight store allows.
+        /// Limits of the weight store.
         pub store: Store,
-        /// Kinds of targets.
+        /// Pools of targets.
         pub pools: BTreeMap<PoolName, Pool>,
-        /// Audiences and organisations.
+        /// Brands (audiences or organisations) with their keys.
         pub brands: BTreeMap<BrandName, Brand>,
         /// Adapters of all brands.
         pub adapters: BTreeMap<AdapterName, Adapter>,
-        /// What each brand's callers can reach.
+        /// Services that each brand's callers can use.
         pub services: BTreeMap<BrandName, BTreeMap<ServiceName, Service>>,
     }
 
-    /// Limits that hold for everybody.
+    /// Limits that apply to all brands.
     pub struct Limits {
-        /// Largest body of a request.
+        /// Largest body of a request, in bytes.
         pub max_body: Bytes,
-        /// How long a live request may take when it doesn't say.
+        /// Deadline of a live request that names none itself.
         pub live_deadline: Duration,
-        /// How long a critical request may take when it doesn't say.
+        /// Deadline of a critical request that names none itself.
         pub critical_deadline: Duration,
-        /// How long batch work may take when it doesn't say.
+        /// Deadline of a batch request that names none itself.
         pub batch_deadline: Duration,
-        /// Attempts at one request, the first included.
+        /// Most attempts at one request, including the first.
         pub attempts: u32,
     }
 
-    /// What the weight store allows.
+    /// Limits of the weight store.
     pub struct Store {
-        /// Loads that may start each second, over the whole system.
+        /// Loads that may start each second, in the whole system.
         pub rate: PerSecond,
-        /// Loads that run at full speed at the same time.
+        /// Loads that can run at the same time at full speed.
         pub at_once: u32,
     }
 
-    /// Targets that are alike.
+    /// A group of equal targets.
     pub struct Pool {
-        /// What they are.
+        /// Kind of the targets.
         pub kind: PoolKind,
     }
 
-    /// What a pool's targets are.
+    /// The kind of a pool's targets.
     pub enum PoolKind {
         /// Model engines.
         Engine {
-            /// The base model that they run.
+            /// The base model that the engines run.
             base: BaseName,
-            /// Adapters that fit at once.
+            /// Adapters that an engine can have loaded at once.
             slots: u32,
-            /// Requests that run at once.
+            /// Requests that an engine runs at once.
             batch: u32,
-            /// Whether they refuse orders under an old fencing number.
+            /// Whether the engines refuse orders with a stale fencing number.
             fencing: bool,
         },
         /// Plain services.
@@ -79,48 +79,49 @@
 
     /// An audience or organisation.
     pub struct Brand {
-        /// Its share of what several brands want at once, against the others'.
+        /// Its share of contended capacity, relative to the weights of other brands.
         pub weight: u32,
-        /// SHA-256 of each of its keys.
+        /// SHA-256 hash of each of its keys.
         pub keys: Vec<[u8; 32]>,
     }
 
     /// An adapter.
     pub struct Adapter {
-        /// Whose it is.
+        /// The brand that it belongs to.
         pub brand: BrandName,
         /// The base model that it was made for.
         pub base: BaseName,
-        /// The version that requests run on unless they name one.
+        /// The version that requests use unless they name one.
         pub serve: Version,
         /// Versions that requests may name.
         pub versions: Vec<Version>,
-        /// Where the weights lie; `{version}` stands for the version.
+        /// Path of the weights in the weight store, in which `{version}` stands for the
+        /// version.
         pub weights: String,
     }
 
-    /// What a brand's callers can reach under one name.
+    /// A service that a brand's callers can use under one name.
     pub struct Service {
-        /// What answers.
+        /// What answers the requests.
         pub kind: ServiceKind,
         /// The pool whose targets answer.
         pub pool: PoolName,
-        /// How urgent its requests are, unless they say less.
+        /// Class of its requests; a request may ask for a less urgent one.
         pub class: Class,
-        /// Whether its requests may be repeated.
+        /// Whether its requests may be retried, or must run at most once.
         pub mark: Mark,
-        /// Services of the same brand that must be up before this one.
+        /// Services of the same brand that must be up before this one is started.
         pub needs: Vec<ServiceName>,
     }
 
     /// What answers a service's requests.
     pub enum ServiceKind {
-        /// An assistant on an adapter, by `/v1/chat/completions`.
+        /// An assistant that uses an adapter, called at `/v1/chat/completions`.
         Assistant {
             /// The adapter.
             adapter: AdapterName,
         },
-        /// A plain service, by path below the brand's name.
+        /// A plain HTTP service, called at paths below the brand's name.
         Plain,
     }
 }
--- a/crates/text/src/order.rs
+++ b/crates/text/src/order.rs
@@ -1,4 +1,4 @@
-//! The order in which services come up: what is needed goes first.
+//! The order in which services are started: dependencies first.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -8,13 +8,14 @@
 use base::ServiceName;
 use thiserror::Error;
 
-/// Services that need each other in a circle; the first follows the last.
+/// Services that depend on each other in a cycle: each needs the next one, and the last
+/// needs the first.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub struct Cycle(pub Vec<ServiceName>);
 
 impl fmt::Display for Cycle {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("services need each other in a circle: ")?;
+        f.write_str("services depend on each other in a cycle: ")?;
         for name in &self.0 {
             write!(f, "{name} -> ")?;
         }
@@ -22,20 +23,22 @@
     }
 }
 
-/// What each service needs.
+/// The services that each service depends on.
 pub(crate) type Needs<'a> = BTreeMap<&'a ServiceName, Vec<&'a ServiceName>>;
 
-/// Orders services so that each comes after all that it needs, by name where
-/// nothing else decides. Returns what could not be ordered beside it.
+/// Sorts services topologically: each comes after all that it needs, and services that
+/// don't depend on each other are ordered by name. Also returns those that can't be
+/// ordered, because they are part of a cycle or depend on one.
 pub(crate) fn order<'a>(needs: &Needs<'a>) -> (Vec<&'a ServiceName>, BTreeSet<&'a ServiceName>) {
-    let mut open: BTreeMap<&ServiceName, usize> = BTreeMap::new();
-    let mut needed: BTreeMap<&ServiceName, Vec<&ServiceName>> = BTreeMap::new();
+    // Number of needs of each service that are not in `sorted` yet.
+    let mut unmet: BTreeMap<&ServiceName, usize> = BTreeMap::new();
+    let mut dependents: BTreeMap<&ServiceName, Vec<&ServiceName>> = BTreeMap::new();
     for (name, list) in needs {
         let known = list.iter().filter(|need| needs.contains_key(*need));
-        open.insert(name, known.clone().count());
-        known.for_each(|need| needed.entry(need).or_default().push(name));
+        unmet.insert(name, known.clone().count());
+        known.for_each(|need| dependents.entry(need).or_default().push(name));
     }
-    let mut ready: BTreeSet<_> = open
+    let mut ready: BTreeSet<_> = unmet
         .iter()
         .filter(|(_, n)| **n == 0)
         .map(|(s, _)| *s)
@@ -43,9 +46,9 @@
     let mut sorted = Vec::with_capacity(needs.len());
     while let Some(name) = ready.pop_first() {
         sorted.push(name);
-        open.remove(name);
-        for dependent in needed.get(name).into_iter().flatten() {
-            let Some(left) = open.get_mut(dependent) else {
+        unmet.remove(name);
+        for dependent in dependents.get(name).into_iter().flatten() {
+            let Some(left) = unmet.get_mut(dependent) else {
                 continue;
             };
             *left -= 1;
@@ -54,15 +57,14 @@
             }
         }
     }
-    (sorted, open.into_keys().collect())
+    (sorted, unmet.into_keys().collect())
 }
 
-/// Finds the circles among `needs`, each once and starting with its first
-/// service by name.
+/// Finds the cycles in `needs`, each once and starting with its first service by name.
 ///
-/// Whatever [`order`] leaves over needs something else that is left over, so
-/// a walk along such needs always ends in a circle; taking that circle out
-/// and ordering the rest again finds the next.
+/// Each service that [`order`] can't order needs another such service, so following
+/// these needs always leads into a cycle. Removing that cycle and ordering the rest
+/// again finds the next one.
 pub(crate) fn cycles(needs: &Needs<'_>) -> Vec<Cycle> {
     let mut needs = needs.clone();
     let mut found = Vec::new();
@@ -80,7 +82,8 @@
     }
 }
 
-/// Walks from `start` along needs until a service comes twice.
+/// Follows the needs from `start` until a service is reached again, and returns the
+/// cycle that this closes.
 fn walk<'a>(needs: &Needs<'a>, start: &'a ServiceName) -> Vec<&'a ServiceName> {
     let mut path = vec![start];
     let mut places = BTreeMap::from([(start, 0)]);
@@ -100,6 +103,7 @@
     path
 }
 
+/// Rotates a cycle so that it starts with its first service by name.
 fn rotate<'a>(cycle: &[&'a ServiceName]) -> Vec<&'a ServiceName> {
     let mut cycle = cycle.to_vec();
     let first = cycle.iter().enumerate().min_by_key(|(_, name)| **name);
--- a/crates/text/src/query.rs
+++ b/crates/text/src/query.rs
@@ -1,4 +1,4 @@
-//! Questions that others ask the model.
+//! Lookups in the model for other crates.
 
 use std::collections::BTreeMap;
 
@@ -9,10 +9,10 @@
     order,
 };
 
-/// Stands for the version in the place of weights.
-pub(crate) const VERSION_MARK: &str = "{version}";
-/// Stands for the adapter in the place of weights.
-pub(crate) const ADAPTER_MARK: &str = "{adapter}";
+/// Placeholder for the version in the path of weights.
+pub(crate) const VERSION_PLACEHOLDER: &str = "{version}";
+/// Placeholder for the adapter's name in the path of weights.
+pub(crate) const ADAPTER_PLACEHOLDER: &str = "{adapter}";
 
 impl Model {
     /// Returns a service of a brand.
@@ -21,7 +21,7 @@
         self.services.get(brand)?.get(service)
     }
 
-    /// Returns the services of a brand, each after all that it needs.
+    /// Returns the services of a brand, each after all services that it needs.
     #[must_use]
     pub fn order(&self, brand: &BrandName) -> Vec<&ServiceName> {
         let Some(services) = self.services.get(brand) else {
@@ -33,7 +33,7 @@
         order::order(&needs.collect()).0
     }
 
-    /// Returns for each pool the services that it answers.
+    /// Returns for each pool the services that run on it.
     #[must_use]
     pub fn pool_services(&self) -> BTreeMap<&PoolName, Vec<(&BrandName, &ServiceName)>> {
         let mut pools: BTreeMap<_, Vec<_>> =
@@ -48,9 +48,10 @@
 }
 
 impl Adapter {
-    /// Returns where the weights of `version` lie.
+    /// Returns the path of the weights of `version` in the weight store.
     #[must_use]
     pub fn weights_of(&self, version: Version) -> String {
-        self.weights.replace(VERSION_MARK, &version.to_string())
+        self.weights
+            .replace(VERSION_PLACEHOLDER, &version.to_string())
     }
 }
--- a/crates/text/src/raw.rs
+++ b/crates/text/src/raw.rs
@@ -1,18 +1,19 @@
-//! The text as written: values that remember where they stand, names not yet
-//! looked up.
+//! The parsed text before the check: values with their positions, and names that are
+//! not yet resolved.
 
 use base::{AdapterName, BaseName, BrandName, Class, Mark, PoolName, ServiceName, Version};
 
 use crate::model::{Limits, PoolKind, Store};
 
-/// A value and the byte of the text where it stands.
+/// A value and its byte offset in the text.
 #[derive(Clone, Debug)]
-pub(crate) struct At<T> {
+pub(crate) struct Located<T> {
     pub(crate) value: T,
     pub(crate) at: usize,
 }
 
-/// The whole text. What could not be read is `None`; its error is noted.
+/// The parsed text. A value that could not be read is `None`; its error has been
+/// reported.
 #[derive(Debug, Default)]
 pub(crate) struct Raw {
     pub(crate) limits: Limits,
@@ -29,45 +30,46 @@
 
 #[derive(Debug)]
 pub(crate) struct RawBrand {
-    pub(crate) name: At<BrandName>,
+    pub(crate) name: Located<BrandName>,
     pub(crate) weight: u32,
-    pub(crate) keys: Option<Vec<At<[u8; 32]>>>,
-    pub(crate) base: Option<At<BaseName>>,
-    pub(crate) weights: Option<At<String>>,
+    pub(crate) keys: Option<Vec<Located<[u8; 32]>>>,
+    pub(crate) base: Option<Located<BaseName>>,
+    pub(crate) weights: Option<Located<String>>,
     pub(crate) adapters: Vec<RawAdapter>,
     pub(crate) services: Vec<RawService>,
-    pub(crate) each: Option<RawEach>,
+    pub(crate) each: Option<RawEachAdapter>,
 }
 
 #[derive(Debug)]
 pub(crate) struct RawAdapter {
-    pub(crate) name: At<AdapterName>,
-    pub(crate) base: Option<At<BaseName>>,
-    pub(crate) weights: Option<At<String>>,
-    pub(crate) serve: Option<At<Version>>,
-    pub(crate) versions: Option<Vec<At<Version>>>,
+    pub(crate) name: Located<AdapterName>,
+    pub(crate) base: Option<Located<BaseName>>,
+    pub(crate) weights: Option<Located<String>>,
+    pub(crate) serve: Option<Located<Version>>,
+    pub(crate) versions: Option<Vec<Located<Version>>>,
 }
 
 #[derive(Debug)]
 pub(crate) struct RawService {
-    pub(crate) name: At<ServiceName>,
+    pub(crate) name: Located<ServiceName>,
     pub(crate) kind: Option<RawKind>,
-    pub(crate) pool: Option<At<PoolName>>,
+    pub(crate) pool: Option<Located<PoolName>>,
     pub(crate) class: Option<Class>,
     pub(crate) mark: Option<Mark>,
-    pub(crate) needs: Vec<At<ServiceName>>,
+    pub(crate) needs: Vec<Located<ServiceName>>,
 }
 
 #[derive(Debug)]
 pub(crate) enum RawKind {
-    Assistant(Option<At<AdapterName>>),
+    Assistant(Option<Located<AdapterName>>),
     Plain,
 }
 
-/// Makes every adapter of a brand a service of its own name.
+/// The `each-adapter` table, which declares a service for every adapter of a brand under
+/// the adapter's name.
 #[derive(Debug)]
-pub(crate) struct RawEach {
-    pub(crate) pool: Option<At<PoolName>>,
+pub(crate) struct RawEachAdapter {
+    pub(crate) pool: Option<Located<PoolName>>,
     pub(crate) class: Option<Class>,
-    pub(crate) needs: Vec<At<ServiceName>>,
+    pub(crate) needs: Vec<Located<ServiceName>>,
 }
--- a/crates/text/src/read.rs
+++ b/crates/text/src/read.rs
@@ -1,4 +1,4 @@
-//! From TOML to raw types: keys, types, names and ranges.
+//! Parses TOML into raw types and checks keys, types, names and ranges.
 
 mod brand;
 mod table;
@@ -16,29 +16,29 @@
     read::table::Table,
 };
 
-/// Largest body that may be allowed: 64 MiB, far above any prompt.
-const BODY_MOST: u64 = 64 << 20;
-/// Longest deadline: a week, so that a slip of units is noticed.
-const DEADLINE_MOST_MS: u64 = 7 * 24 * 3_600_000;
-/// Most attempts at one request; more only feed an overload.
-const ATTEMPTS_MOST: u64 = 10;
-/// Most loads a second that a store may allow.
-const RATE_MOST: u64 = 10_000;
-/// Most requests at once at one target.
-const AT_ONCE_MOST: u64 = 100_000;
+/// Largest accepted `max-body-bytes`: 64 MiB, far above any prompt.
+const MAX_BODY_BYTES: u64 = 64 << 20;
+/// Longest accepted deadline: a week, so that a value in the wrong unit is rejected.
+const MAX_DEADLINE_MS: u64 = 7 * 24 * 3_600_000;
+/// Most attempts at one request; more would make an overload worse.
+const MAX_ATTEMPTS: u64 = 10;
+/// Most loads a second that the text may allow for the weight store.
+const MAX_RATE: u64 = 10_000;
+/// Most concurrent requests at one target.
+const MAX_AT_ONCE: u64 = 100_000;
 /// Most adapters in one engine.
-const SLOTS_MOST: u64 = 10_000;
+const MAX_SLOTS: u64 = 10_000;
 
-/// What the parser says of a key that stands twice.
-const DUPLICATE: &str = "duplicate key";
+/// Message of the TOML parser for a duplicate key.
+const DUPLICATE_KEY: &str = "duplicate key";
 
-/// Reads a text as far as it can be read, and notes what can't.
+/// Reads as much of a text as can be read, and returns it with the problems found.
 pub(crate) fn read(source: &str) -> (Raw, Vec<Problem>) {
     let (root, errors) = DeTable::parse_recoverable(source);
     let mut problems: Vec<Problem> = errors.iter().map(syntax).collect();
-    // Where brackets or quotes are broken, the rest of the text is guesswork;
-    // a key that stands twice leaves it as it is.
-    if errors.iter().any(|err| err.message() != DUPLICATE) {
+    // After a syntax error such as an unclosed bracket or quote, the parser's result for
+    // the rest of the text is unreliable. A duplicate key doesn't affect the rest.
+    if errors.iter().any(|err| err.message() != DUPLICATE_KEY) {
         return (Raw::default(), problems);
     }
     let raw = {
@@ -57,8 +57,8 @@
             store: root
                 .table("store", STORE)
                 .map_or_else(Store::default, |t| store(t)),
-            pools: root.named("pools", "pool", pool),
-            brands: root.named("brands", "brand", brand::brand),
+            pools: root.named_tables("pools", "pool", pool),
+            brands: root.named_tables("brands", "brand", brand::brand),
         }
     };
     (raw, problems)
@@ -80,33 +80,35 @@
 ];
 
 fn limits(mut table: Table<'_, '_, '_>) -> Limits {
-    let usual = Limits::default();
-    let mut deadline = |key, usual: Duration| {
-        let ms = table.number(key, 1, DEADLINE_MOST_MS);
-        ms.map_or(usual, |ms| Duration::from_millis(ms.value))
+    let default = Limits::default();
+    let mut deadline = |key, default: Duration| {
+        let ms = table.number(key, 1, MAX_DEADLINE_MS);
+        ms.map_or(default, |ms| Duration::from_millis(ms.value))
     };
     Limits {
-        live_deadline: deadline("live-deadline-ms", usual.live_deadline),
-        critical_deadline: deadline("critical-deadline-ms", usual.critical_deadline),
-        batch_deadline: deadline("batch-deadline-ms", usual.batch_deadline),
+        live_deadline: deadline("live-deadline-ms", default.live_deadline),
+        critical_deadline: deadline("critical-deadline-ms", default.critical_deadline),
+        batch_deadline: deadline("batch-deadline-ms", default.batch_deadline),
         max_body: table
-            .number("max-body-bytes", 1, BODY_MOST)
-            .map_or(usual.max_body, |n| Bytes(n.value)),
+            .number("max-body-bytes", 1, MAX_BODY_BYTES)
+            .map_or(default.max_body, |n| Bytes(n.value)),
         attempts: table
-            .small("attempts", ATTEMPTS_MOST)
-            .unwrap_or(usual.attempts),
+            .number_u32("attempts", MAX_ATTEMPTS)
+            .unwrap_or(default.attempts),
     }
 }
 
 const STORE: &[&str] = &["rate", "at-once"];
 
 fn store(mut table: Table<'_, '_, '_>) -> Store {
-    let usual = Store::default();
+    let default = Store::default();
     Store {
-        rate: table.small("rate", RATE_MOST).map_or(usual.rate, PerSecond),
+        rate: table
+            .number_u32("rate", MAX_RATE)
+            .map_or(default.rate, PerSecond),
         at_once: table
-            .small("at-once", AT_ONCE_MOST)
-            .unwrap_or(usual.at_once),
+            .number_u32("at-once", MAX_AT_ONCE)
+            .unwrap_or(default.at_once),
     }
 }
 
@@ -123,29 +125,29 @@
 }
 
 fn pool_kind(table: &mut Table<'_, '_, '_>) -> Option<PoolKind> {
-    let kind = table.must("kind", Table::text)?;
+    let kind = table.required("kind", Table::text)?;
     match kind.value {
         "engine" => {
-            table.only(ENGINE);
+            table.check_keys(ENGINE);
             engine(table)
         }
         "plain" => {
-            table.only(PLAIN);
-            let at_once = table.must("at-once", |t, key| t.small(key, AT_ONCE_MOST))?;
+            table.check_keys(PLAIN);
+            let at_once = table.required("at-once", |t, key| t.number_u32(key, MAX_AT_ONCE))?;
             Some(PoolKind::Plain { at_once })
         }
         found => {
-            table.wrong_word("kind", kind.at, POOL_KINDS, found);
+            table.unknown_word("kind", kind.at, POOL_KINDS, found);
             None
         }
     }
 }
 
 fn engine(table: &mut Table<'_, '_, '_>) -> Option<PoolKind> {
-    let base = table.must("base", Table::name);
-    let slots = table.must("slots", |t, key| t.small(key, SLOTS_MOST));
-    let batch = table.must("batch", |t, key| t.small(key, AT_ONCE_MOST));
-    let fencing = table.must("fencing", Table::boolean);
+    let base = table.required("base", Table::name);
+    let slots = table.required("slots", |t, key| t.number_u32(key, MAX_SLOTS));
+    let batch = table.required("batch", |t, key| t.number_u32(key, MAX_AT_ONCE));
+    let fencing = table.required("fencing", Table::boolean);
     Some(PoolKind::Engine {
         base: base?.value,
         slots: slots?,
--- a/crates/text/src/read/brand.rs
+++ b/crates/text/src/read/brand.rs
@@ -1,18 +1,18 @@
-//! Brands with their adapters and services.
+//! Reads brands with their adapters and services.
 
 use base::{Mark, Version};
 use toml::{Spanned, de::DeValue};
 
 use crate::{
     keys::parse_hash,
-    raw::{At, RawAdapter, RawBrand, RawEach, RawKind, RawService},
+    raw::{Located, RawAdapter, RawBrand, RawEachAdapter, RawKind, RawService},
     read::table::Table,
 };
 
 /// Largest weight of a brand.
-const WEIGHT_MOST: u64 = 1_000;
+const MAX_WEIGHT: u64 = 1_000;
 /// Largest version of an adapter.
-const VERSION_MOST: u64 = u32::MAX as u64;
+const MAX_VERSION: u64 = u32::MAX as u64;
 
 const CLASSES: &str = "`critical`, `live` or `batch`";
 const MARKS: &str = "`repeatable` or `once`";
@@ -34,28 +34,28 @@
 const EACH: &[&str] = &["pool", "class", "needs"];
 
 pub(crate) fn brand(name: &str, at: usize, table: &mut Table<'_, '_, '_>) -> Option<RawBrand> {
-    table.only(BRAND);
+    table.check_keys(BRAND);
     let name = table.name_of(name, at);
     let brand = RawBrand {
-        name: At { value: name?, at },
-        weight: table.small("weight", WEIGHT_MOST).unwrap_or(1),
-        keys: table.must("keys", |t, key| t.texts(key, parse_hash)),
+        name: Located { value: name?, at },
+        weight: table.number_u32("weight", MAX_WEIGHT).unwrap_or(1),
+        keys: table.required("keys", |t, key| t.texts(key, parse_hash)),
         base: table.name("base"),
         weights: weights(table),
-        adapters: table.named_or("adapters", "adapter", adapter, listed),
-        services: table.named("services", "service", service),
+        adapters: table.named_tables_or("adapters", "adapter", adapter, short_form),
+        services: table.named_tables("services", "service", service),
         each: table.table("each-adapter", EACH).map(each),
     };
     Some(brand)
 }
 
 fn adapter(name: &str, at: usize, table: &mut Table<'_, '_, '_>) -> Option<RawAdapter> {
-    table.only(ADAPTER);
-    let versions = table.must("versions", |t, key| t.numbers(key, VERSION_MOST));
-    let serve = table.number("serve", 1, VERSION_MOST);
+    table.check_keys(ADAPTER);
+    let versions = table.required("versions", |t, key| t.numbers(key, MAX_VERSION));
+    let serve = table.number("serve", 1, MAX_VERSION);
     let name = table.name_of(name, at)?;
     Some(RawAdapter {
-        name: At { value: name, at },
+        name: Located { value: name, at },
         base: table.name("base"),
         weights: weights(table),
         serve: serve.map(version),
@@ -63,19 +63,19 @@
     })
 }
 
-/// Reads the short form of an adapter: its versions alone. At 48,000 adapters
-/// it spares the parser a table for each, which was more than half of the
-/// memory that a change of the text took.
-fn listed<'i>(
+/// Reads the short form of an adapter, which is only the list of its versions. With
+/// 48,000 adapters, a TOML table for each one takes more than half of the memory that
+/// a change of the text needs; the short form avoids these tables.
+fn short_form<'i>(
     name: &str,
     at: usize,
     value: &Spanned<DeValue<'i>>,
     table: &mut Table<'i, '_, '_>,
 ) -> Option<RawAdapter> {
-    let versions = table.numbers_of(name, value, ADAPTER_FORMS, VERSION_MOST);
+    let versions = table.numbers_of(name, value, ADAPTER_FORMS, MAX_VERSION);
     let name = table.name_of(name, at)?;
     Some(RawAdapter {
-        name: At { value: name, at },
+        name: Located { value: name, at },
         base: None,
         weights: None,
         serve: None,
@@ -85,46 +85,46 @@
 
 fn service(name: &str, at: usize, table: &mut Table<'_, '_, '_>) -> Option<RawService> {
     let kind = service_kind(table);
-    // A plain service acts on the world: whether that may be repeated has no
-    // safe default. An assistant only writes text.
+    // Requests to a plain service may have side effects, so there is no safe default for
+    // whether they may be retried. An assistant only generates text.
     let mark = match kind {
         Some(RawKind::Assistant(_)) => mark(table, "mark").or(Some(Mark::Repeatable)),
-        Some(RawKind::Plain) => table.must("mark", mark),
+        Some(RawKind::Plain) => table.required("mark", mark),
         None => mark(table, "mark"),
     };
     let name = table.name_of(name, at)?;
     Some(RawService {
-        name: At { value: name, at },
+        name: Located { value: name, at },
         kind,
-        pool: table.must("pool", Table::name),
-        class: table.must("class", |t, key| t.word(key, CLASSES)),
+        pool: table.required("pool", Table::name),
+        class: table.required("class", |t, key| t.word(key, CLASSES)),
         mark,
         needs: table.names("needs").unwrap_or_default(),
     })
 }
 
 fn service_kind(table: &mut Table<'_, '_, '_>) -> Option<RawKind> {
-    let kind = table.must("kind", Table::text)?;
+    let kind = table.required("kind", Table::text)?;
     match kind.value {
         "assistant" => {
-            table.only(ASSISTANT);
-            Some(RawKind::Assistant(table.must("adapter", Table::name)))
+            table.check_keys(ASSISTANT);
+            Some(RawKind::Assistant(table.required("adapter", Table::name)))
         }
         "plain" => {
-            table.only(PLAIN);
+            table.check_keys(PLAIN);
             Some(RawKind::Plain)
         }
         found => {
-            table.wrong_word("kind", kind.at, SERVICE_KINDS, found);
+            table.unknown_word("kind", kind.at, SERVICE_KINDS, found);
             None
         }
     }
 }
 
-fn each(mut table: Table<'_, '_, '_>) -> RawEach {
-    RawEach {
-        pool: table.must("pool", Table::name),
-        class: table.must("class", |t, key| t.word(key, CLASSES)),
+fn each(mut table: Table<'_, '_, '_>) -> RawEachAdapter {
+    RawEachAdapter {
+        pool: table.required("pool", Table::name),
+        class: table.required("class", |t, key| t.word(key, CLASSES)),
         needs: table.names("needs").unwrap_or_default(),
     }
 }
@@ -135,23 +135,23 @@
         "repeatable" => Some(Mark::Repeatable),
         "once" => Some(Mark::Once),
         found => {
-            table.wrong_word(key, text.at, MARKS, found);
+            table.unknown_word(key, text.at, MARKS, found);
             None
         }
     }
 }
 
-fn weights(table: &mut Table<'_, '_, '_>) -> Option<At<String>> {
+fn weights(table: &mut Table<'_, '_, '_>) -> Option<Located<String>> {
     let text = table.text("weights")?;
-    Some(At {
+    Some(Located {
         value: text.value.to_owned(),
         at: text.at,
     })
 }
 
-fn version(raw: At<u64>) -> At<Version> {
-    // The reader has checked the range.
-    At {
+fn version(raw: Located<u64>) -> Located<Version> {
+    // The value is at most `MAX_VERSION`, so the cast doesn't truncate.
+    Located {
         value: Version(raw.value as u32),
         at: raw.at,
     }
--- a/crates/text/src/read/table.rs
+++ b/crates/text/src/read/table.rs
@@ -1,4 +1,4 @@
-//! One table of the text, read key by key, with its errors noted.
+//! Reads one TOML table of the text key by key and reports the errors.
 
 use std::{fmt::Display, str::FromStr};
 
@@ -8,13 +8,13 @@
     de::{DeTable, DeValue},
 };
 
-use crate::{errors::Problem, fault::Fault, raw::At};
+use crate::{errors::Problem, fault::Fault, raw::Located};
 
-/// A table under reading.
+/// A table that is being read.
 ///
-/// Each reader returns `None` for a key that isn't there or whose value is
-/// wrong; only the latter is noted. `'i` is the text, `'t` the parsed tables
-/// and `'p` the list of problems.
+/// The methods that read a value return `None` if the key is missing or its value is
+/// wrong, and report a problem only in the latter case. `'i` is the lifetime of the
+/// text, `'t` of the parsed tables and `'p` of the list of problems.
 pub(crate) struct Table<'i, 't, 'p> {
     entries: &'t DeTable<'i>,
     at: usize,
@@ -23,8 +23,8 @@
 }
 
 impl<'i, 't, 'p> Table<'i, 't, 'p> {
-    /// Begins to read a table, and notes keys that aren't `known`; an empty
-    /// list leaves that to [`Table::only`].
+    /// Starts to read a table and reports keys that aren't `known`. If `known` is empty,
+    /// the caller calls [`Table::check_keys`] instead.
     pub(crate) fn new(
         entries: &'t DeTable<'i>,
         at: usize,
@@ -39,13 +39,13 @@
             problems,
         };
         if !known.is_empty() {
-            table.only(known);
+            table.check_keys(known);
         }
         table
     }
 
-    /// Notes every key that isn't `known`.
-    pub(crate) fn only(&mut self, known: &[&str]) {
+    /// Reports every key that isn't `known`.
+    pub(crate) fn check_keys(&mut self, known: &[&str]) {
         for key in self.entries.keys() {
             let raw = key.get_ref().as_ref();
             if known.contains(&raw) {
@@ -56,64 +56,64 @@
                 place: self.place.clone(),
                 known: known.join(", "),
             };
-            self.note(key.span().start, fault);
+            self.report(key.span().start, fault);
         }
     }
 
-    /// Notes a fault at a byte of the text.
-    pub(crate) fn note(&mut self, at: usize, fault: Fault) {
+    /// Reports a fault at the byte offset `at` of the text.
+    pub(crate) fn report(&mut self, at: usize, fault: Fault) {
         self.problems.push(Problem { at, fault });
     }
 
-    /// Notes a word that isn't one of those `wanted`.
-    pub(crate) fn wrong_word(&mut self, key: &str, at: usize, wanted: &'static str, found: &str) {
-        let fault = Fault::WrongWord {
+    /// Reports a string that isn't one of the `wanted` words.
+    pub(crate) fn unknown_word(&mut self, key: &str, at: usize, wanted: &'static str, found: &str) {
+        let fault = Fault::UnknownWord {
             key: key.to_owned(),
             wanted,
             found: found.to_owned(),
         };
-        self.note(at, fault);
+        self.report(at, fault);
     }
 
-    /// Reads a key that must be there.
-    pub(crate) fn must<T>(
+    /// Reads a required key with `read`, or reports that it is missing.
+    pub(crate) fn required<T>(
         &mut self,
         key: &'static str,
         read: impl FnOnce(&mut Self, &'static str) -> Option<T>,
     ) -> Option<T> {
         if self.value(key).is_none() {
             let place = self.place.clone();
-            self.note(self.at, Fault::Missing { key, place });
+            self.report(self.at, Fault::Missing { key, place });
             return None;
         }
         read(self, key)
     }
 
-    /// Reads a text.
-    pub(crate) fn text(&mut self, key: &str) -> Option<At<&'t str>> {
+    /// Reads a string.
+    pub(crate) fn text(&mut self, key: &str) -> Option<Located<&'t str>> {
         let value = self.value(key)?;
         match value.get_ref() {
-            DeValue::String(text) => Some(At {
+            DeValue::String(text) => Some(Located {
                 value: text.as_ref(),
                 at: value.span().start,
             }),
-            _ => self.wrong_type(key, "a text", value),
+            _ => self.wrong_type(key, "a string", value),
         }
     }
 
     /// Reads a name.
-    pub(crate) fn name<N: FromStr<Err = BadName>>(&mut self, key: &str) -> Option<At<N>> {
+    pub(crate) fn name<N: FromStr<Err = BadName>>(&mut self, key: &str) -> Option<Located<N>> {
         let text = self.text(key)?;
         let value = self.name_of(text.value, text.at)?;
-        Some(At { value, at: text.at })
+        Some(Located { value, at: text.at })
     }
 
-    /// Checks that `raw`, which stands at `at`, is a name.
+    /// Parses `raw`, which is at the byte offset `at`, as a name.
     pub(crate) fn name_of<N: FromStr<Err = BadName>>(&mut self, raw: &str, at: usize) -> Option<N> {
         match raw.parse() {
             Ok(name) => Some(name),
             Err(source) => {
-                self.note(
+                self.report(
                     at,
                     Fault::BadName {
                         raw: raw.to_owned(),
@@ -125,7 +125,7 @@
         }
     }
 
-    /// Reads yes or no.
+    /// Reads a boolean.
     pub(crate) fn boolean(&mut self, key: &str) -> Option<bool> {
         let value = self.value(key)?;
         match value.get_ref() {
@@ -134,52 +134,55 @@
         }
     }
 
-    /// Reads a whole number from `least` to `most`.
-    pub(crate) fn number(&mut self, key: &str, least: u64, most: u64) -> Option<At<u64>> {
+    /// Reads an integer from `least` to `most`.
+    pub(crate) fn number(&mut self, key: &str, least: u64, most: u64) -> Option<Located<u64>> {
         let value = self.value(key)?;
         self.number_of(key, value, least, most)
     }
 
-    /// Reads a whole number from 1 to `most`, which must fit in 32 bits.
-    pub(crate) fn small(&mut self, key: &str, most: u64) -> Option<u32> {
+    /// Reads an integer from 1 to `most`, which must fit in 32 bits.
+    pub(crate) fn number_u32(&mut self, key: &str, most: u64) -> Option<u32> {
         let number = self.number(key, 1, most)?;
         u32::try_from(number.value).ok()
     }
 
-    /// Reads one of a few words.
+    /// Reads one of a few words, which `wanted` lists for the message.
     pub(crate) fn word<T: FromStr>(&mut self, key: &str, wanted: &'static str) -> Option<T> {
         let text = self.text(key)?;
         let word = text.value.parse().ok();
         if word.is_none() {
-            self.wrong_word(key, text.at, wanted, text.value);
+            self.unknown_word(key, text.at, wanted, text.value);
         }
         word
     }
 
-    /// Reads a list of texts, each turned into a value by `read`.
+    /// Reads a list of strings and converts each one with `read`.
     pub(crate) fn texts<T, E: Into<Fault>>(
         &mut self,
         key: &str,
         read: impl Fn(&str) -> Result<T, E>,
-    ) -> Option<Vec<At<T>>> {
+    ) -> Option<Vec<Located<T>>> {
         let items = self.items(key)?;
         let mut values = Vec::new();
         for item in items {
             let at = item.span().start;
             let DeValue::String(text) = item.get_ref() else {
-                self.wrong_type::<()>(key, "a list of texts", item);
+                self.wrong_type::<()>(key, "a list of strings", item);
                 continue;
             };
             match read(text) {
-                Ok(value) => values.push(At { value, at }),
-                Err(err) => self.note(at, err.into()),
+                Ok(value) => values.push(Located { value, at }),
+                Err(err) => self.report(at, err.into()),
             }
         }
-        whole(items, values)
+        unless_all_wrong(items, values)
     }
 
     /// Reads a list of names.
-    pub(crate) fn names<N: FromStr<Err = BadName>>(&mut self, key: &str) -> Option<Vec<At<N>>> {
+    pub(crate) fn names<N: FromStr<Err = BadName>>(
+        &mut self,
+        key: &str,
+    ) -> Option<Vec<Located<N>>> {
         self.texts(key, |raw| {
             raw.parse().map_err(|source| Fault::BadName {
                 raw: raw.to_owned(),
@@ -188,20 +191,20 @@
         })
     }
 
-    /// Reads a list of whole numbers from 1 to `most`.
-    pub(crate) fn numbers(&mut self, key: &str, most: u64) -> Option<Vec<At<u64>>> {
+    /// Reads a list of integers from 1 to `most`.
+    pub(crate) fn numbers(&mut self, key: &str, most: u64) -> Option<Vec<Located<u64>>> {
         let value = self.value(key)?;
         self.numbers_of(key, value, "a list", most)
     }
 
-    /// Reads `value` as a list of whole numbers from 1 to `most`.
+    /// Reads `value` as a list of integers from 1 to `most`.
     pub(crate) fn numbers_of(
         &mut self,
         key: &str,
         value: &Spanned<DeValue<'i>>,
         wanted: &'static str,
         most: u64,
-    ) -> Option<Vec<At<u64>>> {
+    ) -> Option<Vec<Located<u64>>> {
         let DeValue::Array(items) = value.get_ref() else {
             return self.wrong_type(key, wanted, value);
         };
@@ -209,10 +212,10 @@
             .iter()
             .filter_map(|item| self.number_of(key, item, 1, most));
         let numbers = numbers.collect();
-        whole(items, numbers)
+        unless_all_wrong(items, numbers)
     }
 
-    /// Opens a table inside this one.
+    /// Opens a table that is nested in this one.
     pub(crate) fn table(&mut self, key: &str, known: &[&str]) -> Option<Table<'i, 't, '_>> {
         let value = self.value(key)?;
         let DeValue::Table(entries) = value.get_ref() else {
@@ -229,20 +232,20 @@
     }
 
     /// Reads a table whose keys are names and whose values are tables.
-    pub(crate) fn named<T>(
+    pub(crate) fn named_tables<T>(
         &mut self,
         key: &str,
         what: &str,
         read: impl Fn(&str, usize, &mut Table<'i, 't, '_>) -> Option<T>,
     ) -> Vec<T> {
-        self.named_or(key, what, read, |raw, _, value, table| {
+        self.named_tables_or(key, what, read, |raw, _, value, table| {
             table.wrong_type(raw, "a table", value)
         })
     }
 
-    /// Reads a table whose keys are names and whose values are tables, or
-    /// something else that `other` reads.
-    pub(crate) fn named_or<T>(
+    /// Reads a table whose keys are names and whose values are tables, or other values
+    /// that `other` reads.
+    pub(crate) fn named_tables_or<T>(
         &mut self,
         key: &str,
         what: &str,
@@ -289,15 +292,15 @@
         value: &Spanned<DeValue<'i>>,
         least: u64,
         most: u64,
-    ) -> Option<At<u64>> {
+    ) -> Option<Located<u64>> {
         let DeValue::Integer(raw) = value.get_ref() else {
-            return self.wrong_type(key, "a whole number", value);
+            return self.wrong_type(key, "an integer", value);
         };
         let at = value.span().start;
         match u64::from_str_radix(raw.as_str(), raw.radix()) {
-            Ok(n) if (least..=most).contains(&n) => Some(At { value: n, at }),
+            Ok(n) if (least..=most).contains(&n) => Some(Located { value: n, at }),
             _ => {
-                self.note(
+                self.report(
                     at,
                     Fault::OutOfRange {
                         key: key.to_owned(),
@@ -322,13 +325,13 @@
             wanted,
             found,
         };
-        self.note(value.span().start, fault);
+        self.report(value.span().start, fault);
         None
     }
 }
 
-/// Returns `values`, unless every one of the list's items was wrong: an empty
-/// list would draw a second message.
-fn whole<I, T>(items: &[I], values: Vec<T>) -> Option<Vec<T>> {
+/// Returns `values`, or `None` if every item of the list was wrong: an empty list would
+/// cause a second message for the same mistake.
+fn unless_all_wrong<I, T>(items: &[I], values: Vec<T>) -> Option<Vec<T>> {
     (items.is_empty() || !values.is_empty()).then_some(values)
 }
--- a/crates/text/tests/fixtures.rs
+++ b/crates/text/tests/fixtures.rs
@@ -1,24 +1,24 @@
-//! Every way a text can be wrong: one fixture each, with all its messages.
+//! Every fault that a text can have: one fixture each, with all its messages.
 //!
-//! A fixture is a text, a line `=== errors` and the messages. With
-//! `UPDATE_FIXTURES=1` the messages are written anew, to be read over in the
-//! difference before they are committed.
+//! A fixture is a text, a line `=== errors` and the expected messages. With
+//! `UPDATE_FIXTURES=1` the tests overwrite the messages with the actual ones; review
+//! the diff before committing it.
 
 use std::{collections::BTreeSet, fs, path::PathBuf};
 
 use googletest::prelude::*;
 use text::Model;
 
-const MARK: &str = "=== errors\n";
+const SEPARATOR: &str = "=== errors\n";
 
 macro_rules! fixtures {
     ($($case:ident: $file:literal,)+) => {
         base::cases! {
-            /// A text gives exactly the messages of its fixture.
-            text_is_judged: check => { $($case: $file,)+ }
+            /// The check of a text gives exactly the messages of its fixture.
+            text_is_checked: check => { $($case: $file,)+ }
         }
 
-        const NAMED: &[&str] = &[$($file),+];
+        const FIXTURES: &[&str] = &[$($file),+];
     };
 }
 
@@ -62,26 +62,26 @@
 fn check(name: &str) {
     let path = folder().join(format!("{name}.txt"));
     let fixture = fs::read_to_string(&path).unwrap();
-    let (source, expected) = fixture.split_once(MARK).unwrap();
+    let (source, expected) = fixture.split_once(SEPARATOR).unwrap();
     let found = match Model::try_from(source) {
         Ok(_) => String::new(),
         Err(errors) => format!("{errors}\n"),
     };
     if std::env::var_os("UPDATE_FIXTURES").is_some() {
-        fs::write(&path, format!("{source}{MARK}{found}")).unwrap();
+        fs::write(&path, format!("{source}{SEPARATOR}{found}")).unwrap();
         return;
     }
     assert_that!(found, eq(expected));
 }
 
 #[test]
-fn every_fixture_is_named() {
+fn every_fixture_is_listed() {
     let files = fs::read_dir(folder())
         .unwrap()
         .map(|entry| entry.unwrap().path());
     let files: BTreeSet<String> = files
         .map(|path| path.file_stem().unwrap().to_string_lossy().into_owned())
         .collect();
-    let named: BTreeSet<String> = NAMED.iter().map(|name| (*name).to_owned()).collect();
+    let named: BTreeSet<String> = FIXTURES.iter().map(|name| (*name).to_owned()).collect();
     assert_that!(files, eq(&named));
 }
--- a/crates/text/tests/model.rs
+++ b/crates/text/tests/model.rs
@@ -1,4 +1,4 @@
-//! What others ask the model, and what differs between two texts.
+//! Lookups in the model, and differences between two texts.
 
 use base::{BrandName, PoolName, ServiceName, Version};
 use googletest::prelude::*;
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_key_names_its_brand_only() {
+fn a_key_belongs_to_its_brand_only() {
     let keys = Keys::from(&model(&[]));
     let film: BrandName = "film".parse().unwrap();
     assert_that!(keys.brand(&key_hash("foo")), some(eq(&film)));
@@ -78,8 +78,9 @@
     assert_that!(model.service(&film, &"nothing".parse().unwrap()), none());
 }
 
-/// A chain of needs as long as the size to design for must neither exhaust
-/// the stack nor take long: the check runs on every instance for each change.
+/// Every instance checks the text at each change, so a long chain of needs (20,000
+/// services, the size that the system is designed for) must neither overflow the stack
+/// nor take long.
 #[test]
 fn a_long_chain_of_needs_is_ordered() {
     let mut source = POOLS.to_owned() + "[brands.film]\nkeys = []\n";
@@ -100,8 +101,8 @@
 }
 
 base::cases! {
-    /// Each difference is one line, with what was and what is.
-    difference_is_named: check_diff => {
+    /// Each difference is one line, with the old and the new value.
+    difference_is_shown: check_diff => {
         nothing: (&[], ""),
         limits: (&[("[pools.draft]", "[limits]\nattempts = 2\n[pools.draft]")], "~ limits (attempts: 3 -> 2)\n"),
         pool_value: (&[("slots = 4", "slots = 8")], "~ pool draft (slots: 4 -> 8)\n"),
--- a/crates/text/tests/samples.rs
+++ b/crates/text/tests/samples.rs
@@ -1,5 +1,5 @@
-//! The sample texts of both deployments pass the check and hold what the
-//! deployments have.
+//! The sample texts of both deployments pass the check and declare the deployments'
+//! brands, adapters and pools.
 
 use std::{fs, path::PathBuf};
 
@@ -8,8 +8,8 @@
 use text::{Keys, Model, key_hash, model::PoolKind};
 
 base::cases! {
-    /// Three brands, 3,000 adapters, one pool of engines and one of plain
-    /// targets; every class is there.
+    /// A sample has three brands, 3,000 adapters, one pool of engines and one of plain
+    /// targets, and services of every class.
     sample_passes: check => {
         agency: ("agency.toml", 5, &["film", "folklor", "kazaliste"], "drafting", "screening"),
         consortium: ("consortium.toml", 6, &["ajira", "fursa", "kazi"], "letters", "scoring"),
