--- a/crates/settings/src/control.rs
+++ b/crates/settings/src/control.rs
@@ -11,52 +11,51 @@
     shared::{IDENTITY, Identity, TELEMETRY, Telemetry},
 };
 
-/// Most replicas of the log: the brief's users may set seven instances aside.
-const VOTERS_MOST: usize = 7;
+/// Most voters of the replicated log: deployments reserve at most seven instances for it.
+const MAX_VOTERS: usize = 7;
 
 const CONTROL: &[Spec] = &[
     Spec {
         name: "data",
         value: "FOLDER",
-        help: "Data folder: everything that must survive lies here",
+        help: "Folder for all data that must survive a restart",
     },
     Spec {
         name: "voters",
         value: "NAME=IP:PORT,...",
-        help: "The first replicas, this one included; only the very first start uses it",
+        help: "The first replicas, including this one; used only at the first start of the log",
     },
     Spec {
         name: "join",
         value: "NAME=IP:PORT,...",
-        help: "Running replicas that this new one asks to be let in, in place of --voters",
+        help: "Running replicas that this new one asks to add it, in place of --voters",
     },
     Spec {
         name: "seed",
         value: "N",
-        help: "Seed of all that is random; drawn at start if not set",
+        help: "Seed of the random number generators; chosen at random at start if not set",
     },
 ];
 
-/// How the replica begins when its data folder is empty; a folder that holds
-/// a log goes before this.
+/// How a replica with an empty data folder starts; ignored if the folder contains a log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Begin {
     /// One of the first replicas of a new log.
     Voters(BTreeMap<InstanceName, SocketAddr>),
-    /// A new replica of a log that runs: whom it asks to be let in.
+    /// A new replica of a running log: the replicas that it asks to add it.
     Join(BTreeMap<InstanceName, SocketAddr>),
 }
 
 /// Settings of a control instance.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ControlSettings {
-    /// Who it is and where it is reached.
+    /// Name, zone and addresses of the instance.
     pub identity: Identity,
-    /// Data folder.
+    /// Folder for all data that must survive a restart.
     pub data: PathBuf,
-    /// How the replica begins.
+    /// How the replica starts if its data folder is empty.
     pub begin: Begin,
-    /// Seed of all that is random; drawn by the daemon if none.
+    /// Seed of the random number generators; chosen at random by the daemon if `None`.
     pub seed: Option<Seed>,
     /// Where logs, metrics and traces go.
     pub telemetry: Telemetry,
@@ -67,7 +66,7 @@
 ///
 /// # Errors
 ///
-/// Fails with every wrong setting at once, or when help is asked for.
+/// Fails with all wrong settings at once, on an unknown flag, or when help is requested.
 pub fn control(
     args: impl IntoIterator<Item = OsString>,
     env: impl IntoIterator<Item = (OsString, OsString)>,
@@ -97,8 +96,8 @@
 fn begin(options: &mut Options, identity: Option<&Identity>) -> Option<Begin> {
     let join = options.has("join");
     match (options.has("voters"), join) {
-        (false, false) => options.wrong("voters", "must be set, or --join"),
-        (true, true) => options.wrong("join", "and --voters exclude each other"),
+        (false, false) => options.wrong("voters", "must be set unless --join is"),
+        (true, true) => options.wrong("join", "can't be combined with --voters"),
         _ => {}
     }
     let voters = options.optional("voters", parse::peers);
@@ -112,30 +111,30 @@
     }
 }
 
-/// Checks the first replicas against this instance's own settings: a typing
-/// error here would found a second log beside the one that runs.
+/// Checks the first replicas against this instance's own settings: with a typing error
+/// here the replica would start a second log beside the one that is running.
 fn check_voters(
     options: &mut Options,
     voters: &BTreeMap<InstanceName, SocketAddr>,
     identity: Option<&Identity>,
 ) {
-    if voters.len() > VOTERS_MOST {
+    if voters.len() > MAX_VOTERS {
         let what = format!(
-            "names {} instances, at most {VOTERS_MOST} may vote",
+            "names {} instances, but at most {MAX_VOTERS} may vote",
             voters.len()
         );
         options.wrong("voters", what);
     }
-    let Some(me) = identity else { return };
-    match voters.get(&me.name) {
+    let Some(own) = identity else { return };
+    match voters.get(&own.name) {
         None => options.wrong(
             "voters",
-            format!("doesn't name this instance, `{}`", me.name),
+            format!("doesn't name this instance, `{}`", own.name),
         ),
-        Some(addr) if *addr != me.peer_address => {
+        Some(addr) if *addr != own.peer_address => {
             let what = format!(
-                "has this instance at {addr}, but its peer address is {}",
-                me.peer_address
+                "names this instance with address {addr}, but its peer address is {}",
+                own.peer_address
             );
             options.wrong("voters", what);
         }
--- a/crates/settings/src/entry.rs
+++ b/crates/settings/src/entry.rs
@@ -11,11 +11,12 @@
     shared::{IDENTITY, Identity, TELEMETRY, Telemetry},
 };
 
-/// How long readiness is down before work is refused, unless set: a balancer
-/// that asks every second and believes the third answer has moved on by then.
+/// Default time between readiness going down and requests being refused. A load balancer
+/// that probes every second and acts on the third failed probe has stopped sending by
+/// then.
 const DRAIN_GRACE: Duration = Duration::from_secs(4);
-/// Longest grace; a platform that takes longer kills the process first.
-const DRAIN_MOST_MS: u64 = 600_000;
+/// Longest `--drain-grace`; the platform kills processes that take longer to stop.
+const MAX_DRAIN_GRACE_MS: u64 = 600_000;
 
 const ENTRY: &[Spec] = &[
     Spec {
@@ -26,32 +27,33 @@
     Spec {
         name: "data",
         value: "FOLDER",
-        help: "Folder for the last text in force, to start from when cut off; none if not set",
+        help: "Folder for the last text in force, to start with if no control instance answers; none if not set",
     },
     Spec {
         name: "drain-grace",
         value: "MS",
-        help: "How long readiness is down while work is still taken; 4000 if not set",
+        help: "How long requests are still accepted after readiness goes down; 4000 if not set",
     },
     Spec {
         name: "seed",
         value: "N",
-        help: "Seed of all that is random; drawn at start if not set",
+        help: "Seed of the random number generators; chosen at random at start if not set",
     },
 ];
 
 /// Settings of an entry instance.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EntrySettings {
-    /// Who it is and where it is reached.
+    /// Name, zone and addresses of the instance.
     pub identity: Identity,
     /// Peer addresses of the control instances.
     pub controls: BTreeMap<InstanceName, SocketAddr>,
-    /// Folder for the last text in force.
+    /// Folder for the last text in force, with which the instance starts when no control
+    /// instance is reachable.
     pub data: Option<PathBuf>,
-    /// How long readiness is down while work is still taken.
+    /// How long requests are still accepted after readiness goes down.
     pub drain_grace: Duration,
-    /// Seed of all that is random; drawn by the daemon if none.
+    /// Seed of the random number generators; chosen at random by the daemon if `None`.
     pub seed: Option<Seed>,
     /// Where logs, metrics and traces go.
     pub telemetry: Telemetry,
@@ -62,12 +64,12 @@
 ///
 /// # Errors
 ///
-/// Fails with every wrong setting at once, or when help is asked for.
+/// Fails with all wrong settings at once, on an unknown flag, or when help is requested.
 pub fn entry(
     args: impl IntoIterator<Item = OsString>,
     env: impl IntoIterator<Item = (OsString, OsString)>,
 ) -> Result<EntrySettings, Errors> {
-    let about = "Entry instance: takes callers' requests and owns engines";
+    let about = "Entry instance: accepts callers' requests and owns engines";
     let specs = [IDENTITY, ENTRY, TELEMETRY];
     let mut options = Options::read("entryd", about, &specs, args, env)?;
     let settings = read(&mut options);
@@ -78,7 +80,7 @@
     let identity = Identity::read(options);
     let controls = options.required("controls", parse::peers);
     let data = options.optional("data", parse::path);
-    let grace = options.optional("drain-grace", |raw| parse::millis(raw, DRAIN_MOST_MS));
+    let grace = options.optional("drain-grace", |raw| parse::millis(raw, MAX_DRAIN_GRACE_MS));
     let seed = options.optional("seed", str::parse::<Seed>);
     let telemetry = Telemetry::read(options, identity.as_ref().map(|id| &id.zone));
     Some(EntrySettings {
--- a/crates/settings/src/errors.rs
+++ b/crates/settings/src/errors.rs
@@ -1,11 +1,11 @@
-//! What is said when settings don't pass.
+//! Errors in the settings, and their messages.
 
 use std::fmt;
 
 use thiserror::Error;
 
-/// Exit code of a daemon whose settings are wrong, as the shell's own tools
-/// have it for wrong usage.
+/// Exit code of a daemon whose settings are wrong; command line tools commonly use 2 for
+/// wrong usage.
 const EXIT_USAGE: u8 = 2;
 
 /// One wrong setting.
@@ -20,10 +20,10 @@
     pub what: String,
 }
 
-/// Why no settings came out.
+/// Why the settings could not be read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Errors {
-    /// The caller asked for help or the version: not an error of theirs.
+    /// The user asked for help or the version, which is not a failure.
     Help(String),
     /// The command line has a flag that doesn't exist or lacks its value.
     Usage(String),
@@ -32,7 +32,7 @@
 }
 
 impl Errors {
-    /// Returns the exit code that the daemon should end with.
+    /// Returns the exit code of the daemon.
     #[must_use]
     pub fn exit_code(&self) -> u8 {
         match self {
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,9 +1,9 @@
-//! Settings of the daemons: every flag is also an environment variable of the
-//! same name, and all errors are reported at once.
+//! Settings of the daemons, from flags and environment variables.
 //!
-//! A daemon that stops at the first wrong setting is started again once for
-//! every mistake; on an instance that somebody is repairing, that costs time.
-//! `--peer-listen` is `QUETZAL_PEER_LISTEN`; a flag goes before its variable.
+//! Every flag has an environment variable of the same name, such as
+//! `QUETZAL_PEER_LISTEN` for `--peer-listen`; the flag takes precedence. All errors are
+//! reported at once, so that an operator doesn't have to restart the daemon once for
+//! every mistake.
 
 mod control;
 mod entry;
--- a/crates/settings/src/options.rs
+++ b/crates/settings/src/options.rs
@@ -1,4 +1,4 @@
-//! Reads raw settings from flags and environment, and collects what is wrong.
+//! Reads raw settings from flags and environment variables, and collects their errors.
 
 use std::{collections::BTreeMap, ffi::OsString, fmt::Display};
 
@@ -6,16 +6,16 @@
 
 use crate::errors::{BadSetting, Errors};
 
-/// Every environment variable of the system starts like this.
+/// Prefix of all environment variables of the settings.
 pub const ENV_PREFIX: &str = "QUETZAL_";
 
-/// A setting as the table of a daemon declares it.
+/// Declaration of a setting.
 pub(crate) struct Spec {
     /// The flag without its dashes.
     pub(crate) name: &'static str,
-    /// What stands for the value in the help.
+    /// Placeholder of the value in the help.
     pub(crate) value: &'static str,
-    /// Line of help.
+    /// Help text.
     pub(crate) help: &'static str,
 }
 
@@ -36,7 +36,7 @@
     ///
     /// # Errors
     ///
-    /// Fails when help is asked for, or on an unknown flag.
+    /// Fails when help is requested, or on an unknown flag.
     pub(crate) fn read(
         program: &'static str,
         about: &'static str,
@@ -53,12 +53,14 @@
             errors: Vec::new(),
         };
         for spec in specs {
-            options.pick(spec.name, &matches, &env);
+            options.read_one(spec.name, &matches, &env);
         }
         Ok(options)
     }
 
-    fn pick(
+    /// Reads the raw value of one setting; the flag takes precedence over the variable,
+    /// and an empty value counts as not set.
+    fn read_one(
         &mut self,
         name: &'static str,
         matches: &ArgMatches,
@@ -76,7 +78,7 @@
         }
     }
 
-    /// Returns the checked value of a setting that may be left out.
+    /// Returns the parsed value of an optional setting.
     pub(crate) fn optional<T, E: Display>(
         &mut self,
         name: &'static str,
@@ -92,7 +94,7 @@
         }
     }
 
-    /// Returns the checked value of a setting that must be there.
+    /// Returns the parsed value of a required setting.
     pub(crate) fn required<T, E: Display>(
         &mut self,
         name: &'static str,
@@ -104,12 +106,12 @@
         self.optional(name, parse)
     }
 
-    /// Says whether a setting was given.
+    /// Returns whether a setting is set.
     pub(crate) fn has(&self, name: &str) -> bool {
         self.raw.contains_key(name)
     }
 
-    /// Notes an error of `name`.
+    /// Adds an error of the setting `name`.
     pub(crate) fn wrong(&mut self, name: &'static str, what: impl Display) {
         self.errors.push(BadSetting {
             name: name.to_owned(),
@@ -118,11 +120,11 @@
         });
     }
 
-    /// Returns `settings`, or every error where there is one.
+    /// Returns `settings` if there were no errors.
     ///
     /// # Errors
     ///
-    /// Fails when any setting was wrong.
+    /// Fails with all errors if any setting was wrong.
     pub(crate) fn finish<T>(self, settings: Option<T>) -> Result<T, Errors> {
         match settings {
             Some(settings) if self.errors.is_empty() => Ok(settings),
--- a/crates/settings/src/parse.rs
+++ b/crates/settings/src/parse.rs
@@ -1,4 +1,4 @@
-//! Checked values from single settings.
+//! Parsers for the values of single settings.
 
 use std::{
     collections::BTreeMap,
@@ -9,21 +9,23 @@
 
 use base::InstanceName;
 
-/// Parses an address to listen on; port 0 lets the system choose.
+/// Parses an address to listen on; with port 0 the operating system chooses the port.
 pub(crate) fn listen(raw: &str) -> Result<SocketAddr, String> {
     raw.parse()
-        .map_err(|_| format!("`{raw}` is no ip:port, such as 127.0.0.1:7000"))
+        .map_err(|_| format!("`{raw}` is not ip:port, such as 127.0.0.1:7000"))
 }
 
-/// Parses an address that others connect to.
+/// Parses an address that others connect to, which needs a specific ip and port.
 pub(crate) fn address(raw: &str) -> Result<SocketAddr, String> {
     let addr = listen(raw)?;
-    let anywhere = match addr.ip() {
+    let unspecified = match addr.ip() {
         IpAddr::V4(ip) => ip.is_unspecified(),
         IpAddr::V6(ip) => ip.is_unspecified(),
     };
-    if anywhere || addr.port() == 0 {
-        return Err(format!("`{raw}` is no address that others can connect to"));
+    if unspecified || addr.port() == 0 {
+        return Err(format!(
+            "`{raw}` is not an address that others can connect to"
+        ));
     }
     Ok(addr)
 }
@@ -42,28 +44,28 @@
 /// Parses `name=ip:port,name=ip:port`.
 pub(crate) fn peers(raw: &str) -> Result<BTreeMap<InstanceName, SocketAddr>, String> {
     let mut peers = BTreeMap::new();
-    let mut wrong = Vec::new();
+    let mut errors = Vec::new();
     for part in raw.split(',') {
         match peer(part.trim()) {
-            Err(err) => wrong.push(err),
+            Err(err) => errors.push(err),
             Ok((name, _)) if peers.contains_key(&name) => {
-                wrong.push(format!("`{name}` is named twice"));
+                errors.push(format!("`{name}` is named twice"));
             }
             Ok((name, addr)) => {
                 peers.insert(name, addr);
             }
         }
     }
-    if wrong.is_empty() {
+    if errors.is_empty() {
         Ok(peers)
     } else {
-        Err(wrong.join("; "))
+        Err(errors.join("; "))
     }
 }
 
 fn peer(raw: &str) -> Result<(InstanceName, SocketAddr), String> {
     let Some((name, addr)) = raw.split_once('=') else {
-        return Err(format!("`{raw}` is no name=ip:port"));
+        return Err(format!("`{raw}` is not name=ip:port"));
     };
     let name = name
         .parse::<InstanceName>()
@@ -71,20 +73,20 @@
     Ok((name, address(addr)?))
 }
 
-/// Parses whole milliseconds up to `most`.
+/// Parses an integer number of milliseconds, at most `most`.
 pub(crate) fn millis(raw: &str, most: u64) -> Result<Duration, String> {
     Ok(Duration::from_millis(number(raw, 0, most)?))
 }
 
-/// Parses a whole number from `least` to `most`.
+/// Parses an integer from `least` to `most`.
 pub(crate) fn number(raw: &str, least: u64, most: u64) -> Result<u64, String> {
     match raw.parse::<u64>() {
         Ok(n) if (least..=most).contains(&n) => Ok(n),
-        _ => Err(format!("`{raw}` is no whole number from {least} to {most}")),
+        _ => Err(format!("`{raw}` is not an integer from {least} to {most}")),
     }
 }
 
-/// Parses a path; any text is one.
+/// Parses a path; any string is accepted.
 pub(crate) fn path(raw: &str) -> Result<PathBuf, String> {
     Ok(PathBuf::from(raw))
 }
--- a/crates/settings/src/shared.rs
+++ b/crates/settings/src/shared.rs
@@ -1,4 +1,4 @@
-//! Settings that both daemons have.
+//! Settings that entry and control instances have in common.
 
 use std::{fmt, net::SocketAddr, path::PathBuf, str::FromStr};
 
@@ -9,8 +9,8 @@
     parse,
 };
 
-/// Largest share of new traces that may be left out: one in this many kept.
-const TRACE_MOST: u64 = 1_000_000;
+/// Largest `--trace-one-in`, which is the lowest sampling rate of new traces.
+const MAX_TRACE_ONE_IN: u64 = 1_000_000;
 
 pub(crate) const IDENTITY: &[Spec] = &[
     Spec {
@@ -21,27 +21,27 @@
     Spec {
         name: "zone",
         value: "ZONE",
-        help: "Availability zone it stands in",
+        help: "Availability zone of this instance",
     },
     Spec {
         name: "listen",
         value: "IP:PORT",
-        help: "Where callers (entry) or operators (control) connect",
+        help: "Address for callers (entry) or operators (control) to connect to",
     },
     Spec {
         name: "peer-listen",
         value: "IP:PORT",
-        help: "Where other instances connect",
+        help: "Address for other instances to connect to",
     },
     Spec {
         name: "peer-address",
         value: "IP:PORT",
-        help: "Where others reach the peer listener, if not at --peer-listen",
+        help: "Address at which others reach the peer listener, if not at --peer-listen",
     },
     Spec {
         name: "platform",
         value: "URL",
-        help: "The platform's list, as http://ip:port",
+        help: "Address of the platform's list of targets, as http://ip:port",
     },
 ];
 
@@ -64,24 +64,24 @@
     Spec {
         name: "trace-one-in",
         value: "N",
-        help: "Keep one in N of the traces that begin here; 1 if not set",
+        help: "Keep one in N of the traces that start at this instance; 1 if not set",
     },
 ];
 
-/// Who a process is and where it is reached.
+/// Name, zone and addresses of an instance.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Identity {
     /// Name of the instance.
     pub name: InstanceName,
-    /// Availability zone it stands in.
+    /// Availability zone of the instance.
     pub zone: ZoneName,
-    /// Where callers (entry) or operators (control) connect.
+    /// Address for callers (entry) or operators (control) to connect to.
     pub listen: SocketAddr,
-    /// Where other instances connect.
+    /// Address on which the instance listens for other instances.
     pub peer_listen: SocketAddr,
-    /// Where others are told to connect.
+    /// Address that is announced to other instances; the same as `peer_listen` unless set.
     pub peer_address: SocketAddr,
-    /// The platform's list.
+    /// Address of the platform, which serves the list of targets.
     pub platform: SocketAddr,
 }
 
@@ -91,7 +91,7 @@
         let zone = options.required("zone", ZoneName::from_str);
         let listen = options.required("listen", parse::listen);
         let peer_listen = options.required("peer-listen", parse::listen);
-        let told = options.optional("peer-address", parse::address);
+        let announced = options.optional("peer-address", parse::address);
         let platform = options.required("platform", parse::http_address);
         if let (Some(listen), Some(peer)) = (listen, peer_listen)
             && listen == peer
@@ -100,7 +100,7 @@
             options.wrong("peer-listen", "is the same as --listen");
         }
         let peer_listen = peer_listen?;
-        if told.is_none() && parse::address(&peer_listen.to_string()).is_err() {
+        if announced.is_none() && parse::address(&peer_listen.to_string()).is_err() {
             options.wrong(
                 "peer-address",
                 "must be set where --peer-listen has no fixed ip and port",
@@ -111,25 +111,25 @@
             zone: zone?,
             listen: listen?,
             peer_listen,
-            peer_address: told.unwrap_or(peer_listen),
+            peer_address: announced.unwrap_or(peer_listen),
             platform: platform?,
         })
     }
 }
 
-/// How loud the log is.
+/// Level of a log line, and threshold for the lines that are written.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum LogLevel {
-    /// What needs somebody.
+    /// Needs an operator's attention.
     Error,
-    /// What may need somebody.
+    /// May need an operator's attention.
     Warn,
-    /// Each change of state.
+    /// Changes of state.
     #[default]
     Info,
-    /// Each request.
+    /// Details of each request.
     Debug,
-    /// Each message.
+    /// Details of each message.
     Trace,
 }
 
@@ -168,24 +168,25 @@
         let found = LogLevel::ALL
             .into_iter()
             .find(|level| level.as_str() == raw);
-        found.ok_or_else(|| format!("`{raw}` is no level: error, warn, info, debug or trace"))
+        found
+            .ok_or_else(|| format!("`{raw}` is not a log level: error, warn, info, debug or trace"))
     }
 }
 
 /// Where logs, metrics and traces go.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Telemetry {
-    /// Availability zone, written on every line.
+    /// Availability zone of the instance, written in every log line.
     pub zone: ZoneName,
-    /// Least urgent lines that are written.
+    /// Lowest level of the lines that are written.
     pub level: LogLevel,
-    /// File for the log; a standard stream if none.
+    /// File for the log; a standard stream if `None`.
     pub file: Option<PathBuf>,
-    /// Whether that is standard output; else standard error.
+    /// Whether the log without a file goes to standard output instead of standard error.
     pub stdout: bool,
-    /// OTLP collector; nothing is exported if none.
+    /// Address of the OTLP collector; nothing is exported if `None`.
     pub otlp: Option<SocketAddr>,
-    /// One in this many of the traces that begin here is kept.
+    /// Sampling of the traces that start at this instance: one in this many is kept.
     pub trace_one_in: u64,
 }
 
@@ -194,7 +195,9 @@
         let level = options.optional("log-level", LogLevel::from_str);
         let file = options.optional("log-file", parse::path);
         let otlp = options.optional("otlp", parse::http_address);
-        let one_in = options.optional("trace-one-in", |raw| parse::number(raw, 1, TRACE_MOST));
+        let one_in = options.optional("trace-one-in", |raw| {
+            parse::number(raw, 1, MAX_TRACE_ONE_IN)
+        });
         Some(Telemetry {
             zone: zone?.clone(),
             level: level.unwrap_or_default(),
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -1,11 +1,12 @@
-//! Settings by flag and environment: what is accepted, and every error at once.
+//! Settings from flags and environment variables: accepted values, and all errors at
+//! once.
 
 use std::{collections::BTreeSet, ffi::OsString, time::Duration};
 
 use googletest::prelude::*;
 use settings::{Begin, Errors, LogLevel, env_name};
 
-/// Flags of an entry instance with nothing wrong.
+/// Valid flags of an entry instance.
 const ENTRY: &[&str] = &[
     "--name=e1",
     "--zone=dubrava",
@@ -15,7 +16,7 @@
     "--platform=http://127.0.0.1:9000",
 ];
 
-/// Flags of a control instance with nothing wrong.
+/// Valid flags of a control instance.
 const CONTROL: &[&str] = &[
     "--name=c1",
     "--zone=dubrava",
@@ -26,10 +27,11 @@
     "--voters=c1=127.0.0.1:7100,c2=127.0.0.1:7200",
 ];
 
-/// Returns `usual` with `flags` in place of those of the same name.
-fn args(usual: &[&str], flags: &[&str]) -> Vec<OsString> {
+/// Returns `base` with `flags` in place of those of the same name. A flag without a value
+/// only removes the flag of its name.
+fn args(base: &[&str], flags: &[&str]) -> Vec<OsString> {
     let name = |flag: &str| flag.split('=').next().unwrap().to_owned();
-    let kept = usual
+    let kept = base
         .iter()
         .filter(|flag| !flags.iter().any(|f| name(f) == name(flag)));
     let flags = flags
@@ -58,9 +60,10 @@
 }
 
 base::cases! {
-    /// A flag without a value in the row takes the usual flag away.
+    /// Flags and variables of an entry instance, and the errors that they give. A flag
+    /// without a value in the row removes the valid flag.
     entry_is_checked: check_entry => {
-        usual: (&[], &[], &[]),
+        valid: (&[], &[], &[]),
         from_env: (&["--name"], &[("QUETZAL_NAME", "e7")], &[]),
         empty_env_is_unset: (&[], &[("QUETZAL_OTLP", "")], &[]),
         nothing: (
@@ -84,15 +87,15 @@
             &[("QUETZAL_OTLP", "http://collector:4318")],
             &[
                 "--name (QUETZAL_NAME): `E` may not stand in a name: only a-z, 0-9, `-` and `_` may, and a letter or digit first",
-                "--listen (QUETZAL_LISTEN): `localhost:80` is no ip:port, such as 127.0.0.1:7000",
-                "--peer-address (QUETZAL_PEER_ADDRESS): `0.0.0.0:7000` is no address that others can connect to",
+                "--listen (QUETZAL_LISTEN): `localhost:80` is not ip:port, such as 127.0.0.1:7000",
+                "--peer-address (QUETZAL_PEER_ADDRESS): `0.0.0.0:7000` is not an address that others can connect to",
                 "--platform (QUETZAL_PLATFORM): `127.0.0.1:9000` doesn't start with http://",
-                "--controls (QUETZAL_CONTROLS): `c1` is named twice; `c3` is no name=ip:port",
-                "--drain-grace (QUETZAL_DRAIN_GRACE): `1s` is no whole number from 0 to 600000",
+                "--controls (QUETZAL_CONTROLS): `c1` is named twice; `c3` is not name=ip:port",
+                "--drain-grace (QUETZAL_DRAIN_GRACE): `1s` is not an integer from 0 to 600000",
                 "--seed (QUETZAL_SEED): `-1` is not a number of a seed: invalid digit found in string",
-                "--log-level (QUETZAL_LOG_LEVEL): `loud` is no level: error, warn, info, debug or trace",
-                "--otlp (QUETZAL_OTLP): `collector:4318` is no ip:port, such as 127.0.0.1:7000",
-                "--trace-one-in (QUETZAL_TRACE_ONE_IN): `0` is no whole number from 1 to 1000000",
+                "--log-level (QUETZAL_LOG_LEVEL): `loud` is not a log level: error, warn, info, debug or trace",
+                "--otlp (QUETZAL_OTLP): `collector:4318` is not ip:port, such as 127.0.0.1:7000",
+                "--trace-one-in (QUETZAL_TRACE_ONE_IN): `0` is not an integer from 1 to 1000000",
             ],
         ),
         one_port_twice: (
@@ -100,22 +103,23 @@
             &[],
             &["--peer-listen (QUETZAL_PEER_LISTEN): is the same as --listen"],
         ),
-        anywhere_needs_an_address: (
+        unspecified_needs_peer_address: (
             &["--peer-listen=0.0.0.0:7000"],
             &[],
             &["--peer-address (QUETZAL_PEER_ADDRESS): must be set where --peer-listen has no fixed ip and port"],
         ),
     }
 
-    /// The first replicas must name this one as it names itself.
+    /// Flags of a control instance, and the errors that they give. The first replicas
+    /// must include this instance with its own name and peer address.
     control_is_checked: check_control => {
-        usual: (&[], &[], &[]),
+        valid: (&[], &[], &[]),
         join: (&["--voters", "--join=c2=127.0.0.1:7200"], &[], &[]),
-        neither: (&["--voters"], &[], &["--voters (QUETZAL_VOTERS): must be set, or --join"]),
+        neither: (&["--voters"], &[], &["--voters (QUETZAL_VOTERS): must be set unless --join is"]),
         both: (
             &["--join=c2=127.0.0.1:7200"],
             &[],
-            &["--join (QUETZAL_JOIN): and --voters exclude each other"],
+            &["--join (QUETZAL_JOIN): can't be combined with --voters"],
         ),
         not_itself: (
             &["--voters=c2=127.0.0.1:7200"],
@@ -125,12 +129,12 @@
         elsewhere: (
             &["--voters=c1=127.0.0.1:7101"],
             &[],
-            &["--voters (QUETZAL_VOTERS): has this instance at 127.0.0.1:7101, but its peer address is 127.0.0.1:7100"],
+            &["--voters (QUETZAL_VOTERS): names this instance with address 127.0.0.1:7101, but its peer address is 127.0.0.1:7100"],
         ),
         too_many: (
             &["--voters=c1=127.0.0.1:7100,b=127.0.0.1:1,c=127.0.0.1:2,d=127.0.0.1:3,e=127.0.0.1:4,f=127.0.0.1:5,g=127.0.0.1:6,h=127.0.0.1:7"],
             &[],
-            &["--voters (QUETZAL_VOTERS): names 8 instances, at most 7 may vote"],
+            &["--voters (QUETZAL_VOTERS): names 8 instances, but at most 7 may vote"],
         ),
     }
 }
@@ -154,7 +158,7 @@
 }
 
 #[test]
-fn a_flag_goes_before_its_variable() {
+fn a_flag_takes_precedence_over_its_variable() {
     let vars = env(&[
         ("QUETZAL_LOG_LEVEL", "error"),
         ("QUETZAL_DRAIN_GRACE", "50"),
@@ -169,7 +173,7 @@
 }
 
 #[test]
-fn unknown_flags_and_help_are_told_apart() {
+fn unknown_flags_and_help_differ_in_exit_code() {
     let unknown = settings::entry(args(ENTRY, &["--nmae=x"]), []).unwrap_err();
     assert_that!(unknown.to_string(), contains_substring("--nmae"));
     assert_that!(unknown.exit_code(), eq(2));
@@ -179,8 +183,8 @@
     assert_that!(env_name("peer-listen"), eq("QUETZAL_PEER_LISTEN"));
 }
 
-/// A flag that the page doesn't list is one that nobody sets, and the other way
-/// round.
+/// The page must list exactly the flags that the daemons accept, because operators look
+/// them up there.
 #[test]
 fn flags_and_page_agree() {
     let page = include_str!("../../../docs/operations.md");
