--- a/crates/frontd/src/control/shell/handout.rs
+++ b/crates/frontd/src/control/shell/handout.rs
@@ -6,7 +6,7 @@
 };
 
 use base::{Bytes, Time};
-use telemetry::exposed;
+use telemetry::prom_metrics;
 use wire::{
     fleet::{Edition, Part},
     patch::digest,
@@ -82,7 +82,7 @@
         let kept = kept.find(|kept| kept.edition.number == number)?;
         kept.used = now;
         let part = kept.part(from)?;
-        exposed().edition_bytes(part.packed.len());
+        prom_metrics().edition_bytes(part.packed.len());
         Some(part)
     }
 }
--- a/crates/frontd/src/control/shell/orders.rs
+++ b/crates/frontd/src/control/shell/orders.rs
@@ -2,7 +2,7 @@
 
 use base::Ticket;
 use gateway::holder::{self, Act, Ended, Order};
-use telemetry::{event, exposed};
+use telemetry::{event, prom_metrics};
 use wire::{
     call::Reply,
     fleet::{Synced, Weights},
@@ -91,7 +91,7 @@
                 tokio::spawn(async move {
                     let ended = given.await;
                     note_order(&order, ended);
-                    exposed().order(ended.as_str());
+                    prom_metrics().order(ended.as_str());
                     let id = order.id;
                     jobs.send(Job::Holder(holder::Input::Ended { id, ended }))
                         .ok();
--- a/crates/frontd/src/control/shell/zones.rs
+++ b/crates/frontd/src/control/shell/zones.rs
@@ -6,7 +6,7 @@
 use base::{InstanceName, Time};
 use control::{Input, What};
 use gateway::holder;
-use telemetry::{event, exposed};
+use telemetry::{event, prom_metrics};
 use wire::call::{Call, Reply};
 
 use super::{Job, RENEW_LIMIT, Shell, Waiter};
@@ -61,7 +61,7 @@
         let before = self.tenure.zones(self.clock.now());
         self.tenure.granted(asked, zones);
         let after = self.tenure.zones(self.clock.now());
-        exposed().zones(after.len());
+        prom_metrics().zones(after.len());
         if before != after {
             event!(telemetry::Event::EngineTaken, zones = after.join(","));
             self.next_list = Time::ZERO;
--- a/crates/frontd/src/entry/forward.rs
+++ b/crates/frontd/src/entry/forward.rs
@@ -15,7 +15,7 @@
     view::Backup,
 };
 use hyper::{HeaderMap, Method, Response};
-use telemetry::{event, exposed};
+use telemetry::{event, prom_metrics};
 use tokio::time::{Instant, sleep};
 use web::{body::Body, client::Answer};
 
@@ -82,13 +82,13 @@
         match self.until_answered(None).await {
             Ok((answer, place)) => {
                 let kind = self.route.kind.as_str();
-                exposed().answered(kind, self.placed, self.arrived.elapsed());
-                exposed().request("answered");
+                prom_metrics().answered(kind, self.placed, self.arrived.elapsed());
+                prom_metrics().request("answered");
                 self.note_slow(&place.id);
                 self.pass_on(answer, place)
             }
             Err(ended) => {
-                exposed().request(ended.label());
+                prom_metrics().request(ended.label());
                 event!(
                     telemetry::Event::RequestFailed,
                     request = self.id,
@@ -124,7 +124,7 @@
             self.reached += 1;
             self.backup = self.choose_backup(&target);
             let sent = self.send(&target, last, false).await;
-            exposed().send(sent.label());
+            prom_metrics().send(sent.label());
             match sent {
                 Sent::Answer(answer, place) => {
                     if self.worth_another(&answer) {
--- a/crates/frontd/src/entry/forward/arrive.rs
+++ b/crates/frontd/src/entry/forward/arrive.rs
@@ -4,7 +4,7 @@
 
 use gateway::table::{Route, Table};
 use hyper::{HeaderMap, Request, Response, body::Incoming, header::HOST};
-use telemetry::{event, exposed};
+use telemetry::{event, prom_metrics};
 use tokio::time::{Instant, timeout_at};
 use web::body::{Body, ReadLimits, read};
 
@@ -36,7 +36,7 @@
     match arrive(Arc::clone(&state), req).await {
         Ok(job) => job.run(&headers).await,
         Err(ended) => {
-            exposed().request(ended.label());
+            prom_metrics().request(ended.label());
             event!(
                 telemetry::Event::RequestFailed,
                 request = heads::text(&headers, &dialect.request).unwrap_or_default(),
--- a/crates/frontd/src/entry/relay.rs
+++ b/crates/frontd/src/entry/relay.rs
@@ -8,7 +8,7 @@
 use futures::StreamExt;
 use http_body_util::{BodyExt, StreamBody};
 use hyper::body::Frame;
-use telemetry::{event, exposed};
+use telemetry::{event, prom_metrics};
 use web::{body::Body, client::Answer};
 
 use super::{
@@ -116,7 +116,7 @@
                         continue;
                     }
                     self.over = true;
-                    exposed().request("broken_off");
+                    prom_metrics().request("broken_off");
                     event!(
                         telemetry::Event::RequestFailed,
                         request = self.job.id,
--- a/crates/frontd/src/metrics.rs
+++ b/crates/frontd/src/metrics.rs
@@ -35,7 +35,7 @@
 }
 
 async fn answer(_: Request<Incoming>) -> Response<Body> {
-    let mut resp = Response::new(full(telemetry::exposed().text()));
+    let mut resp = Response::new(full(telemetry::prom_metrics().render()));
     let text = HeaderValue::from_static(TEXT);
     resp.headers_mut().insert(CONTENT_TYPE, text);
     resp
--- a/crates/telemetry/src/exposed.rs
+++ b/crates/telemetry/src/exposed.rs
@@ -20,11 +20,11 @@
     0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.6, 0.8, 1.0, 1.5, 3.0, 6.0, 15.0,
 ];
 
-static EXPOSED: LazyLock<Exposed> = LazyLock::new(Exposed::new);
+static PROM_METRICS: LazyLock<PromMetrics> = LazyLock::new(PromMetrics::new);
 
 /// The Prometheus metrics of a process.
 #[derive(Debug)]
-pub struct Exposed {
+pub struct PromMetrics {
     registry: Registry,
     events: IntCounterVec,
     dropped: IntCounter,
@@ -39,20 +39,20 @@
 
 /// Returns the process's Prometheus metrics.
 #[must_use]
-pub fn exposed() -> &'static Exposed {
-    &EXPOSED
+pub fn prom_metrics() -> &'static PromMetrics {
+    &PROM_METRICS
 }
 
 pub(crate) fn count_event(event: Event) {
     let number = event.to_string();
-    EXPOSED.events.with_label_values(&[&number]).inc();
+    PROM_METRICS.events.with_label_values(&[&number]).inc();
 }
 
 pub(crate) fn count_dropped_line() {
-    EXPOSED.dropped.inc();
+    PROM_METRICS.dropped.inc();
 }
 
-impl Exposed {
+impl PromMetrics {
     fn new() -> Self {
         let registry = Registry::new();
         let counters = |name: &str, help: &str, label: &str| {
@@ -94,7 +94,7 @@
             "Bytes of editions sent to entry instances",
         );
         let edition_bytes = register(&registry, edition_bytes.expect("a valid name"));
-        Exposed {
+        PromMetrics {
             registry,
             events,
             dropped,
@@ -143,7 +143,7 @@
 
     /// Returns all metrics in the Prometheus text format.
     #[must_use]
-    pub fn text(&self) -> String {
+    pub fn render(&self) -> String {
         let text = TextEncoder::new().encode_to_string(&self.registry.gather());
         text.unwrap_or_else(|err| format!("# {err}\n"))
     }
--- a/crates/telemetry/src/lib.rs
+++ b/crates/telemetry/src/lib.rs
@@ -28,7 +28,7 @@
 
 pub use crate::{
     events::Event,
-    exposed::{Exposed, exposed},
+    exposed::{PromMetrics, prom_metrics},
     fields::Fields,
     logs::{enabled, event},
     metrics::{Load, Metrics, metrics},
