--- a/crates/telemetry/src/lib.rs
+++ b/crates/telemetry/src/lib.rs
@@ -10,10 +10,11 @@
 
 mod events;
 mod export;
-mod exposed;
+
 mod fields;
 mod logs;
 mod metrics;
+mod prom;
 mod queue;
 mod secret;
 mod start;
@@ -28,10 +29,10 @@
 
 pub use crate::{
     events::Event,
-    exposed::{PromMetrics, prom_metrics},
     fields::Fields,
     logs::{enabled, event},
     metrics::{Load, Metrics, metrics},
+    prom::{PromMetrics, prom_metrics},
     secret::Secret,
     start::{Guard, start},
     trace::{TARGET, parent, set_parent, trace_id, traceparent},
--- a/crates/telemetry/src/logs.rs
+++ b/crates/telemetry/src/logs.rs
@@ -11,7 +11,7 @@
 use log::LevelFilter;
 use serde::Serialize;
 
-use crate::{Event, Fields, LogLevel, TelemetrySettings, exposed, queue::Queue, trace};
+use crate::{Event, Fields, LogLevel, TelemetrySettings, prom, queue::Queue, trace};
 
 /// Log target of the lines written by [`event`], whose message is already JSON.
 const LOG_TARGET: &str = "quetzalarch";
@@ -63,7 +63,7 @@
 
 /// Writes one line for `event`; see [`event!`](crate::event!).
 pub fn event(event: Event, fields: Fields) {
-    exposed::count_event(event);
+    prom::count_event(event);
     let body = body(event, fields);
     if let Some(level) = level(event.level()).to_level() {
         log::log!(target: LOG_TARGET, level, "{body}");
--- a/crates/telemetry/src/queue.rs
+++ b/crates/telemetry/src/queue.rs
@@ -17,7 +17,7 @@
 
 use flexi_logger::{DeferredNow, FormatFunction, Record, writers::LogWriter};
 
-use crate::exposed;
+use crate::prom;
 
 /// Most lines in the queue: two seconds of a busy entry instance, some 600 KB.
 const QUEUE_CAPACITY: usize = 2_048;
@@ -83,7 +83,7 @@
         line.push(b'\n');
         if !self.try_push(line) {
             self.dropped.fetch_add(1, Ordering::Relaxed);
-            exposed::count_dropped_line();
+            prom::count_dropped_line();
         }
         Ok(())
     }
