--- a/crates/entryd/src/events.rs
+++ b/crates/entryd/src/events.rs
@@ -4,7 +4,7 @@
 
 use base::{BrandName, Class, Failure, PoolName, TargetName};
 use node::{Event, OrderEnd};
-use telemetry::{Event as Line, Load, event, metrics};
+use telemetry::{Event as Line, LoadOutcome, event, metrics};
 use wire::engine::Resident;
 
 /// Writes one report.
@@ -87,9 +87,9 @@
     took: Duration,
 ) {
     let how = match end {
-        OrderEnd::Done | OrderEnd::AlreadyLoaded => Load::Done,
-        OrderEnd::Fenced => Load::Fenced,
-        OrderEnd::Failed | OrderEnd::Unknown => Load::Failed,
+        OrderEnd::Done | OrderEnd::AlreadyLoaded => LoadOutcome::Done,
+        OrderEnd::Fenced => LoadOutcome::Fenced,
+        OrderEnd::Failed | OrderEnd::Unknown => LoadOutcome::Failed,
     };
     metrics().load(pool, how, took);
     if end == OrderEnd::Done {
--- a/crates/telemetry/src/lib.rs
+++ b/crates/telemetry/src/lib.rs
@@ -10,7 +10,6 @@
 
 mod events;
 mod export;
-
 mod fields;
 mod logs;
 mod metrics;
@@ -31,7 +30,7 @@
     events::Event,
     fields::Fields,
     logs::{enabled, event},
-    metrics::{Load, Metrics, metrics},
+    metrics::{LoadOutcome, Metrics, metrics},
     prom::{PromMetrics, prom_metrics},
     secret::Secret,
     start::{Guard, start},
--- a/crates/telemetry/src/metrics.rs
+++ b/crates/telemetry/src/metrics.rs
@@ -32,7 +32,7 @@
 
 /// How a load of an adapter ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Load {
+pub enum LoadOutcome {
     /// The adapter is loaded.
     Done,
     /// The engine or the store refused.
@@ -41,12 +41,12 @@
     Fenced,
 }
 
-impl Load {
+impl LoadOutcome {
     fn as_str(self) -> &'static str {
         match self {
-            Load::Done => "done",
-            Load::Failed => "failed",
-            Load::Fenced => "fenced",
+            LoadOutcome::Done => "done",
+            LoadOutcome::Failed => "failed",
+            LoadOutcome::Fenced => "fenced",
         }
     }
 }
@@ -151,8 +151,8 @@
     }
 
     /// Counts a load of an adapter and records how long it took.
-    pub fn load(&self, pool: &PoolName, how: Load, took: Duration) {
-        let labels = [pool_label(pool), KeyValue::new("outcome", how.as_str())];
+    pub fn load(&self, pool: &PoolName, outcome: LoadOutcome, took: Duration) {
+        let labels = [pool_label(pool), KeyValue::new("outcome", outcome.as_str())];
         self.loads.add(1, &labels);
         self.load_time.record(took.as_secs_f64(), &labels);
     }
