--- a/crates/controld/src/shell.rs
+++ b/crates/controld/src/shell.rs
@@ -9,7 +9,7 @@
 use daemon::{Clock, Listeners};
 use disk::Writer;
 use replog::{RawSettings, Replica};
-use settings::{Begin, ControlSettings};
+use settings::{Bootstrap, ControlSettings};
 use telemetry::event;
 use tokio::{
     sync::mpsc,
@@ -130,9 +130,9 @@
 }
 
 fn controls(settings: &ControlSettings) -> BTreeMap<InstanceName, SocketAddr> {
-    match &settings.begin {
-        Begin::Voters(voters) => voters.clone(),
-        Begin::Join(contacts) => contacts.clone(),
+    match &settings.bootstrap {
+        Bootstrap::Voters(voters) => voters.clone(),
+        Bootstrap::Join(contacts) => contacts.clone(),
     }
 }
 
--- a/crates/settings/src/control.rs
+++ b/crates/settings/src/control.rs
@@ -39,7 +39,7 @@
 
 /// How a replica with an empty data folder starts; ignored if the folder contains a log.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Begin {
+pub enum Bootstrap {
     /// One of the first replicas of a new log.
     Voters(BTreeMap<InstanceName, SocketAddr>),
     /// A new replica of a running log: the replicas that it asks to add it.
@@ -54,7 +54,7 @@
     /// Folder for all data that must survive a restart.
     pub data: PathBuf,
     /// How the replica starts if its data folder is empty.
-    pub begin: Begin,
+    pub bootstrap: Bootstrap,
     /// Seed of the random number generators; chosen at random by the daemon if `None`.
     pub seed: Option<Seed>,
     /// Where logs, metrics and traces go.
@@ -81,19 +81,19 @@
 fn read(options: &mut Options) -> Option<ControlSettings> {
     let identity = Identity::read(options);
     let data = options.required("data", parse::path);
-    let begin = begin(options, identity.as_ref());
+    let bootstrap = bootstrap(options, identity.as_ref());
     let seed = options.optional("seed", str::parse::<Seed>);
     let telemetry = Telemetry::read(options, identity.as_ref().map(|id| &id.zone));
     Some(ControlSettings {
         identity: identity?,
         data: data?,
-        begin: begin?,
+        bootstrap: bootstrap?,
         seed,
         telemetry: telemetry?,
     })
 }
 
-fn begin(options: &mut Options, identity: Option<&Identity>) -> Option<Begin> {
+fn bootstrap(options: &mut Options, identity: Option<&Identity>) -> Option<Bootstrap> {
     let join = options.has("join");
     match (options.has("voters"), join) {
         (false, false) => options.wrong("voters", "must be set unless --join is"),
@@ -106,8 +106,8 @@
         check_voters(options, voters, identity);
     }
     match join {
-        true => contacts.map(Begin::Join),
-        false => voters.map(Begin::Voters),
+        true => contacts.map(Bootstrap::Join),
+        false => voters.map(Bootstrap::Voters),
     }
 }
 
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -13,7 +13,7 @@
 mod shared;
 
 pub use crate::{
-    control::{Begin, ControlSettings, control},
+    control::{Bootstrap, ControlSettings, control},
     entry::{EntrySettings, entry},
     errors::{BadSetting, Errors},
     options::{ENV_PREFIX, env_name},
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -4,7 +4,7 @@
 use std::{collections::BTreeSet, ffi::OsString, time::Duration};
 
 use googletest::prelude::*;
-use settings::{Begin, Errors, LogLevel, env_name};
+use settings::{Bootstrap, Errors, LogLevel, env_name};
 
 /// Valid flags of an entry instance.
 const ENTRY: &[&str] = &[
@@ -169,7 +169,10 @@
     assert_that!(entry.identity.peer_address, eq(entry.identity.peer_listen));
     assert_that!(entry.controls.len(), eq(2));
     let control = settings::control(args(CONTROL, &[]), []).unwrap();
-    assert_that!(control.begin, matches_pattern!(Begin::Voters(len(eq(2)))));
+    assert_that!(
+        control.bootstrap,
+        matches_pattern!(Bootstrap::Voters(len(eq(2))))
+    );
 }
 
 #[test]
