--- a/crates/text/src/diff.rs
+++ b/crates/text/src/diff.rs
@@ -13,7 +13,7 @@
     /// Kind of a thing that differs.
     #[derive(Copy, PartialOrd, Ord)]
     #[serde(rename_all = "lowercase")]
-    pub enum What {
+    pub enum ItemKind {
         /// Limits for all brands.
         Limits,
         /// Limits of the weight store.
@@ -33,7 +33,7 @@
     /// How a thing differs.
     #[derive(Copy, PartialOrd, Ord)]
     #[serde(rename_all = "lowercase")]
-    pub enum How {
+    pub enum ChangeKind {
         /// Only the new text has it.
         Added,
         /// Both have it, with other values.
@@ -45,11 +45,11 @@
     /// One difference.
     pub struct Change {
         /// Kind of the thing that differs.
-        pub what: What,
+        pub what: ItemKind,
         /// Its name; empty for limits and store.
         pub name: String,
         /// How it differs.
-        pub how: How,
+        pub how: ChangeKind,
         /// Each value that differs, as `key: old -> new`; for an added thing, all its
         /// values, as `key: value`.
         pub details: Vec<String>,
@@ -72,41 +72,46 @@
     let mut changes = Vec::new();
     compare(
         &mut changes,
-        What::Limits,
+        ItemKind::Limits,
         single(limits(&old.limits)),
         single(limits(&new.limits)),
     );
     compare(
         &mut changes,
-        What::Store,
+        ItemKind::Store,
         single(store(&old.store)),
         single(store(&new.store)),
     );
     compare(
         &mut changes,
-        What::Pool,
+        ItemKind::Pool,
         items(&old.pools, pool),
         items(&new.pools, pool),
     );
     compare(
         &mut changes,
-        What::Brand,
+        ItemKind::Brand,
         items(&old.brands, brand),
         items(&new.brands, brand),
     );
     compare(
         &mut changes,
-        What::Adapter,
+        ItemKind::Adapter,
         items(&old.adapters, adapter),
         items(&new.adapters, adapter),
     );
     compare(
         &mut changes,
-        What::Version,
+        ItemKind::Version,
         versions(old, new),
         versions(new, old),
     );
-    compare(&mut changes, What::Service, services(old), services(new));
+    compare(
+        &mut changes,
+        ItemKind::Service,
+        services(old),
+        services(new),
+    );
     Diff { changes }
 }
 
@@ -118,16 +123,16 @@
     }
 }
 
-impl fmt::Display for What {
+impl fmt::Display for ItemKind {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            What::Limits => "limits",
-            What::Store => "store",
-            What::Pool => "pool",
-            What::Brand => "brand",
-            What::Adapter => "adapter",
-            What::Version => "version",
-            What::Service => "service",
+            ItemKind::Limits => "limits",
+            ItemKind::Store => "store",
+            ItemKind::Pool => "pool",
+            ItemKind::Brand => "brand",
+            ItemKind::Adapter => "adapter",
+            ItemKind::Version => "version",
+            ItemKind::Service => "service",
         })
     }
 }
@@ -135,9 +140,9 @@
 impl fmt::Display for Change {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let sign = match self.how {
-            How::Added => '+',
-            How::Changed => '~',
-            How::Removed => '-',
+            ChangeKind::Added => '+',
+            ChangeKind::Changed => '~',
+            ChangeKind::Removed => '-',
         };
         write!(f, "{sign} {}", self.what)?;
         if !self.name.is_empty() {
@@ -158,7 +163,7 @@
     }
 }
 
-fn compare(changes: &mut Vec<Change>, what: What, old: Items, new: Items) {
+fn compare(changes: &mut Vec<Change>, what: ItemKind, old: Items, new: Items) {
     let mut change = |name: &str, how, details| {
         changes.push(Change {
             what,
@@ -169,13 +174,15 @@
     };
     for (name, values) in &new {
         match old.get(name) {
-            None => change(name, How::Added, values.iter().map(value).collect()),
-            Some(before) if before != values => change(name, How::Changed, details(before, values)),
+            None => change(name, ChangeKind::Added, values.iter().map(value).collect()),
+            Some(before) if before != values => {
+                change(name, ChangeKind::Changed, details(before, values))
+            }
             Some(_) => {}
         }
     }
     for name in old.keys().filter(|name| !new.contains_key(*name)) {
-        change(name, How::Removed, Vec::new());
+        change(name, ChangeKind::Removed, Vec::new());
     }
 }
 
--- a/crates/text/src/lib.rs
+++ b/crates/text/src/lib.rs
@@ -18,7 +18,7 @@
 pub mod model;
 
 pub use crate::{
-    diff::{Change, Diff, How, What, diff},
+    diff::{Change, ChangeKind, Diff, ItemKind, diff},
     errors::{Error, Errors},
     fault::Fault,
     keys::{BadHash, Keys, key_hash, parse_hash},
