--- a/crates/text/tests/fixtures.rs
+++ b/crates/text/tests/fixtures.rs
@@ -23,7 +23,7 @@
 }
 
 fixtures! {
-    whole: "whole",
+    valid: "valid",
     each_adapter: "each-adapter",
     syntax_errors_all_at_once: "syntax-errors-all-at-once",
     duplicate_key: "duplicate-key",
@@ -42,7 +42,7 @@
     adapter_of_another_base: "adapter-of-another-base",
     no_defaults: "no-defaults",
     unknown_base: "unknown-base",
-    weights_marks: "weights-marks",
+    weights_placeholders: "weights-placeholders",
     versions: "versions",
     unknown_pool_and_adapter: "unknown-pool-and-adapter",
     wrong_kind_of_pool: "wrong-kind-of-pool",
