--- a/crates/frontd/src/control/shell/edition_cache.rs
+++ b/crates/frontd/src/control/shell/edition_cache.rs
@@ -7,7 +7,7 @@
 };
 
 use base::{Bytes, Time};
-use telemetry::exposed;
+use telemetry::prom_metrics;
 use wire::{
     fleet::{Edition, Part},
     patch::digest,
@@ -91,7 +91,7 @@
         let cached = cached.find(|cached| cached.edition.number == number)?;
         cached.last_used = now;
         let part = cached.part(from)?;
-        exposed().edition_bytes(part.packed.len());
+        prom_metrics().edition_bytes(part.packed.len());
         Some(part)
     }
 }
--- a/crates/frontd/src/control/shell/orders.rs
+++ b/crates/frontd/src/control/shell/orders.rs
@@ -2,7 +2,7 @@
 
 use base::Ticket;
 use gateway::zone_owner::{self, Action, Order, OrderOutcome};
-use telemetry::{event, exposed};
+use telemetry::{event, prom_metrics};
 use wire::{
     call::Reply,
     fleet::{Synced, Weights},
@@ -92,7 +92,7 @@
                 tokio::spawn(async move {
                     let ended = given.await;
                     log_order(&order, ended);
-                    exposed().order(ended.as_str());
+                    prom_metrics().order(ended.as_str());
                     let id = order.id;
                     jobs.send(Job::ZoneOwner(zone_owner::Input::OrderEnded {
                         id,
--- a/crates/frontd/src/control/shell/zones.rs
+++ b/crates/frontd/src/control/shell/zones.rs
@@ -5,7 +5,7 @@
 use base::{InstanceName, Time};
 use control::{Input, What};
 use gateway::zone_owner;
-use telemetry::{event, exposed};
+use telemetry::{event, prom_metrics};
 use wire::call::{Call, Reply};
 
 use super::{Job, RENEW_TIMEOUT, Shell, Waiter};
@@ -60,7 +60,7 @@
         let before = self.zone_lease.zones(self.clock.now());
         self.zone_lease.granted(asked, zones);
         let after = self.zone_lease.zones(self.clock.now());
-        exposed().zones(after.len());
+        prom_metrics().zones(after.len());
         if before != after {
             event!(telemetry::Event::EngineTaken, zones = after.join(","));
             self.next_list = Time::ZERO;
--- a/crates/frontd/src/entry/forward.rs
+++ b/crates/frontd/src/entry/forward.rs
@@ -16,7 +16,7 @@
     view::Backup,
 };
 use hyper::{HeaderMap, Method, Response};
-use telemetry::{event, exposed};
+use telemetry::{event, prom_metrics};
 use tokio::time::{Instant, sleep};
 use web::{body::Body, client::Answer};
 
@@ -85,13 +85,13 @@
         match self.send_until_answered(None).await {
             Ok((answer, in_flight)) => {
                 let kind = self.route.kind.as_str();
-                exposed().answered(kind, self.placement_time, self.arrived.elapsed());
-                exposed().request("answered");
+                prom_metrics().answered(kind, self.placement_time, self.arrived.elapsed());
+                prom_metrics().request("answered");
                 self.log_if_slow(&in_flight.id);
                 self.into_response(answer, in_flight)
             }
             Err(err) => {
-                exposed().request(err.label());
+                prom_metrics().request(err.label());
                 event!(
                     telemetry::Event::RequestFailed,
                     request = self.id,
@@ -127,7 +127,7 @@
             self.possible_sends += 1;
             self.backup = self.choose_backup(&target);
             let sent = self.send(&target, last, false).await;
-            exposed().send(sent.label());
+            prom_metrics().send(sent.label());
             match sent {
                 SendOutcome::Answered(answer, in_flight) => {
                     if self.should_retry(&answer) {
--- a/crates/frontd/src/entry/forward/receive.rs
+++ b/crates/frontd/src/entry/forward/receive.rs
@@ -4,7 +4,7 @@
 
 use gateway::table::{Route, Table};
 use hyper::{HeaderMap, Request, Response, body::Incoming, header::HOST};
-use telemetry::{event, exposed};
+use telemetry::{event, prom_metrics};
 use tokio::time::{Instant, timeout_at};
 use web::body::{Body, ReadLimits, read};
 
@@ -36,7 +36,7 @@
     match receive(Arc::clone(&state), req).await {
         Ok(request) => request.run(&headers).await,
         Err(err) => {
-            exposed().request(err.label());
+            prom_metrics().request(err.label());
             event!(
                 telemetry::Event::RequestFailed,
                 request = headers::text(&headers, &names.request_id).unwrap_or_default(),
--- a/crates/telemetry/src/lib.rs
+++ b/crates/telemetry/src/lib.rs
@@ -1,18 +1,19 @@
 //! Logs, metrics and traces of a process.
 //!
-//! Logs are JSON lines with numbered events (see `docs/logs.md`); metrics and
-//! traces are OpenTelemetry's and leave the process only where a collector is
-//! set. Keys and prompts never go into any of them: wrap what is secret in a
-//! [`Secret`], which writes itself as stars.
+//! Logs are JSON lines with numbered events (see `docs/logs.md`). Metrics and
+//! traces use OpenTelemetry and leave the process only where a collector is
+//! set; some metrics are also served in the Prometheus text format. Keys and
+//! prompts never go into any of them: wrap secrets in a [`Secret`], which is
+//! formatted and serialised as `***`.
 
 pub mod catalogue;
 
 mod events;
 mod export;
-mod exposed;
 mod fields;
 mod logs;
 mod metrics;
+mod prom;
 mod queue;
 mod secret;
 mod start;
@@ -27,10 +28,10 @@
 
 pub use crate::{
     events::Event,
-    exposed::{Exposed, exposed},
     fields::Fields,
     logs::{enabled, event},
-    metrics::{Load, Metrics, metrics},
+    metrics::{LoadOutcome, Metrics, metrics},
+    prom::{PromMetrics, prom_metrics},
     secret::Secret,
     start::{Guard, start},
     trace::{TARGET, parent, set_parent, trace_id, traceparent},
--- a/crates/text/src/diff.rs
+++ b/crates/text/src/diff.rs
@@ -1,4 +1,4 @@
-//! What changes between two texts, in the operators' own words.
+//! Differences between two texts, in terms of the text's own keys.
 
 use std::{collections::BTreeMap, fmt};
 
@@ -6,17 +6,17 @@
 
 use crate::model::{Adapter, Brand, Limits, Model, Pool, PoolKind, Service, ServiceKind, Store};
 
-/// Hex digits of a key's hash that a difference shows.
-const HASH_SHOWN: usize = 4;
+/// Bytes of a key's hash that a difference shows, as two hex digits each.
+const HASH_BYTES_SHOWN: usize = 4;
 
 record! {
-    /// What differs.
+    /// Kind of a thing that differs.
     #[derive(Copy, PartialOrd, Ord)]
     #[serde(rename_all = "lowercase")]
-    pub enum What {
-        /// Limits for everybody.
+    pub enum ItemKind {
+        /// Limits for all brands.
         Limits,
-        /// What the weight store allows.
+        /// Limits of the weight store.
         Store,
         /// A pool.
         Pool,
@@ -24,16 +24,16 @@
         Brand,
         /// An adapter.
         Adapter,
-        /// A version of an adapter that both texts have.
+        /// A version of an adapter, where both texts have the adapter.
         Version,
         /// A service.
         Service,
     }
 
-    /// How it differs.
+    /// How a thing differs.
     #[derive(Copy, PartialOrd, Ord)]
     #[serde(rename_all = "lowercase")]
-    pub enum How {
+    pub enum ChangeKind {
         /// Only the new text has it.
         Added,
         /// Both have it, with other values.
@@ -44,26 +44,27 @@
 
     /// One difference.
     pub struct Change {
-        /// What differs.
-        pub what: What,
-        /// Its name.
+        /// Kind of the thing that differs.
+        pub what: ItemKind,
+        /// Its name; empty for limits and store.
         pub name: String,
         /// How it differs.
-        pub how: How,
-        /// Each value that differs, as `key: old -> new`.
+        pub how: ChangeKind,
+        /// Each value that differs, as `key: old -> new`; for an added thing, all its
+        /// values, as `key: value`.
         pub details: Vec<String>,
     }
 
     /// All differences, in a fixed order.
     #[derive(Default)]
     pub struct Diff {
-        /// One for each thing that differs.
+        /// One change for each thing that differs.
         pub changes: Vec<Change>,
     }
 }
 
-/// Things of one kind by name, each as its keys and values.
-type Things = BTreeMap<String, Vec<(&'static str, String)>>;
+/// Items of one kind by name, each with its keys and values.
+type Items = BTreeMap<String, Vec<(&'static str, String)>>;
 
 /// Compares two texts.
 #[must_use]
@@ -71,62 +72,67 @@
     let mut changes = Vec::new();
     compare(
         &mut changes,
-        What::Limits,
-        one(limits(&old.limits)),
-        one(limits(&new.limits)),
+        ItemKind::Limits,
+        single(limits(&old.limits)),
+        single(limits(&new.limits)),
     );
     compare(
         &mut changes,
-        What::Store,
-        one(store(&old.store)),
-        one(store(&new.store)),
+        ItemKind::Store,
+        single(store(&old.store)),
+        single(store(&new.store)),
     );
     compare(
         &mut changes,
-        What::Pool,
-        each(&old.pools, pool),
-        each(&new.pools, pool),
+        ItemKind::Pool,
+        items(&old.pools, pool),
+        items(&new.pools, pool),
     );
     compare(
         &mut changes,
-        What::Brand,
-        each(&old.brands, brand),
-        each(&new.brands, brand),
+        ItemKind::Brand,
+        items(&old.brands, brand),
+        items(&new.brands, brand),
     );
     compare(
         &mut changes,
-        What::Adapter,
-        each(&old.adapters, adapter),
-        each(&new.adapters, adapter),
+        ItemKind::Adapter,
+        items(&old.adapters, adapter),
+        items(&new.adapters, adapter),
     );
     compare(
         &mut changes,
-        What::Version,
+        ItemKind::Version,
         versions(old, new),
         versions(new, old),
     );
-    compare(&mut changes, What::Service, services(old), services(new));
+    compare(
+        &mut changes,
+        ItemKind::Service,
+        services(old),
+        services(new),
+    );
     Diff { changes }
 }
 
 impl Diff {
-    /// Returns whether both texts say the same.
+    /// Returns whether both texts declare the same.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.changes.is_empty()
     }
 }
 
-impl fmt::Display for What {
+impl fmt::Display for ItemKind {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            What::Limits => "limits",
-            What::Store => "store",
-            What::Pool => "pool",
-            What::Brand => "brand",
-            What::Adapter => "adapter",
-            What::Version => "version",
-            What::Service => "service",
+            ItemKind::Limits => "limits",
+            ItemKind::Store => "store",
+            ItemKind::Pool => "pool",
+            ItemKind::Brand => "brand",
+            ItemKind::Adapter => "adapter",
+            ItemKind::Version => "version",
+            ItemKind::Service => "service",
         })
     }
 }
@@ -134,9 +140,9 @@
 impl fmt::Display for Change {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let sign = match self.how {
-            How::Added => '+',
-            How::Changed => '~',
-            How::Removed => '-',
+            ChangeKind::Added => '+',
+            ChangeKind::Changed => '~',
+            ChangeKind::Removed => '-',
         };
         write!(f, "{sign} {}", self.what)?;
         if !self.name.is_empty() {
@@ -157,7 +163,7 @@
     }
 }
 
-fn compare(changes: &mut Vec<Change>, what: What, old: Things, new: Things) {
+fn compare(changes: &mut Vec<Change>, what: ItemKind, old: Items, new: Items) {
     let mut change = |name: &str, how, details| {
         changes.push(Change {
             what,
@@ -168,13 +174,15 @@
     };
     for (name, values) in &new {
         match old.get(name) {
-            None => change(name, How::Added, values.iter().map(value).collect()),
-            Some(before) if before != values => change(name, How::Changed, details(before, values)),
+            None => change(name, ChangeKind::Added, values.iter().map(value).collect()),
+            Some(before) if before != values => {
+                change(name, ChangeKind::Changed, details(before, values))
+            }
             Some(_) => {}
         }
     }
     for name in old.keys().filter(|name| !new.contains_key(*name)) {
-        change(name, How::Removed, Vec::new());
+        change(name, ChangeKind::Removed, Vec::new());
     }
 }
 
@@ -186,8 +194,8 @@
     }
 }
 
-/// Lists values that differ. Values are matched by key, as a pool or service
-/// of another kind has other keys.
+/// Lists values that differ. Values are matched by key, because pools and services of
+/// different kinds have different keys.
 fn details(old: &[(&'static str, String)], new: &[(&'static str, String)]) -> Vec<String> {
     let find = |list: &[(&'static str, String)], key| {
         list.iter()
@@ -205,14 +213,15 @@
         .collect()
 }
 
-fn one(values: Vec<(&'static str, String)>) -> Things {
+/// Returns the values of a thing that has no name.
+fn single(values: Vec<(&'static str, String)>) -> Items {
     BTreeMap::from([(String::new(), values)])
 }
 
-fn each<N: fmt::Display, T>(
+fn items<N: fmt::Display, T>(
     things: &BTreeMap<N, T>,
     values: impl Fn(&T) -> Vec<(&'static str, String)>,
-) -> Things {
+) -> Items {
     things
         .iter()
         .map(|(name, thing)| (name.to_string(), values(thing)))
@@ -278,7 +287,7 @@
 
 fn short_hash(hash: &[u8; 32]) -> String {
     hash.iter()
-        .take(HASH_SHOWN)
+        .take(HASH_BYTES_SHOWN)
         .map(|byte| format!("{byte:02x}"))
         .collect()
 }
@@ -292,10 +301,10 @@
     ]
 }
 
-/// Versions of the adapters of `one` that `other` has too; those of the rest
-/// come and go with their adapters.
-fn versions(one: &Model, other: &Model) -> Things {
-    let shared = one
+/// Returns the versions of those adapters of `model` that `other` has too. For the other
+/// adapters, the addition or removal of the adapter covers its versions.
+fn versions(model: &Model, other: &Model) -> Items {
+    let shared = model
         .adapters
         .iter()
         .filter(|(name, _)| other.adapters.contains_key(*name));
@@ -308,7 +317,7 @@
     names.map(|name| (name, Vec::new())).collect()
 }
 
-fn services(model: &Model) -> Things {
+fn services(model: &Model) -> Items {
     let all = model.services.iter().flat_map(|(brand, services)| {
         services
             .iter()
