--- a/crates/frontd/src/entry/forward.rs
+++ b/crates/frontd/src/entry/forward.rs
@@ -160,7 +160,7 @@
                     }
                 }
                 SendOutcome::Unknown => {
-                    self.log_attempt(&target, "unknown outcome");
+                    self.log_attempt(&target, "in doubt");
                     self.possible_runs += 1;
                     self.tried.insert(target);
                     if Instant::now() >= self.deadline {
