--- a/crates/entryd/src/prompt.rs
+++ b/crates/entryd/src/prompt.rs
@@ -1,33 +1,33 @@
-//! Reads what routing needs from a chat completion's body.
+//! Reads the fields of a chat completion's body that routing needs.
 
 use base::{Tokens, stable_hash};
 use serde::Deserialize;
 use serde_json::{Map, Value};
 
-/// Bytes of the prompt's head that count for prefix caches: the part that
-/// requests of one assistant share is at its beginning.
-const HEAD: usize = 1_024;
+/// Bytes at the beginning of the prompt that the hash for prefix caches covers: requests to
+/// one assistant share the beginning of their prompts.
+const PREFIX_BYTES: usize = 1_024;
 
-/// Tokens of an answer when the request names no number.
-const TOKENS: u32 = 256;
+/// Assumed limit of tokens in the answer if the request sets none.
+const DEFAULT_MAX_TOKENS: u32 = 256;
 
-/// A chat completion's body, as far as the system reads it.
+/// A chat completion's body with the fields that routing needs.
 #[derive(Clone, Debug)]
 pub(crate) struct Chat {
-    /// The whole body; what isn't known here is passed on untouched.
+    /// The complete body; fields that are not read here are passed on unchanged.
     pub(crate) body: Map<String, Value>,
-    /// The assistant, and the version where the caller names one.
+    /// `assistant` or `assistant@version`, as the caller wrote it.
     pub(crate) model: String,
     /// Whether the answer is to be streamed.
     pub(crate) stream: bool,
-    /// Most tokens of the answer.
+    /// Upper limit of tokens in the answer.
     pub(crate) tokens: Tokens,
-    /// Hash of the head of the prompt.
+    /// Hash of the beginning of the prompt.
     pub(crate) prefix: u64,
 }
 
 #[derive(Deserialize)]
-struct Known {
+struct ChatFields {
     model: String,
     #[serde(default)]
     stream: bool,
@@ -49,29 +49,29 @@
 
     fn try_from(raw: &[u8]) -> Result<Self, serde_json::Error> {
         let body: Map<String, Value> = serde_json::from_slice(raw)?;
-        let known: Known = serde_json::from_value(Value::Object(body.clone()))?;
+        let fields: ChatFields = serde_json::from_value(Value::Object(body.clone()))?;
         Ok(Chat {
-            prefix: head(&known.messages),
+            prefix: prefix_hash(&fields.messages),
             body,
-            model: known.model,
-            stream: known.stream,
-            tokens: Tokens(known.max_tokens.unwrap_or(TOKENS)),
+            model: fields.model,
+            stream: fields.stream,
+            tokens: Tokens(fields.max_tokens.unwrap_or(DEFAULT_MAX_TOKENS)),
         })
     }
 }
 
-fn head(messages: &[Message]) -> u64 {
-    let mut head = String::new();
+fn prefix_hash(messages: &[Message]) -> u64 {
+    let mut prompt = String::new();
     for message in messages {
-        head.push_str(&message.role);
+        prompt.push_str(&message.role);
         match &message.content {
-            Value::String(text) => head.push_str(text),
-            other => head.push_str(&other.to_string()),
+            Value::String(text) => prompt.push_str(text),
+            other => prompt.push_str(&other.to_string()),
         }
-        if head.len() >= HEAD {
+        if prompt.len() >= PREFIX_BYTES {
             break;
         }
     }
-    let bytes = head.as_bytes();
-    stable_hash(&[&bytes[..bytes.len().min(HEAD)]])
+    let bytes = prompt.as_bytes();
+    stable_hash(&[&bytes[..bytes.len().min(PREFIX_BYTES)]])
 }
--- a/crates/entryd/src/saved.rs
+++ b/crates/entryd/src/saved.rs
@@ -1,7 +1,8 @@
-//! The last text in force, kept in the data folder where there is one.
+//! Copy of the text that was last in force, stored in the data folder if there is one.
 //!
-//! It is a convenience for a start in a zone that is cut off, never a proof: a
-//! file that is missing or broken is as good as none.
+//! An instance that starts while its availability zone is cut off from the control
+//! instances serves by this copy. The copy is only a cache: a file that is missing or
+//! can't be parsed is ignored.
 
 use std::{
     fs::{self, File},
@@ -15,21 +16,20 @@
 use node::Input;
 use wire::operator::Current;
 
-/// The file's name.
-const FILE: &str = "text.json";
+const FILE_NAME: &str = "text.json";
 
-/// Reads the saved text.
+/// Returns the saved text as the node's input; none if there is no readable file.
 pub(crate) fn read(folder: &Path) -> Option<Input> {
-    let raw = fs::read(folder.join(FILE)).ok()?;
+    let raw = fs::read(folder.join(FILE_NAME)).ok()?;
     let Current { version, text } = serde_json::from_slice(&raw).ok()?;
     Some(Input::Saved { version, text })
 }
 
-/// Writes a text in the background; the newest one written last wins.
+/// Saves a text in the background, unless the file already holds this or a later version.
 pub(crate) fn write(folder: PathBuf, version: TextVersion, raw: Arc<str>) {
     tokio::task::spawn_blocking(move || {
         if let Err(err) = try_write(&folder, version, &raw) {
-            tracing::warn!("the text can't be saved: {err:#}");
+            tracing::warn!("can't save the text in force: {err:#}");
         }
     });
 }
@@ -41,10 +41,10 @@
     fs::create_dir_all(folder)?;
     let text = raw.to_owned();
     let body = serde_json::to_vec(&Current { version, text })?;
-    let fresh = folder.join(format!("{FILE}.{version}"));
-    let mut file = File::create(&fresh)?;
+    let temp = folder.join(format!("{FILE_NAME}.{version}"));
+    let mut file = File::create(&temp)?;
     file.write_all(&body)?;
     file.sync_all()?;
-    fs::rename(&fresh, folder.join(FILE))?;
+    fs::rename(&temp, folder.join(FILE_NAME))?;
     Ok(())
 }
