--- a/crates/entryd/src/attempts.rs
+++ b/crates/entryd/src/attempts.rs
@@ -1,4 +1,5 @@
-//! Sends one attempt and tells the node what comes of it.
+//! Sends one attempt of a request to a target, or to the instance that owns it, and reports
+//! the progress of the answer to the node.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -19,29 +20,31 @@
 use wire::{call, header};
 
 use crate::{
-    exchange::{Ask, Exchange, Item},
+    exchange::{CallerRequest, Exchange, Item},
     hops,
     outside::json_headers,
     state::State,
 };
 
-/// Silence of an answer after which it is given up: tokens follow each other
-/// fast, but a request may wait inside the engine for a place in its batch.
-const IDLE: Duration = Duration::from_secs(20);
+/// Idle timeout of an answer. Tokens follow each other fast, but a request may wait inside the
+/// engine for a place in its batch.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// The same where somebody waits and the request may be sent again: longer
-/// than nearly every first token takes.
-const LIVE_IDLE: Duration = Duration::from_secs(5);
+/// Idle timeout for critical and live requests that may be sent again. Nearly every first token
+/// arrives sooner.
+const LIVE_IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// The same for a stream that another instance passes on, which gives a sign
-/// of life each second while it waits: three are missing.
-const HOP_IDLE: Duration = Duration::from_millis(3_500);
+/// Idle timeout for an answer that passes through another instance. That instance writes a
+/// keep-alive comment each second while it waits; at the timeout, three are missing.
+const HOP_IDLE_TIMEOUT: Duration = Duration::from_millis(3_500);
 
-/// Largest answer that is held back until it is whole.
-const WHOLE_MAX: usize = 8 << 20;
+/// Largest answer that isn't an event stream, in bytes; such answers may be held back until
+/// they are complete.
+const MAX_ANSWER_BYTES: usize = 8 << 20;
 
-/// Largest answer to a marked request that is kept for a resend.
-const KEPT_MAX: usize = 4 << 10;
+/// Largest answer to a marked request that is copied, in bytes. The copy answers a retry with
+/// the same idempotency key.
+const MAX_COPY_BYTES: usize = 4 << 10;
 
 /// Starts an attempt in the background.
 pub(crate) fn start(state: &Arc<State>, exchange: Arc<Exchange>, attempt: Attempt) {
@@ -58,24 +61,27 @@
         exchange: Arc::clone(&exchange),
         attempt,
         step: 0,
-        kept: None,
+        copy: None,
     };
     let task = tokio::spawn(run.run(span.clone()).instrument(span));
-    exchange.note_attempt(number, task.abort_handle());
+    exchange.insert_attempt(number, task.abort_handle());
 }
 
-/// One attempt under way.
+/// One attempt in progress.
 struct Run {
     state: Arc<State>,
     exchange: Arc<Exchange>,
     attempt: Attempt,
+    /// Number of the last step reported to the node.
     step: u64,
-    kept: Option<Kept>,
+    /// Copy of the answer, if the request is marked and the answer small enough.
+    copy: Option<AnswerCopy>,
 }
 
-/// A copy of the answer to a marked request, while it is small.
-struct Kept {
+/// A copy of the answer to a marked request.
+struct AnswerCopy {
     status: u16,
+    /// Content type.
     content: String,
     body: BytesMut,
 }
@@ -92,12 +98,14 @@
 
     fn send(&self, span: &Span) -> Send {
         let attempt = &self.attempt;
-        let mut send = match (&self.exchange.ask, &attempt.route) {
-            (Ask::Plain { .. }, route) => self.plain(address(route)),
-            (Ask::Chat { .. }, Route::Target { address, priority }) => {
-                self.engine(*address, *priority)
+        let mut send = match (&self.exchange.request, &attempt.route) {
+            (CallerRequest::Plain { .. }, route) => self.to_plain_service(address(route)),
+            (CallerRequest::Chat { .. }, Route::Target { address, priority }) => {
+                self.to_engine(*address, *priority)
+            }
+            (CallerRequest::Chat { .. }, Route::Owner { address, timeout }) => {
+                self.to_owner(*address, *timeout)
             }
-            (Ask::Chat { .. }, Route::Owner { address, timeout }) => self.owner(*address, *timeout),
         };
         send.mark = attempt.mark;
         send.limits = limits(attempt);
@@ -117,13 +125,13 @@
         send
     }
 
-    fn plain(&self, address: SocketAddr) -> Send {
-        let Ask::Plain {
+    fn to_plain_service(&self, address: SocketAddr) -> Send {
+        let CallerRequest::Plain {
             method,
             path,
             headers,
             body,
-        } = &self.exchange.ask
+        } = &self.exchange.request
         else {
             return Send::new(address, Method::GET, "/");
         };
@@ -133,7 +141,7 @@
         send
     }
 
-    fn engine(&self, address: SocketAddr, priority: i32) -> Send {
+    fn to_engine(&self, address: SocketAddr, priority: i32) -> Send {
         let mut send = Send::new(address, Method::POST, "/v1/chat/completions");
         send.headers = json_headers();
         let model = self.attempt.resident.as_ref().map(ToString::to_string);
@@ -141,30 +149,30 @@
             body.insert("model".to_owned(), Value::from(model));
             body.insert("priority".to_owned(), Value::from(priority));
         });
-        let prefix = match &self.exchange.ask {
-            Ask::Chat { prefix, .. } => *prefix,
-            Ask::Plain { .. } => 0,
+        let prefix = match &self.exchange.request {
+            CallerRequest::Chat { prefix, .. } => *prefix,
+            CallerRequest::Plain { .. } => 0,
         };
         let prefix = header_value(&format!("{prefix:016x}"));
         send.headers.insert(header::PREFIX, prefix);
         send
     }
 
-    fn owner(&self, address: SocketAddr, timeout: Duration) -> Send {
+    fn to_owner(&self, address: SocketAddr, timeout: Duration) -> Send {
         let mut send = Send::new(address, Method::POST, hops::PATH);
         send.headers = json_headers();
-        hops::write(&mut send.headers, &self.attempt, timeout);
+        hops::write_headers(&mut send.headers, &self.attempt, timeout);
         send.body = self.chat_body(|_| {});
         send
     }
 
     fn chat_body(&self, change: impl FnOnce(&mut serde_json::Map<String, Value>)) -> Bytes {
-        let Ask::Chat { body, .. } = &self.exchange.ask else {
+        let CallerRequest::Chat { body, .. } = &self.exchange.request else {
             return Bytes::new();
         };
         let mut body = body.clone();
         change(&mut body);
-        // A map of JSON values always serialises.
+        // Serialising a map of JSON values can't fail.
         serde_json::to_vec(&body).unwrap_or_default().into()
     }
 
@@ -173,7 +181,7 @@
             self.refused(&answer);
             return;
         }
-        self.begin_keeping(&answer);
+        self.start_copy(&answer);
         self.head(&answer);
         let mut events = is_stream(&answer).then(Parser::default);
         let mut size = 0;
@@ -183,22 +191,22 @@
                 Err(broken) => return self.cut(&broken),
             };
             size += piece.len();
-            if events.is_none() && size > WHOLE_MAX {
+            if events.is_none() && size > MAX_ANSWER_BYTES {
                 return self.end(false);
             }
-            let passed = match &mut events {
+            let reported = match &mut events {
                 Some(parser) => self.events(parser, &piece).await,
                 None => self.piece(Part::Raw, piece).await,
             };
-            if passed.is_none() {
+            if reported.is_none() {
                 return;
             }
         }
         self.end(true);
     }
 
-    /// Passes whole events on: a cut in the middle of one leaves nothing of it
-    /// with the caller, so a resumed stream can go on at its beginning.
+    /// Passes on complete events only. If the connection is cut within an event, the caller has
+    /// nothing of it, so a resumed stream continues at the beginning of that event.
     async fn events(&mut self, parser: &mut Parser, piece: &[u8]) -> Option<()> {
         let mut events = Vec::new();
         if parser.push(piece, &mut events).is_err() {
@@ -216,14 +224,14 @@
         Some(())
     }
 
-    /// The stream ends with an error of the engine's or the owner's.
+    /// Reports that the stream ended with an error event of the engine or the owner.
     fn stream_failed(&mut self, error: &ErrorInfo) {
         let progress = Progress::Failed {
             verdict: error.verdict.max(Verdict::MayHaveRun),
             reason: error.kind,
             retry: error.retry_after_ms.map(Duration::from_millis),
         };
-        self.tell(progress, None);
+        self.report(progress, None);
     }
 
     fn part(&self, event: &sse::Event) -> Part {
@@ -239,14 +247,14 @@
     }
 
     async fn piece(&mut self, part: Part, bytes: Bytes) -> Option<()> {
-        let permit = self.exchange.room().await?;
-        if let Some(kept) = &mut self.kept {
-            kept.body.extend_from_slice(&bytes);
-            if kept.body.len() > KEPT_MAX {
-                self.kept = None;
+        let permit = self.exchange.permit().await?;
+        if let Some(copy) = &mut self.copy {
+            copy.body.extend_from_slice(&bytes);
+            if copy.body.len() > MAX_COPY_BYTES {
+                self.copy = None;
             }
         }
-        self.tell(Progress::Piece(part), Some(Item::Piece(bytes, permit)));
+        self.report(Progress::Piece(part), Some(Item::Piece(bytes, permit)));
         Some(())
     }
 
@@ -261,23 +269,23 @@
             ran,
             resumed: resumed.and_then(|raw| raw.parse().ok()),
         };
-        let item = Item::Head(answer.status, head_for_caller(&answer.headers));
-        self.tell(progress, Some(item));
+        let item = Item::Head(answer.status, headers_for_caller(&answer.headers));
+        self.report(progress, Some(item));
     }
 
-    fn begin_keeping(&mut self, answer: &Answer) {
+    fn start_copy(&mut self, answer: &Answer) {
         if self.attempt.mark == Mark::Repeatable {
             return;
         }
         let content = answer.header(http::CONTENT_TYPE.as_str());
-        self.kept = Some(Kept {
+        self.copy = Some(AnswerCopy {
             status: answer.status.as_u16(),
             content: content.unwrap_or_default().to_owned(),
             body: BytesMut::new(),
         });
     }
 
-    /// The target, or the instance that owns it, refused before it started.
+    /// Reports the failure that the target, or the instance that owns it, answered with.
     fn refused(&mut self, answer: &Answer) {
         let reason = answer.header(header::REASON).and_then(|raw| {
             let value = Value::from(raw);
@@ -292,7 +300,7 @@
             reason: reason.unwrap_or(Refusal::Unavailable),
             retry: retry.map(Duration::from_secs),
         };
-        self.tell(progress, None);
+        self.report(progress, None);
     }
 
     fn fail(&mut self, broken: &Broken) {
@@ -301,31 +309,32 @@
             reason: broken.reason(),
             retry: None,
         };
-        self.tell(progress, None);
+        self.report(progress, None);
     }
 
     fn cut(&mut self, broken: &Broken) {
-        tracing::debug!("an answer broke off: {broken}");
+        tracing::debug!("an answer was cut off: {broken}");
         self.end(false);
     }
 
     fn end(&mut self, whole: bool) {
-        let answer = self.kept.take().filter(|_| whole).map(|kept| call::Answer {
-            status: kept.status,
-            content: kept.content,
-            body: kept.body.to_vec(),
+        let answer = self.copy.take().filter(|_| whole).map(|copy| call::Answer {
+            status: copy.status,
+            content: copy.content,
+            body: copy.body.to_vec(),
         });
-        self.tell(Progress::End { whole, answer }, None);
+        self.report(Progress::End { whole, answer }, None);
     }
 
-    fn tell(&mut self, progress: Progress, item: Option<Item>) {
+    /// Reports a step to the node; `item` waits in the exchange for the node's decision.
+    fn report(&mut self, progress: Progress, item: Option<Item>) {
         self.step += 1;
-        // Steps of two attempts of one request must differ.
+        // The attempt's number makes steps of two attempts of one request differ.
         let step = (u64::from(self.attempt.attempt) << 32) | self.step;
         if let Some(item) = item {
-            self.exchange.keep(step, item);
+            self.exchange.store(step, item);
         }
-        self.state.tell(Input::Progress {
+        self.state.send_input(Input::Progress {
             ticket: self.attempt.ticket,
             attempt: self.attempt.attempt,
             step,
@@ -342,15 +351,16 @@
 
 fn limits(attempt: &Attempt) -> Limits {
     let reuse = match attempt.class {
-        // A completion's head is slow by nature, so silence says nothing.
+        // The head of a completion takes long, so a delay doesn't show that a reused
+        // connection is broken.
         _ if attempt.resident.is_some() => Duration::ZERO,
         Class::Critical | Class::Live | Class::Batch => Limits::default().reuse,
     };
     Limits {
         first: attempt.timeout,
         idle: match attempt.route {
-            Route::Owner { .. } => HOP_IDLE,
-            Route::Target { .. } => idle(attempt),
+            Route::Owner { .. } => HOP_IDLE_TIMEOUT,
+            Route::Target { .. } => idle_timeout(attempt),
         },
         whole: attempt.timeout,
         reuse,
@@ -358,20 +368,19 @@
     }
 }
 
-/// Returns how long a target may be silent.
+/// Returns the idle timeout for an answer of a target.
 ///
-/// Guard: an engine that hangs, or whose connection is forgotten, would keep a
-/// stream until the caller's deadline. Broken off sooner, it goes on at another
-/// engine; one that can't be sent again is waited for longer.
-fn idle(attempt: &Attempt) -> Duration {
+/// An engine may hang, or a middlebox may drop the state of its connection. Without the timeout
+/// the stream would stall until the caller's deadline; with it, the request continues at another
+/// engine. The timeout is longer where the request can't be sent again.
+fn idle_timeout(attempt: &Attempt) -> Duration {
     match (attempt.class, attempt.mark) {
-        (Class::Critical | Class::Live, Mark::Repeatable) => LIVE_IDLE,
-        _ => IDLE,
+        (Class::Critical | Class::Live, Mark::Repeatable) => LIVE_IDLE_TIMEOUT,
+        _ => IDLE_TIMEOUT,
     }
 }
 
-/// Tells whether another instance answers with a failure of its own making
-/// rather than with a target's answer.
+/// Returns whether the answer is a failure of another instance rather than a target's answer.
 fn refused_by_peer(answer: &Answer) -> bool {
     !answer.status.is_success() && answer.header(header::VERDICT).is_some()
 }
@@ -381,9 +390,9 @@
     kind.is_some_and(|kind| kind.starts_with("text/event-stream"))
 }
 
-/// Returns the headers that go on to the caller: not those of this hop's
-/// connection, and not what is between the system and its targets.
-fn head_for_caller(headers: &HeaderMap) -> HeaderMap {
+/// Returns the headers to pass on to the caller: all but those that concern the connection to
+/// the target only.
+fn headers_for_caller(headers: &HeaderMap) -> HeaderMap {
     let mut headers = headers.clone();
     for name in [
         http::CONNECTION,
--- a/crates/entryd/src/callers.rs
+++ b/crates/entryd/src/callers.rs
@@ -1,5 +1,5 @@
-//! The callers' listener: OpenAI-style chat completions, the list of a brand's
-//! assistants, plain services by path, and the balancer's checks.
+//! The callers' listener: OpenAI-compatible chat completions, the list of a brand's
+//! assistants, plain services by path, and the load balancer's health checks.
 
 use std::{
     sync::{Arc, atomic::Ordering},
@@ -21,14 +21,14 @@
 use wire::header;
 
 use crate::{
-    exchange::{Ask, Exchange},
-    hops::text,
+    exchange::{CallerRequest, Exchange},
+    hops::header_text,
     prompt::Chat,
     state::{InForce, State},
 };
 
 /// Longest accepted idempotency key, in bytes.
-const KEY_MAX: usize = 256;
+const MAX_KEY_BYTES: usize = 256;
 
 /// Answers one request on the callers' listener.
 pub(crate) async fn answer(state: Arc<State>, req: Request<Incoming>) -> Response<Body> {
@@ -64,14 +64,14 @@
             *resp.status_mut() = StatusCode::METHOD_NOT_ALLOWED;
             Ok(resp)
         }
-        _ => plain(state, &force, brand, &path, req).await,
+        _ => plain_service(state, &force, brand, &path, req).await,
     }
 }
 
-/// Returns the brand that the caller's key names.
+/// Returns the brand that the caller's API key belongs to.
 fn brand_of(force: &InForce, headers: &HeaderMap) -> Result<BrandName, Failure> {
     let bad = || Failure::not_run(Refusal::BadKey);
-    let auth = text(headers, http::AUTHORIZATION.as_str()).ok_or_else(bad)?;
+    let auth = header_text(headers, http::AUTHORIZATION.as_str()).ok_or_else(bad)?;
     let key = auth.strip_prefix("Bearer ").ok_or_else(bad)?;
     let hash = text::key_hash(key.trim());
     let found = force.keys.brand(&hash).cloned();
@@ -81,7 +81,7 @@
     found.ok_or_else(bad)
 }
 
-/// Lists the brand's own assistants; others' aren't told to exist.
+/// Lists the assistants of the caller's own brand; those of other brands are not disclosed.
 fn models(force: &InForce, brand: &BrandName) -> Response<Body> {
     let services = force.model.services.get(brand);
     let assistants = services.into_iter().flatten();
@@ -100,7 +100,7 @@
     req: Request<Incoming>,
 ) -> Result<Response<Body>, Failure> {
     let (parts, body) = req.into_parts();
-    let raw = body::read(body, limits(force)).await?;
+    let raw = body::read(body, read_limits(force)).await?;
     let bad = || Failure::not_run(Refusal::BadRequest);
     let chat = Chat::try_from(&raw[..]).map_err(|_| bad())?;
     let (service, version) = model_name(&chat.model).ok_or_else(bad)?;
@@ -109,21 +109,21 @@
     if found.is_none() {
         return Err(Failure::not_run(Refusal::NotFound));
     }
-    let mut call = Call::read(&parts.headers, brand, service)?;
+    let mut call = CallInfo::read(&parts.headers, brand, service)?;
     call.version = version;
     call.prefix = chat.prefix;
     call.tokens = chat.tokens;
     call.stream = chat.stream;
     call.body = body_hash("POST", "/v1/chat/completions", &raw);
-    let ask = Ask::Chat {
+    let request = CallerRequest::Chat {
         body: chat.body,
         stream: chat.stream,
         prefix: chat.prefix,
     };
-    call.run(state, ask, &parts.headers).await
+    call.run(state, request, &parts.headers).await
 }
 
-async fn plain(
+async fn plain_service(
     state: Arc<State>,
     force: &InForce,
     brand: BrandName,
@@ -132,8 +132,8 @@
 ) -> Result<Response<Body>, Failure> {
     let not_found = || Failure::not_run(Refusal::NotFound);
     let mut names = path.trim_start_matches('/').splitn(3, '/');
-    let named = names.next().filter(|name| *name == brand.as_str());
-    named.ok_or_else(not_found)?;
+    let own = names.next().filter(|name| *name == brand.as_str());
+    own.ok_or_else(not_found)?;
     let service = names.next().and_then(|name| name.parse().ok());
     let service: ServiceName = service.ok_or_else(not_found)?;
     let rest = names.next().unwrap_or_default();
@@ -141,51 +141,58 @@
     let found = found.filter(|s| s.kind == ServiceKind::Plain);
     found.ok_or_else(not_found)?;
     let (parts, body) = req.into_parts();
-    let raw = body::read(body, limits(force)).await?;
+    let raw = body::read(body, read_limits(force)).await?;
     let query = parts.uri.query().map(|query| format!("?{query}"));
     let inner = format!("/{service}/{rest}{}", query.unwrap_or_default());
-    let mut call = Call::read(&parts.headers, brand, service)?;
+    let mut call = CallInfo::read(&parts.headers, brand, service)?;
     call.stream = true;
     call.body = body_hash(parts.method.as_str(), &inner, &raw);
-    let ask = Ask::Plain {
+    let request = CallerRequest::Plain {
         method: parts.method.clone(),
         path: inner,
-        headers: for_target(&parts.headers),
+        headers: headers_for_target(&parts.headers),
         body: raw,
     };
-    call.run(state, ask, &parts.headers).await
+    call.run(state, request, &parts.headers).await
 }
 
-/// What a request asks of the system, from its headers and body.
-struct Call {
+/// What the node needs to know of a request, from its headers and body.
+struct CallInfo {
     brand: BrandName,
     service: ServiceName,
     version: Option<Version>,
     class: Option<Class>,
-    patience: Option<Duration>,
+    /// How long the caller waits, from the deadline header.
+    timeout: Option<Duration>,
+    /// The idempotency key as the caller wrote it.
     key: Option<String>,
+    /// Hash of method, path and body: tells whether a key is reused for another request.
     body: [u8; 16],
     prefix: u64,
     tokens: Tokens,
     stream: bool,
 }
 
-impl Call {
-    fn read(headers: &HeaderMap, brand: BrandName, service: ServiceName) -> Result<Call, Failure> {
+impl CallInfo {
+    fn read(
+        headers: &HeaderMap,
+        brand: BrandName,
+        service: ServiceName,
+    ) -> Result<CallInfo, Failure> {
         let bad = || Failure::not_run(Refusal::BadRequest);
-        let class = text(headers, header::CLASS).map(str::parse);
-        let patience = text(headers, header::DEADLINE).map(str::parse);
-        let key = text(headers, header::IDEMPOTENCY_KEY).map(str::to_owned);
-        let usable = |key: &String| !key.is_empty() && key.len() <= KEY_MAX;
+        let class = header_text(headers, header::CLASS).map(str::parse);
+        let timeout = header_text(headers, header::DEADLINE).map(str::parse);
+        let key = header_text(headers, header::IDEMPOTENCY_KEY).map(str::to_owned);
+        let usable = |key: &String| !key.is_empty() && key.len() <= MAX_KEY_BYTES;
         if headers.contains_key(header::IDEMPOTENCY_KEY) && !key.as_ref().is_some_and(usable) {
             return Err(bad());
         }
-        Ok(Call {
+        Ok(CallInfo {
             brand,
             service,
             version: None,
             class: class.transpose().map_err(|_| bad())?,
-            patience: patience
+            timeout: timeout
                 .transpose()
                 .map_err(|_| bad())?
                 .map(Duration::from_millis),
@@ -197,55 +204,56 @@
         })
     }
 
-    /// Hands the request to the node and waits for the head of its answer.
+    /// Passes the request to the node and waits for the head of its answer.
     async fn run(
         self,
         state: Arc<State>,
-        ask: Ask,
+        request: CallerRequest,
         headers: &HeaderMap,
     ) -> Result<Response<Body>, Failure> {
         let span = span!("entry", brand = %self.brand, service = %self.service);
-        telemetry::set_parent(&span, text(headers, header::TRACEPARENT));
+        telemetry::set_parent(&span, header_text(headers, header::TRACEPARENT));
         let ticket = state.next_ticket();
         let key = self.key.as_deref().map(idempotency_key);
-        let (exchange, answer) = Exchange::new(ticket, ask, self.key, span);
-        state.put(ticket, exchange);
-        let waiting = Waiting::new(Arc::clone(&state), ticket);
-        state.tell(Input::Arrive(Arrival {
+        let (exchange, answer) = Exchange::new(ticket, request, self.key, span);
+        state.insert(ticket, exchange);
+        let wait = AnswerWait::new(Arc::clone(&state), ticket);
+        state.send_input(Input::Arrive(Arrival {
             ticket,
             brand: self.brand,
             service: self.service,
             version: self.version,
             class: self.class,
-            timeout: self.patience,
+            timeout: self.timeout,
             key,
             body: self.body,
             prefix: self.prefix,
             tokens: self.tokens,
             stream: self.stream,
         }));
-        waiting.answer(answer).await
+        wait.run(answer).await
     }
 }
 
-/// Tells the node that a caller left, if it leaves before the answer's head.
-pub(crate) struct Waiting {
+/// The wait for the head of an answer. Dropped before the head arrives, it reports to the node
+/// that the caller disconnected.
+pub(crate) struct AnswerWait {
     state: Arc<State>,
     ticket: Ticket,
     done: bool,
 }
 
-impl Waiting {
+impl AnswerWait {
     pub(crate) fn new(state: Arc<State>, ticket: Ticket) -> Self {
-        Waiting {
+        AnswerWait {
             state,
             ticket,
             done: false,
         }
     }
 
-    /// Waits for the answer's head.
-    pub(crate) async fn answer(
+    /// Waits for the head.
+    pub(crate) async fn run(
         mut self,
         answer: oneshot::Receiver<Response<Body>>,
     ) -> Result<Response<Body>, Failure> {
@@ -259,23 +267,23 @@
     }
 }
 
-impl Drop for Waiting {
+impl Drop for AnswerWait {
     fn drop(&mut self) {
         if !self.done {
-            self.state.tell(Input::CallerGone(self.ticket));
+            self.state.send_input(Input::CallerGone(self.ticket));
         }
     }
 }
 
-fn limits(force: &InForce) -> ReadLimits {
-    let most = force.model.limits.max_body.get();
+fn read_limits(force: &InForce) -> ReadLimits {
+    let max = force.model.limits.max_body.get();
     ReadLimits {
-        bytes: usize::try_from(most).unwrap_or(usize::MAX),
+        bytes: usize::try_from(max).unwrap_or(usize::MAX),
         ..ReadLimits::default()
     }
 }
 
-/// Splits `assistant@version`.
+/// Parses `assistant` or `assistant@version`.
 fn model_name(model: &str) -> Option<(ServiceName, Option<Version>)> {
     match model.split_once('@') {
         None => Some((model.parse().ok()?, None)),
@@ -286,16 +294,16 @@
 fn idempotency_key(raw: &str) -> IdempotencyKey {
     IdempotencyKey {
         hash: short_hash(&[raw.as_bytes()]),
-        dated: date_of(raw),
+        dated: uuid_v7_time(raw),
     }
 }
 
-/// Returns the time inside a UUID of version 7, in milliseconds since 1970,
-/// unless it lies in the future.
-fn date_of(raw: &str) -> Option<u64> {
+/// Returns the timestamp of a UUID of version 7, in milliseconds since 1970. None if `raw` is
+/// no such UUID, or the timestamp lies in the future.
+fn uuid_v7_time(raw: &str) -> Option<u64> {
     let hex: String = raw.chars().filter(|c| *c != '-').collect();
-    let whole = hex.len() == 32 && raw.len() == 36 && hex.as_bytes()[12] == b'7';
-    let ms = u64::from_str_radix(hex.get(..12).filter(|_| whole)?, 16).ok()?;
+    let is_v7 = hex.len() == 32 && raw.len() == 36 && hex.as_bytes()[12] == b'7';
+    let ms = u64::from_str_radix(hex.get(..12).filter(|_| is_v7)?, 16).ok()?;
     let now = SystemTime::now().duration_since(UNIX_EPOCH).ok()?;
     (u128::from(ms) <= now.as_millis()).then_some(ms)
 }
@@ -310,15 +318,15 @@
         hasher.update((part.len() as u64).to_le_bytes());
         hasher.update(part);
     }
-    let whole = hasher.finalize();
+    let full = hasher.finalize();
     let mut short = [0; 16];
-    short.copy_from_slice(&whole[..16]);
+    short.copy_from_slice(&full[..16]);
     short
 }
 
-/// Returns the headers that go on to a plain service: neither the caller's
-/// key nor what concerns this connection alone.
-fn for_target(headers: &HeaderMap) -> HeaderMap {
+/// Returns the headers to send to a plain service: all but the caller's API key and the headers
+/// that concern the caller's connection only.
+fn headers_for_target(headers: &HeaderMap) -> HeaderMap {
     let mut headers = headers.clone();
     for name in [
         http::AUTHORIZATION,
--- a/crates/entryd/src/calls.rs
+++ b/crates/entryd/src/calls.rs
@@ -1,4 +1,4 @@
-//! Calls to and from other processes.
+//! RPC calls to and from other processes.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -8,29 +8,29 @@
 
 use crate::state::State;
 
-/// Makes a call in the background and tells the node how it ended.
-pub(crate) fn make(
+/// Makes a call in the background and passes the reply or the failure to the node.
+pub(crate) fn send(
     state: &Arc<State>,
     call: u64,
     address: SocketAddr,
     body: Call,
-    limit: Duration,
+    timeout: Duration,
 ) {
     let state = Arc::clone(state);
     tokio::spawn(async move {
-        let reply = state.links.to(address).call(body, limit).await;
+        let reply = state.links.to(address).call(body, timeout).await;
         let reply = reply.map_err(|err| err.verdict());
-        state.tell(Input::Replied { call, reply });
+        state.send_input(Input::Replied { call, reply });
     });
 }
 
-/// Answers a call from another process by what the node says.
-pub(crate) async fn take(state: Arc<State>, from: InstanceName, body: Call) -> Reply {
+/// Passes a call from another process to the node and returns the node's reply.
+pub(crate) async fn handle(state: Arc<State>, from: InstanceName, body: Call) -> Reply {
     if body == Call::Drain {
-        state.tell(Input::Drain);
+        state.send_input(Input::Drain);
         return Reply::Done;
     }
-    let (call, answer) = state.expect();
-    state.tell(Input::Called { call, from, body });
-    answer.await.unwrap_or(Reply::Done)
+    let (call, reply) = state.register_call();
+    state.send_input(Input::Called { call, from, body });
+    reply.await.unwrap_or(Reply::Done)
 }
--- a/crates/entryd/src/events.rs
+++ b/crates/entryd/src/events.rs
@@ -1,4 +1,4 @@
-//! Turns what the node reports into log lines and metrics.
+//! Turns the node's events into log lines and metrics.
 
 use std::time::Duration;
 
@@ -7,9 +7,9 @@
 use telemetry::{Event as Line, Load, event, metrics};
 use wire::engine::Resident;
 
-/// Writes one report.
-pub(crate) fn write(report: Event) {
-    match report {
+/// Logs one event of the node or records it in a metric.
+pub(crate) fn write(event: Event) {
+    match event {
         Event::BadText(version) => event!(Line::TextBroken, version = version),
         Event::TextInForce(version) => {
             metrics().text_version(version);
@@ -86,12 +86,12 @@
     end: OrderEnd,
     took: Duration,
 ) {
-    let how = match end {
+    let outcome = match end {
         OrderEnd::Done | OrderEnd::AlreadyLoaded => Load::Done,
         OrderEnd::Fenced => Load::Fenced,
         OrderEnd::Failed | OrderEnd::Unknown => Load::Failed,
     };
-    metrics().load(pool, how, took);
+    metrics().load(pool, outcome, took);
     if end == OrderEnd::Done {
         let (adapter, ms) = (resident.to_string(), millis(took));
         event!(
--- a/crates/entryd/src/exchange.rs
+++ b/crates/entryd/src/exchange.rs
@@ -1,5 +1,7 @@
-//! One request's bytes, from the caller's body to the last piece of the
-//! answer; what is done with them is the node's decision.
+//! The data of one request: the caller's body and the answer until its last piece is written.
+//!
+//! The node decides what to do with each part of an answer and never sees the bytes. They
+//! wait here until the node's decision, an [`Output::Flow`](node::Output::Flow), arrives.
 
 use std::{
     collections::BTreeMap,
@@ -25,74 +27,86 @@
 
 use crate::state::State;
 
-/// Pieces of an answer that may wait for a slow caller; then the attempt's
-/// connection isn't read any further.
-const DEPTH: usize = 64;
+/// Most pieces of an answer that wait for a slow caller. Beyond them, the attempt's connection
+/// isn't read any further.
+const MAX_WAITING_PIECES: usize = 64;
 
-/// Silence of a stream of events after which it gives a sign of life: a few of
-/// them fit into the shortest limit of whoever reads it.
-const SIGN_EVERY: Duration = Duration::from_secs(1);
+/// Time without an event after which a keep-alive comment is written to an event stream. A few
+/// of them fit into the shortest idle timeout of a reader.
+const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What the caller sent.
+/// A request as the caller sent it.
 #[derive(Debug)]
-pub(crate) enum Ask {
+pub(crate) enum CallerRequest {
     /// A chat completion.
     Chat {
-        /// Its JSON body; the model is named anew for each hop.
+        /// Its JSON body; `model` and `priority` are replaced when it is sent to an engine.
         body: Map<String, Value>,
+        /// Whether the answer is to be streamed.
         stream: bool,
+        /// Hash of the beginning of the prompt.
         prefix: u64,
     },
-    /// A call of a plain service.
+    /// A request to a plain service.
     Plain {
         method: Method,
+        /// Path and query to send to the target.
         path: String,
         headers: HeaderMap,
         body: Bytes,
     },
 }
 
-/// A head or a piece of an answer, until the node says what to do with it.
+/// The head or a piece of an answer.
 #[derive(Debug)]
 pub(crate) enum Item {
     Head(StatusCode, HeaderMap),
     Piece(Bytes, OwnedSemaphorePermit),
 }
 
-/// One request under way.
+/// One request in progress.
 #[derive(Debug)]
 pub(crate) struct Exchange {
     pub(crate) ticket: Ticket,
-    pub(crate) ask: Ask,
-    /// The idempotency key as the caller wrote it, for the target alone.
+    pub(crate) request: CallerRequest,
+    /// The idempotency key as the caller wrote it. It is passed on to targets; the node gets
+    /// only its hash.
     pub(crate) key: Option<String>,
     pub(crate) span: Span,
-    room: Arc<Semaphore>,
+    /// A permit for each piece that may wait, see [`MAX_WAITING_PIECES`].
+    permits: Arc<Semaphore>,
     inner: Mutex<Inner>,
 }
 
 #[derive(Debug, Default)]
 struct Inner {
+    /// Takes the answer's head; none once it was sent.
     answer: Option<oneshot::Sender<Response<Body>>>,
-    pump: Option<mpsc::UnboundedSender<Step>>,
-    held: Option<(StatusCode, HeaderMap)>,
-    parts: Vec<Bytes>,
-    items: BTreeMap<u64, Item>,
+    /// Takes the pieces of a body that is being passed on.
+    pump: Option<mpsc::UnboundedSender<Write>>,
+    /// Head of an answer that is held back until it is complete.
+    held_head: Option<(StatusCode, HeaderMap)>,
+    /// Pieces of an answer that is held back until it is complete.
+    held_body: Vec<Bytes>,
+    /// Heads and pieces that the node has not decided about, by the number of their step.
+    undecided: BTreeMap<u64, Item>,
+    /// Tasks of the attempts, by the number of the attempt.
     attempts: BTreeMap<u32, AbortHandle>,
 }
 
-/// What the pump does next.
-enum Step {
+/// A write to the body of the answer.
+enum Write {
     Piece(Bytes, OwnedSemaphorePermit),
+    /// A piece after which the body ends.
     Last(Bytes),
     End,
 }
 
 impl Exchange {
-    /// Makes an exchange and the place where its answer will come.
+    /// Creates an exchange, and the channel on which the head of its answer arrives.
     pub(crate) fn new(
         ticket: Ticket,
-        ask: Ask,
+        request: CallerRequest,
         key: Option<String>,
         span: Span,
     ) -> (Arc<Self>, oneshot::Receiver<Response<Body>>) {
@@ -103,52 +117,52 @@
         };
         let exchange = Exchange {
             ticket,
-            ask,
+            request,
             key,
             span,
-            room: Arc::new(Semaphore::new(DEPTH)),
+            permits: Arc::new(Semaphore::new(MAX_WAITING_PIECES)),
             inner: Mutex::new(inner),
         };
         (Arc::new(exchange), rx)
     }
 
-    /// Waits for room for one more piece.
-    pub(crate) async fn room(&self) -> Option<OwnedSemaphorePermit> {
-        Arc::clone(&self.room).acquire_owned().await.ok()
+    /// Waits until one more piece may be queued for the caller.
+    pub(crate) async fn permit(&self) -> Option<OwnedSemaphorePermit> {
+        Arc::clone(&self.permits).acquire_owned().await.ok()
     }
 
-    pub(crate) fn note_attempt(&self, attempt: u32, task: AbortHandle) {
+    pub(crate) fn insert_attempt(&self, attempt: u32, task: AbortHandle) {
         self.lock().attempts.insert(attempt, task);
     }
 
-    /// Breaks an attempt off; its connection is closed.
-    pub(crate) fn abandon(&self, attempt: u32) {
+    /// Cancels an attempt, which closes its connection.
+    pub(crate) fn cancel(&self, attempt: u32) {
         if let Some(task) = self.lock().attempts.remove(&attempt) {
             task.abort();
         }
     }
 
-    /// Keeps a head or piece until the node has decided about `step`.
-    pub(crate) fn keep(&self, step: u64, item: Item) {
-        self.lock().items.insert(step, item);
+    /// Stores a head or piece until the node has decided about `step`.
+    pub(crate) fn store(&self, step: u64, item: Item) {
+        self.lock().undecided.insert(step, item);
     }
 
-    /// Forgets the item of a step that the node has decided about.
-    pub(crate) fn forget(&self, step: u64) {
-        self.lock().items.remove(&step);
+    /// Drops the head or piece of `step` if it is still stored.
+    pub(crate) fn discard(&self, step: u64) {
+        self.lock().undecided.remove(&step);
     }
 
-    /// Carries out what the node decided about a step.
+    /// Carries out the node's decision about a step.
     pub(crate) fn flow(self: &Arc<Self>, state: &Arc<State>, step: u64, flow: Flow) {
         let mut inner = self.lock();
         match flow {
             Flow::Pass => {
-                if let Some(item) = inner.items.remove(&step) {
+                if let Some(item) = inner.undecided.remove(&step) {
                     self.pass(&mut inner, state, item);
                 }
             }
             Flow::Hold => {
-                if let Some(item) = inner.items.remove(&step) {
+                if let Some(item) = inner.undecided.remove(&step) {
                     inner.hold(item);
                 }
             }
@@ -166,27 +180,28 @@
                 inner.pump = Some(tx);
                 inner.respond(response(status, headers, body));
             }
-            Item::Piece(bytes, permit) => inner.write(Step::Piece(bytes, permit)),
+            Item::Piece(bytes, permit) => inner.write(Write::Piece(bytes, permit)),
         }
     }
 
-    /// Gives the last answer.
+    /// Ends the answer as the node decided.
     pub(crate) fn finish(&self, end: Ending) {
         let mut inner = self.lock();
         match end {
-            Ending::Whole => inner.write(Step::End),
-            Ending::Replay(answer) => inner.respond(kept(answer)),
+            Ending::Whole => inner.write(Write::End),
+            Ending::Replay(answer) => inner.respond(replay(answer)),
             Ending::Failed(failure) => inner.respond(reply::failure(&failure)),
             Ending::Broken(failure) if self.streams() => {
-                inner.write(Step::Last(sse::error(&failure)));
+                inner.write(Write::Last(sse::error(&failure)));
             }
-            // A body without events can't carry an error: it is cut visibly.
+            // Only an event stream can carry an error. Any other body is cut off, which the
+            // caller sees as an incomplete transfer.
             Ending::Broken(_) => inner.pump = None,
         }
     }
 
     fn streams(&self) -> bool {
-        matches!(self.ask, Ask::Chat { stream: true, .. })
+        matches!(self.request, CallerRequest::Chat { stream: true, .. })
     }
 
     fn lock(&self) -> MutexGuard<'_, Inner> {
@@ -195,88 +210,88 @@
 }
 
 impl Inner {
-    /// Holds an item; the room that it took is given back, because an answer
-    /// that is held has a size limit of its own.
+    /// Holds a head or piece back. The piece's permit is released, as answers that are held
+    /// back have a size limit of their own.
     fn hold(&mut self, item: Item) {
         match item {
-            Item::Head(status, headers) => self.held = Some((status, headers)),
-            Item::Piece(bytes, _) => self.parts.push(bytes),
+            Item::Head(status, headers) => self.held_head = Some((status, headers)),
+            Item::Piece(bytes, _) => self.held_body.push(bytes),
         }
     }
 
     fn drop_held(&mut self) {
-        self.held = None;
-        self.parts.clear();
+        self.held_head = None;
+        self.held_body.clear();
     }
 
-    /// Gives the caller an answer that was held until it was whole.
+    /// Sends an answer that was held back until it was complete to the caller.
     fn release(&mut self) {
-        let whole = std::mem::take(&mut self.parts).concat();
-        if let Some((status, headers)) = self.held.take() {
-            self.respond(response(status, headers, body::full(whole)));
+        let body = std::mem::take(&mut self.held_body).concat();
+        if let Some((status, headers)) = self.held_head.take() {
+            self.respond(response(status, headers, body::full(body)));
         }
     }
 
     fn respond(&mut self, resp: Response<Body>) {
         if let Some(answer) = self.answer.take() {
-            // The caller may have left.
+            // Fails if the caller has disconnected.
             answer.send(resp).ok();
         }
     }
 
-    fn write(&mut self, step: Step) {
+    fn write(&mut self, write: Write) {
         if let Some(pump) = &self.pump {
-            // The caller may have left.
-            pump.send(step).ok();
+            // Fails if the caller has disconnected.
+            pump.send(write).ok();
         }
     }
 }
 
-/// Makes the body of an answer that is passed on; events between which signs
-/// of life may stand get them.
+/// Creates the body of an answer that is passed on. An event stream gets keep-alive comments
+/// between its events.
 fn open_body(headers: &HeaderMap) -> (Writer, Body) {
     let kind = headers.get(hyper::header::CONTENT_TYPE);
     if kind.is_some_and(|kind| kind.as_bytes().starts_with(b"text/event-stream")) {
-        return body::lively(1, SIGN_EVERY, Bytes::from_static(sse::PING));
+        return body::lively(1, KEEP_ALIVE_INTERVAL, Bytes::from_static(sse::PING));
     }
     body::channel(1)
 }
 
-/// Writes what was passed on, as fast as the caller reads it.
+/// Writes the pieces of an answer to its body, as fast as the caller reads them.
 async fn pump(
     state: Arc<State>,
     ticket: Ticket,
     writer: Writer,
-    mut steps: mpsc::UnboundedReceiver<Step>,
+    mut writes: mpsc::UnboundedReceiver<Write>,
 ) {
     loop {
-        let step = tokio::select! {
-            step = steps.recv() => step,
+        let write = tokio::select! {
+            write = writes.recv() => write,
             () = writer.gone() => {
-                state.tell(Input::CallerGone(ticket));
+                state.send_input(Input::CallerGone(ticket));
                 return;
             }
         };
-        let wrote = match step {
-            Some(Step::Piece(bytes, permit)) => {
-                let wrote = writer.piece(bytes).await;
+        let result = match write {
+            Some(Write::Piece(bytes, permit)) => {
+                let result = writer.piece(bytes).await;
                 drop(permit);
-                wrote
+                result
             }
-            Some(Step::Last(bytes)) => {
+            Some(Write::Last(bytes)) => {
                 writer.piece(bytes).await.ok();
                 writer.end().await.ok();
                 return;
             }
-            Some(Step::End) => {
+            Some(Write::End) => {
                 writer.end().await.ok();
                 return;
             }
-            // The exchange ended without an end: the body is cut.
+            // The exchange was dropped before the end: the body is cut off.
             None => return,
         };
-        if wrote.is_err() {
-            state.tell(Input::CallerGone(ticket));
+        if result.is_err() {
+            state.send_input(Input::CallerGone(ticket));
             return;
         }
     }
@@ -289,7 +304,7 @@
     resp
 }
 
-fn kept(answer: Answer) -> Response<Body> {
+fn replay(answer: Answer) -> Response<Body> {
     let mut resp = Response::new(body::full(answer.body));
     let status = StatusCode::from_u16(answer.status);
     *resp.status_mut() = status.unwrap_or(StatusCode::OK);
--- a/crates/entryd/src/explain.rs
+++ b/crates/entryd/src/explain.rs
@@ -1,5 +1,7 @@
-//! `GET /v1/explain` on the peer listener, where operators are trusted: at the
-//! callers' listener one brand could ask about another.
+//! `GET /v1/explain`: how requests for a service or adapter are routed, for operators.
+//!
+//! It is served on the peer listener, where operators are trusted: on the callers' listener
+//! one brand could query the services of another.
 
 use std::sync::Arc;
 
@@ -13,24 +15,25 @@
 
 use crate::{calls, state::State};
 
-/// The path of the question.
+/// HTTP path of the query.
 pub(crate) const PATH: &str = "/v1/explain";
 
-/// Answers an operator's question.
+/// Answers an operator's query.
 pub(crate) async fn answer(state: Arc<State>, req: Request<Incoming>) -> Response<Body> {
-    let Some(asked) = read(req.uri().query().unwrap_or_default()) else {
+    let Some(query) = parse_query(req.uri().query().unwrap_or_default()) else {
         return reply::failure(&Failure::not_run(Refusal::BadRequest));
     };
     let from = state.name.clone();
-    match calls::take(state, from, Call::Explain(asked)).await {
+    match calls::handle(state, from, Call::Explain(query)).await {
         Reply::Explained(Some(explained)) => reply::json(StatusCode::OK, &explained),
         Reply::Explained(None) => reply::failure(&Failure::not_run(Refusal::NotFound)),
         _ => reply::failure(&Failure::not_run(Refusal::Unavailable)),
     }
 }
 
-/// Reads `brand=B&service=S` or `brand=B&adapter=A`; names need no escaping.
-fn read(query: &str) -> Option<Explain> {
+/// Parses `brand=B&service=S` or `brand=B&adapter=A`. Nothing is percent-decoded, as valid
+/// names need no escaping.
+fn parse_query(query: &str) -> Option<Explain> {
     let value = |key: &str| {
         let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
         pairs.find(|(name, _)| *name == key).map(|(_, value)| value)
--- a/crates/entryd/src/hops.rs
+++ b/crates/entryd/src/hops.rs
@@ -1,5 +1,8 @@
-//! The peer listener: calls on upgraded connections, and requests passed on
-//! by other entry instances.
+//! The peer listener: RPC calls on upgraded connections, and requests that other entry
+//! instances forward.
+//!
+//! A request for an engine goes to the engine's owner, the entry instance that holds the
+//! lease on it. If that is another instance, the request is forwarded there (a "hop").
 
 use std::{sync::Arc, time::Duration};
 
@@ -15,24 +18,25 @@
 use wire::header;
 
 use crate::{
-    callers::Waiting,
+    callers::AnswerWait,
     calls,
-    exchange::{Ask, Exchange},
+    exchange::{CallerRequest, Exchange},
     explain,
     prompt::Chat,
     state::State,
 };
 
-/// The path of a request that is passed on.
+/// HTTP path of a forwarded request.
 pub(crate) const PATH: &str = "/quetzal/hop";
 
-/// Marked requests say so, so that the owner never breaks them off.
+/// Header of a marked request: one with an idempotency key, which may run at most once. The
+/// owner never cancels it.
 const MARKED: &str = "x-quetzal-marked";
 
 /// Answers one request on the peer listener.
 pub(crate) async fn answer(state: Arc<State>, req: Request<Incoming>) -> Response<Body> {
     if peer::wants_upgrade(&req) {
-        let handler = move |from, call| calls::take(Arc::clone(&state), from, call);
+        let handler = move |from, call| calls::handle(Arc::clone(&state), from, call);
         let upgrade = peer::accept(req, handler);
         return upgrade.map(|empty| empty.map_err(|never| match never {}).boxed_unsync());
     }
@@ -42,13 +46,13 @@
     if req.uri().path() != PATH {
         return reply::failure(&Failure::not_run(Refusal::NotFound));
     }
-    match take(state, req).await {
+    match handle_hop(state, req).await {
         Ok(resp) => resp,
         Err(failure) => reply::failure(&failure),
     }
 }
 
-async fn take(state: Arc<State>, req: Request<Incoming>) -> Result<Response<Body>, Failure> {
+async fn handle_hop(state: Arc<State>, req: Request<Incoming>) -> Result<Response<Body>, Failure> {
     let (parts, body) = req.into_parts();
     let limit = state.in_force().model.limits.max_body.get();
     let limits = ReadLimits {
@@ -59,25 +63,25 @@
     let bad = Failure::not_run(Refusal::BadRequest);
     let chat = Chat::try_from(&raw[..]).map_err(|_| bad.clone())?;
     let ticket = state.next_ticket();
-    let hop = read(&parts.headers, &chat, ticket).ok_or(bad)?;
+    let hop = read_headers(&parts.headers, &chat, ticket).ok_or(bad)?;
     let span = span!("hop", target = %hop.target, brand = %hop.brand);
-    let trace = text(&parts.headers, header::TRACEPARENT);
+    let trace = header_text(&parts.headers, header::TRACEPARENT);
     telemetry::set_parent(&span, trace);
-    let key = text(&parts.headers, header::IDEMPOTENCY_KEY).map(str::to_owned);
-    let ask = Ask::Chat {
+    let key = header_text(&parts.headers, header::IDEMPOTENCY_KEY).map(str::to_owned);
+    let request = CallerRequest::Chat {
         body: chat.body,
         stream: chat.stream,
         prefix: chat.prefix,
     };
-    let (exchange, answer) = Exchange::new(ticket, ask, key, span);
-    state.put(ticket, exchange);
-    let waiting = Waiting::new(Arc::clone(&state), ticket);
-    state.tell(Input::Hop(hop));
-    waiting.answer(answer).await
+    let (exchange, answer) = Exchange::new(ticket, request, key, span);
+    state.insert(ticket, exchange);
+    let wait = AnswerWait::new(Arc::clone(&state), ticket);
+    state.send_input(Input::Hop(hop));
+    wait.run(answer).await
 }
 
-/// Writes what the owner has to know into the headers.
-pub(crate) fn write(headers: &mut HeaderMap, attempt: &Attempt, timeout: Duration) {
+/// Writes into the headers what the owner needs to know; [`read_headers`] reads it.
+pub(crate) fn write_headers(headers: &mut HeaderMap, attempt: &Attempt, timeout: Duration) {
     let mut put = |name: &'static str, value: &str| {
         headers.insert(name, header_value(value));
     };
@@ -94,17 +98,17 @@
     }
 }
 
-fn read(headers: &HeaderMap, chat: &Chat, ticket: base::Ticket) -> Option<Hop> {
-    let timeout = text(headers, header::DEADLINE)?.parse().ok()?;
-    let resume = text(headers, header::RESUME_FROM);
+fn read_headers(headers: &HeaderMap, chat: &Chat, ticket: base::Ticket) -> Option<Hop> {
+    let timeout = header_text(headers, header::DEADLINE)?.parse().ok()?;
+    let resume = header_text(headers, header::RESUME_FROM);
     let marked = headers.contains_key(MARKED);
     Some(Hop {
         ticket,
-        target: text(headers, header::TARGET)?.parse().ok()?,
-        brand: text(headers, header::BRAND)?.parse().ok()?,
-        adapter: text(headers, header::ADAPTER)?.parse().ok()?,
-        version: text(headers, header::VERSION)?.parse().ok()?,
-        class: text(headers, header::CLASS)?.parse().ok()?,
+        target: header_text(headers, header::TARGET)?.parse().ok()?,
+        brand: header_text(headers, header::BRAND)?.parse().ok()?,
+        adapter: header_text(headers, header::ADAPTER)?.parse().ok()?,
+        version: header_text(headers, header::VERSION)?.parse().ok()?,
+        class: header_text(headers, header::CLASS)?.parse().ok()?,
         timeout: Duration::from_millis(timeout),
         prefix: chat.prefix,
         tokens: Tokens(chat.tokens.get()),
@@ -113,7 +117,7 @@
     })
 }
 
-/// Returns a header as text.
-pub(crate) fn text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
+/// Returns a header's value; none if it is missing or not visible ASCII.
+pub(crate) fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name)?.to_str().ok()
 }
--- a/crates/entryd/src/main.rs
+++ b/crates/entryd/src/main.rs
@@ -1,8 +1,8 @@
-//! Entry daemon: a thin shell around one [`node::Node`].
+//! Entry daemon: the I/O shell around one [`node::Node`].
 //!
-//! It owns the clock and the sockets. Everything that happens becomes an input
-//! of the node, and everything that the node wants is carried out here; no
-//! decision about a request is made in this crate.
+//! The daemon owns the clock and the sockets. It passes every event to the node as a
+//! [`node::Input`] and carries out each [`node::Output`] that the node returns. All
+//! decisions about requests are made in the node.
 
 mod attempts;
 mod callers;
--- a/crates/entryd/src/outside.rs
+++ b/crates/entryd/src/outside.rs
@@ -1,4 +1,5 @@
-//! The platform's list, and orders to and reports of engines.
+//! HTTP requests to the platform, for its list of targets and instances, and to engines, for
+//! their reports and to load and unload adapters.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -16,25 +17,26 @@
 
 use crate::state::State;
 
-/// How often the platform's list is read: a leaving target has to be known
-/// within three seconds of the list's word.
-const LIST_EVERY: Duration = Duration::from_millis(500);
+/// How often the platform's list is read. A target must be known to be leaving within three
+/// seconds after the list says so.
+const LIST_INTERVAL: Duration = Duration::from_millis(500);
 
-/// How long a list or report may take.
-const READ_LIMIT: Duration = Duration::from_millis(1_000);
+/// Time limit for reading a list or report.
+const READ_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// How long an order may take: a load waits for the weight store.
-const ORDER_LIMIT: Duration = Duration::from_secs(60);
+/// Time limit for an order. A load takes long as the engine fetches the adapter from the
+/// weight store.
+const ORDER_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// What an engine says to a load of something resident.
-const ALREADY: &str = "already been loaded";
+/// Part of an engine's error text for a load of an adapter that is already resident.
+const ALREADY_LOADED: &str = "already been loaded";
 
 /// Largest list or report, in bytes.
-const READ_MAX: usize = 1 << 20;
+const MAX_READ_BYTES: usize = 1 << 20;
 
-/// Reads the platform's list over and over.
-pub(crate) async fn watch_list(state: Arc<State>, platform: SocketAddr) {
-    let mut tick = tokio::time::interval(LIST_EVERY);
+/// Reads the platform's list at a fixed interval and passes it to the node.
+pub(crate) async fn poll_list(state: Arc<State>, platform: SocketAddr) {
+    let mut tick = tokio::time::interval(LIST_INTERVAL);
     tick.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     let mut stale = false;
     loop {
@@ -44,20 +46,20 @@
             event!(Event::ListStale, platform = platform);
         }
         stale = list.is_none();
-        state.tell(Input::List(list));
+        state.send_input(Input::List(list));
     }
 }
 
-/// Asks an engine for its report in the background.
+/// Reads an engine's report in the background and passes it to the node.
 pub(crate) fn poll(state: &Arc<State>, poll: u64, address: SocketAddr) {
     let state = Arc::clone(state);
     tokio::spawn(async move {
         let report = get::<Report>(&state, address, "/v1/report").await;
-        state.tell(Input::Report { poll, report });
+        state.send_input(Input::Report { poll, report });
     });
 }
 
-/// Sends an order to an engine in the background.
+/// Sends an order to an engine in the background and passes its result to the node.
 pub(crate) fn order(
     state: &Arc<State>,
     order: u64,
@@ -68,7 +70,7 @@
     let state = Arc::clone(state);
     tokio::spawn(async move {
         let end = send_order(&state, address, body, fence).await;
-        state.tell(Input::OrderEnded { order, end });
+        state.send_input(Input::OrderEnded { order, end });
     });
 }
 
@@ -89,11 +91,11 @@
     };
     let mut send = Send::new(address, Method::POST, path);
     send.body = body;
-    // An order that is repeated by itself could come after its successor.
+    // The client must not retry an order: the second copy could arrive after a later order.
     send.mark = Mark::Once;
     send.limits = Limits {
-        first: ORDER_LIMIT,
-        whole: ORDER_LIMIT,
+        first: ORDER_TIMEOUT,
+        whole: ORDER_TIMEOUT,
         ..Limits::default()
     };
     send.headers = json_headers();
@@ -111,30 +113,30 @@
     }
 }
 
-/// Tells a load of something resident, which engines answer as an error, from
-/// one that failed: what was ordered is so.
+/// Returns whether a load was refused because the adapter is already resident. Engines answer
+/// that with an error, although the adapter is loaded as ordered.
 async fn already_loaded(answer: Answer) -> bool {
-    let body = answer.whole(READ_MAX).await.unwrap_or_default();
-    String::from_utf8_lossy(&body).contains(ALREADY)
+    let body = answer.whole(MAX_READ_BYTES).await.unwrap_or_default();
+    String::from_utf8_lossy(&body).contains(ALREADY_LOADED)
 }
 
 async fn get<T: DeserializeOwned>(state: &State, address: SocketAddr, path: &str) -> Option<T> {
     let mut send = Send::new(address, Method::GET, path);
-    send.limits = Limits::within(READ_LIMIT);
+    send.limits = Limits::within(READ_TIMEOUT);
     let answer = state.client.send(send).await.ok()?;
     if !answer.status.is_success() {
         return None;
     }
-    let body = answer.whole(READ_MAX).await.ok()?;
+    let body = answer.whole(MAX_READ_BYTES).await.ok()?;
     serde_json::from_slice(&body).ok()
 }
 
 fn json<T: Serialize>(value: &T) -> Bytes {
-    // Plain structs of strings always serialise.
+    // Serialising a struct of strings can't fail.
     serde_json::to_vec(value).unwrap_or_default().into()
 }
 
-/// Returns the headers of a JSON body.
+/// Returns the headers of a request with a JSON body.
 pub(crate) fn json_headers() -> HeaderMap {
     let mut headers = HeaderMap::new();
     let json = HeaderValue::from_static("application/json");
--- a/crates/entryd/src/shell.rs
+++ b/crates/entryd/src/shell.rs
@@ -1,4 +1,4 @@
-//! The one task that owns the node: inputs in, outputs carried out.
+//! The task that owns the node: passes inputs to it and carries out its outputs.
 
 use std::{
     path::PathBuf,
@@ -25,50 +25,51 @@
     state::{InForce, State},
 };
 
-/// Inputs taken in one go before timers are looked at again.
-const BURST: usize = 256;
+/// Most inputs handled before timers are checked again.
+const MAX_BURST: usize = 256;
 
-/// Most connections of callers and of peers; an idle one beyond them is
+/// Most open connections of each listener; beyond them the one that has been idle longest is
 /// closed.
-const CONNECTIONS: usize = 4_096;
+const MAX_CONNECTIONS: usize = 4_096;
 
-/// How long requests under way may still run in a planned stop: overnight
-/// work runs for hours, but is resumed elsewhere.
-const DRAIN: Duration = Duration::from_secs(600);
+/// How long requests in progress may still run in a planned stop. Overnight batch requests run
+/// for hours, but they are resumed through another instance.
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(600);
 
-/// Serves until a planned stop has ended.
+/// Serves requests until a planned stop has completed.
 ///
 /// # Errors
 ///
-/// Fails when a signal can't be listened for.
+/// Fails if the signal handlers can't be installed, the wall clock is set before 1970 or the
+/// callers' listener fails.
 pub(crate) async fn serve(settings: EntrySettings, listeners: Listeners) -> Result<()> {
     let clock = Clock::start();
     let (inputs, queue) = mpsc::unbounded_channel();
-    let (texts, text) = watch::channel(Arc::new(InForce::default()));
+    let (text_sender, text) = watch::channel(Arc::new(InForce::default()));
     let identity = &settings.identity;
     let state = Arc::new(State::new(identity.name.clone(), inputs, text));
     let stop = CancellationToken::new();
     let grace = settings.drain_grace;
-    tokio::spawn(outside::watch_list(Arc::clone(&state), identity.platform));
-    let stopping = daemon::stop_signal()?;
-    let stopped = Arc::clone(&state);
+    tokio::spawn(outside::poll_list(Arc::clone(&state), identity.platform));
+    let stop_signal = daemon::stop_signal()?;
+    let drain_state = Arc::clone(&state);
     tokio::spawn(async move {
-        stopping.await;
-        stopped.tell(Input::Drain);
+        stop_signal.await;
+        drain_state.send_input(Input::Drain);
     });
     let limits = Limits {
-        connections: CONNECTIONS,
+        connections: MAX_CONNECTIONS,
         linger: grace,
-        drain: DRAIN,
+        drain: DRAIN_TIMEOUT,
         body_bytes: 64 << 20,
         ..Limits::default()
     };
     let peer_stop = CancellationToken::new();
-    let at_callers = Arc::clone(&state);
-    let handler = move |req| callers::answer(Arc::clone(&at_callers), req);
+    let caller_state = Arc::clone(&state);
+    let handler = move |req| callers::answer(Arc::clone(&caller_state), req);
     let callers = tokio::spawn(server::serve(listeners.own, limits, handler, stop.clone()));
-    let at_peers = Arc::clone(&state);
-    let handler = move |req| hops::answer(Arc::clone(&at_peers), req);
+    let peer_state = Arc::clone(&state);
+    let handler = move |req| hops::answer(Arc::clone(&peer_state), req);
     tokio::spawn(server::serve(
         listeners.peers,
         limits,
@@ -81,7 +82,7 @@
         state: Arc::clone(&state),
         node,
         clock,
-        texts,
+        text_sender,
         stop,
         wake: Time::ZERO,
         data: settings.data.clone(),
@@ -92,15 +93,17 @@
     Ok(())
 }
 
-/// Turns the daemon's settings into the node's.
+/// Converts the daemon's settings to the node's.
 fn node_settings(settings: &EntrySettings) -> Result<Settings> {
     let identity = &settings.identity;
     let now = SystemTime::now().duration_since(UNIX_EPOCH);
-    let incarnation = now.context("the clock stands before 1970")?.as_micros();
+    let incarnation = now
+        .context("the system clock is set before 1970")?
+        .as_micros();
     Ok(Settings {
         name: identity.name.clone(),
         zone: identity.zone.clone(),
-        // A later incarnation has a greater number, also after a restart.
+        // Microseconds since 1970, so that a restarted process gets a greater number.
         incarnation: Incarnation(u64::try_from(incarnation)?),
         peer: identity.peer_address,
         controls: settings.controls.clone(),
@@ -109,21 +112,23 @@
     })
 }
 
+/// The node with what its task needs to carry out the node's outputs.
 struct Shell {
     state: Arc<State>,
     node: Node,
     clock: Clock,
-    texts: watch::Sender<Arc<InForce>>,
+    text_sender: watch::Sender<Arc<InForce>>,
     stop: CancellationToken,
+    /// When the node wants its next [`Input::Wake`].
     wake: Time,
-    /// Folder for the last text in force.
+    /// Folder in which the text in force is saved.
     data: Option<PathBuf>,
 }
 
 impl Shell {
     async fn run(mut self, mut queue: mpsc::UnboundedReceiver<Input>) {
         let mut outputs = Vec::new();
-        let mut burst = Vec::with_capacity(BURST);
+        let mut burst = Vec::with_capacity(MAX_BURST);
         if let Some(saved) = self.data.as_deref().and_then(saved::read) {
             self.node.handle(self.clock.now(), saved, &mut outputs);
         }
@@ -135,7 +140,7 @@
             }
             let timer = sleep_until(self.clock.instant(self.wake));
             tokio::select! {
-                count = queue.recv_many(&mut burst, BURST) => {
+                count = queue.recv_many(&mut burst, MAX_BURST) => {
                     if count == 0 {
                         return;
                     }
@@ -143,15 +148,15 @@
                 () = timer => burst.push(Input::Wake),
             }
             for input in burst.drain(..) {
-                if self.take(input, &mut outputs) {
+                if self.handle(input, &mut outputs) {
                     return;
                 }
             }
         }
     }
 
-    /// Hands one input to the node; true when the daemon may end.
-    fn take(&mut self, input: Input, outputs: &mut Vec<Output>) -> bool {
+    /// Passes one input to the node; returns whether the daemon may exit.
+    fn handle(&mut self, input: Input, outputs: &mut Vec<Output>) -> bool {
         if input == Input::Drain {
             event!(Event::DrainBegun);
             self.stop.cancel();
@@ -164,7 +169,8 @@
         self.carry_out(outputs, step)
     }
 
-    /// Carries out what the node wants; true when the daemon may end.
+    /// Carries out the node's outputs; returns whether the daemon may exit. `step` names the
+    /// answer's head or piece that the input was about.
     fn carry_out(&mut self, outputs: &mut Vec<Output>, step: Option<(base::Ticket, u64)>) -> bool {
         let exchange = step.and_then(|(ticket, _)| self.state.exchange(ticket));
         let mut ended = false;
@@ -172,9 +178,9 @@
             ended |= matches!(output, Output::Drained);
             self.carry_out_one(output);
         }
-        // What no output has named is not for the caller.
+        // A head or piece that no output has named is discarded.
         if let (Some(exchange), Some((_, step))) = (exchange, step) {
-            exchange.forget(step);
+            exchange.discard(step);
         }
         ended
     }
@@ -189,7 +195,7 @@
             }
             Output::Cancel { ticket, attempt } => {
                 if let Some(exchange) = state.exchange(ticket) {
-                    exchange.abandon(attempt);
+                    exchange.cancel(attempt);
                 }
             }
             Output::Flow { ticket, step, flow } => {
@@ -215,8 +221,8 @@
                 address,
                 body,
                 timeout,
-            } => calls::make(state, call, address, body, timeout),
-            Output::Reply { call, body } => state.answer(call, body),
+            } => calls::send(state, call, address, body, timeout),
+            Output::Reply { call, body } => state.reply(call, body),
             Output::Check { version, raw } => check(state, version, raw),
             Output::Text {
                 version,
@@ -232,21 +238,21 @@
                     model,
                     keys,
                 };
-                self.texts.send_replace(Arc::new(force));
+                self.text_sender.send_replace(Arc::new(force));
             }
             Output::Ready(ready) => state.ready.store(ready, Ordering::Relaxed),
             Output::Drained => {}
-            Output::Event(report) => events::write(report),
+            Output::Event(event) => events::write(event),
             Output::Wake(at) => self.wake = at,
         }
     }
 }
 
-/// Checks a text on a thread of its own.
+/// Parses a text on a blocking thread and passes the result to the node.
 fn check(state: &Arc<State>, version: TextVersion, raw: Arc<str>) {
     let state = Arc::clone(state);
     tokio::task::spawn_blocking(move || {
         let model = Model::try_from(&*raw).ok().map(Arc::new);
-        state.tell(Input::Checked { version, model });
+        state.send_input(Input::Checked { version, model });
     });
 }
--- a/crates/entryd/src/state.rs
+++ b/crates/entryd/src/state.rs
@@ -1,4 +1,4 @@
-//! What all tasks of the daemon share.
+//! State shared by all tasks of the daemon.
 
 use std::{
     collections::HashMap,
@@ -18,27 +18,34 @@
 
 use crate::exchange::Exchange;
 
-/// The text in force, with the keys ready for lookup.
+/// The operators' configuration text in force, parsed, with an index of the API keys.
 #[derive(Debug, Default)]
 pub(crate) struct InForce {
     pub(crate) version: TextVersion,
     pub(crate) model: Arc<Model>,
+    /// Finds the brand by the hash of its API key.
     pub(crate) keys: Keys,
 }
 
-/// Handles that every task of the daemon may use.
+/// State shared by all tasks of the daemon.
 #[derive(Debug)]
 pub(crate) struct State {
+    /// Name of this instance.
     pub(crate) name: InstanceName,
-    /// Inputs on their way to the node.
+    /// Queue of inputs for the node.
     pub(crate) inputs: mpsc::UnboundedSender<Input>,
     pub(crate) client: Client,
     pub(crate) text: watch::Receiver<Arc<InForce>>,
+    /// Whether the node reports that it can serve requests.
     pub(crate) ready: AtomicBool,
-    tickets: AtomicU64,
-    calls: AtomicU64,
+    /// Last ticket assigned to a request.
+    last_ticket: AtomicU64,
+    /// Last number assigned to a call from another process.
+    last_call: AtomicU64,
+    /// Requests in progress.
     exchanges: Mutex<HashMap<Ticket, Arc<Exchange>>>,
-    answers: Pending<u64, Reply>,
+    /// Calls from other processes that the node has not replied to yet.
+    replies: Pending<u64, Reply>,
     pub(crate) links: Links,
 }
 
@@ -55,22 +62,21 @@
             client: Client::default(),
             text,
             ready: AtomicBool::new(false),
-            tickets: AtomicU64::new(0),
-            calls: AtomicU64::new(0),
+            last_ticket: AtomicU64::new(0),
+            last_call: AtomicU64::new(0),
             exchanges: Mutex::default(),
-            answers: Pending::default(),
+            replies: Pending::default(),
             links,
         }
     }
 
-    /// Hands an input to the node; after the node has ended there is nobody
-    /// left to tell.
-    pub(crate) fn tell(&self, input: Input) {
+    /// Queues an input for the node; does nothing after the node's task has ended.
+    pub(crate) fn send_input(&self, input: Input) {
         self.inputs.send(input).ok();
     }
 
     pub(crate) fn next_ticket(&self) -> Ticket {
-        Ticket(self.tickets.fetch_add(1, Ordering::Relaxed) + 1)
+        Ticket(self.last_ticket.fetch_add(1, Ordering::Relaxed) + 1)
     }
 
     /// Returns the text in force.
@@ -78,7 +84,7 @@
         Arc::clone(&self.text.borrow())
     }
 
-    pub(crate) fn put(&self, ticket: Ticket, exchange: Arc<Exchange>) {
+    pub(crate) fn insert(&self, ticket: Ticket, exchange: Arc<Exchange>) {
         lock(&self.exchanges).insert(ticket, exchange);
     }
 
@@ -90,19 +96,20 @@
         lock(&self.exchanges).remove(&ticket)
     }
 
-    /// Returns how many requests are under way.
+    /// Returns the number of requests in progress.
     pub(crate) fn running(&self) -> usize {
         lock(&self.exchanges).len()
     }
 
-    /// Numbers a call from another process and returns where its answer comes.
-    pub(crate) fn expect(&self) -> (u64, oneshot::Receiver<Reply>) {
-        let call = self.calls.fetch_add(1, Ordering::Relaxed) + 1;
-        (call, self.answers.expect(call))
+    /// Assigns a number to a call from another process and returns the channel on which
+    /// its reply arrives.
+    pub(crate) fn register_call(&self) -> (u64, oneshot::Receiver<Reply>) {
+        let call = self.last_call.fetch_add(1, Ordering::Relaxed) + 1;
+        (call, self.replies.expect(call))
     }
 
-    /// Answers a call from another process.
-    pub(crate) fn answer(&self, call: u64, reply: Reply) {
-        self.answers.answer(&call, reply);
+    /// Replies to a call from another process.
+    pub(crate) fn reply(&self, call: u64, reply: Reply) {
+        self.replies.answer(&call, reply);
     }
 }
