--- a/crates/controld/src/main.rs
+++ b/crates/controld/src/main.rs
@@ -1,7 +1,8 @@
-//! Control daemon: a thin shell around one [`control::Control`].
+//! Control daemon: the I/O shell around one [`control::Control`].
 //!
-//! It owns the clock, the sockets and the data folder; what is accepted,
-//! granted or claimed is decided by the value inside.
+//! The daemon owns the clock, the sockets and the data folder. [`control::Control`] decides
+//! which changes are accepted, which leases are granted and which claims on idempotency keys
+//! succeed.
 
 mod operators;
 mod peers;
--- a/crates/controld/src/operators.rs
+++ b/crates/controld/src/operators.rs
@@ -1,4 +1,4 @@
-//! The operators' listener: HTTP with JSON.
+//! The operators' listener: an HTTP API with JSON bodies.
 
 use std::{collections::BTreeMap, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -16,37 +16,37 @@
     operator::{Applied, Apply, Drain, Why},
 };
 
-use crate::state::{Job, Read, State};
+use crate::state::{Job, Query, State};
 
-/// Largest text taken, in bytes as JSON quotes it.
-const TEXT_MAX: usize = 32 << 20;
+/// Largest body of an operator's request, in bytes. A configuration text counts as quoted in
+/// JSON.
+const MAX_BODY_BYTES: usize = 32 << 20;
 
-/// How long a drain order may take to reach its instance.
-const DRAIN_LIMIT: Duration = Duration::from_secs(2);
+/// Time limit for the call that tells an instance to drain.
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How long an outcome is waited for before the operator is told that it is
-/// unknown.
-const APPLY_LIMIT: Duration = Duration::from_secs(8);
+/// How long a change may take until the operator is told that its outcome is unknown.
+const APPLY_TIMEOUT: Duration = Duration::from_secs(8);
 
 /// Answers one request on the operators' listener.
 pub(crate) async fn answer(state: Arc<State>, req: Request<Incoming>) -> Response<Body> {
     let (method, path) = (req.method().clone(), req.uri().path().to_owned());
-    let done = match (&method, path.as_str()) {
+    let result = match (&method, path.as_str()) {
         (&Method::GET, "/healthz") => return reply::plain(StatusCode::OK, "ok\n"),
         (&Method::GET, "/readyz") => ready(&state).await,
-        (&Method::GET, "/v1/status") => read(&state, Read::Status).await,
-        (&Method::GET, "/v1/history") => read(&state, Read::History).await,
-        (&Method::GET, "/v1/text") => read(&state, Read::Text).await,
+        (&Method::GET, "/v1/status") => answer_query(&state, Query::Status).await,
+        (&Method::GET, "/v1/history") => answer_query(&state, Query::History).await,
+        (&Method::GET, "/v1/text") => answer_query(&state, Query::Text).await,
         (&Method::POST, "/v1/apply") => apply(&state, req).await,
         (&Method::POST, "/v1/drain") => drain(&state, req).await,
         _ => Err(Failure::not_run(Refusal::NotFound)),
     };
-    done.unwrap_or_else(|failure| reply::failure(&failure))
+    result.unwrap_or_else(|failure| reply::failure(&failure))
 }
 
-/// A control instance is ready once it knows who leads.
+/// Answers the readiness check: a control instance is ready while it knows the leader.
 async fn ready(state: &State) -> Result<Response<Body>, Failure> {
-    let status = ask(state, Read::Status).await?;
+    let status = query(state, Query::Status).await?;
     match status.leader {
         Some(leader) => Ok(reply::plain(
             StatusCode::OK,
@@ -59,30 +59,30 @@
     }
 }
 
-async fn read<T: serde::Serialize>(
+async fn answer_query<T: serde::Serialize>(
     state: &State,
-    what: impl FnOnce(oneshot::Sender<T>) -> Read,
+    kind: impl FnOnce(oneshot::Sender<T>) -> Query,
 ) -> Result<Response<Body>, Failure> {
-    let value = ask(state, what).await?;
+    let value = query(state, kind).await?;
     Ok(reply::json(StatusCode::OK, &value))
 }
 
-async fn ask<T>(
+async fn query<T>(
     state: &State,
-    what: impl FnOnce(oneshot::Sender<T>) -> Read,
+    kind: impl FnOnce(oneshot::Sender<T>) -> Query,
 ) -> Result<T, Failure> {
     let (tx, rx) = oneshot::channel();
-    state.jobs.send(Job::Read(what(tx))).ok();
+    state.jobs.send(Job::Query(kind(tx))).ok();
     rx.await.map_err(|_| Failure::not_run(Refusal::Unavailable))
 }
 
 async fn apply(state: &State, req: Request<Incoming>) -> Result<Response<Body>, Failure> {
     let apply: Apply = body_of(req).await?;
     let (change, by) = (apply.change.clone(), apply.by.clone());
-    let (ticket, outcome) = state.expect_applied();
-    state.tell(Input::Apply { ticket, apply });
+    let (ticket, outcome) = state.register_change();
+    state.send_input(Input::Apply { ticket, apply });
     let unknown = Applied::Unknown { retry_ms: 1_000 };
-    let applied = match tokio::time::timeout(APPLY_LIMIT, outcome).await {
+    let applied = match tokio::time::timeout(APPLY_TIMEOUT, outcome).await {
         Ok(Ok(applied)) => applied,
         Ok(Err(_)) | Err(_) => unknown,
     };
@@ -91,7 +91,7 @@
             Event::TextRefused,
             change = change,
             by = by,
-            why = short(why)
+            why = refusal_name(why)
         );
     }
     let status = match applied {
@@ -102,8 +102,9 @@
     Ok(reply::json(status, &applied))
 }
 
-/// Names a refusal; the errors of a text are for the operator, not the log.
-fn short(why: &Why) -> &'static str {
+/// Returns the name of a refusal for the log. The errors found in a text are sent to the operator
+/// only.
+fn refusal_name(why: &Why) -> &'static str {
     match why {
         Why::Conflict { .. } => "conflict",
         Why::ChangeReused => "change-reused",
@@ -116,7 +117,7 @@
 async fn drain(state: &State, req: Request<Incoming>) -> Result<Response<Body>, Failure> {
     let drain: Drain = body_of(req).await?;
     let (tx, rx) = oneshot::channel();
-    state.jobs.send(Job::Read(Read::Peers(tx))).ok();
+    state.jobs.send(Job::Query(Query::Peers(tx))).ok();
     let peers: BTreeMap<InstanceName, SocketAddr> = rx
         .await
         .map_err(|_| Failure::not_run(Refusal::Unavailable))?;
@@ -124,7 +125,7 @@
         return Err(Failure::not_run(Refusal::NotFound));
     };
     let link = state.links.to(*address);
-    match link.call(Call::Drain, DRAIN_LIMIT).await {
+    match link.call(Call::Drain, DRAIN_TIMEOUT).await {
         Ok(_) => Ok(reply::json(StatusCode::OK, &drain)),
         Err(err) => Err(Failure {
             reason: Refusal::Unavailable,
@@ -136,7 +137,7 @@
 
 async fn body_of<T: serde::de::DeserializeOwned>(req: Request<Incoming>) -> Result<T, Failure> {
     let limits = ReadLimits {
-        bytes: TEXT_MAX,
+        bytes: MAX_BODY_BYTES,
         ..ReadLimits::default()
     };
     let raw = body::read(req.into_body(), limits).await?;
--- a/crates/controld/src/shell.rs
+++ b/crates/controld/src/shell.rs
@@ -1,5 +1,4 @@
-//! The one task that owns the control instance: inputs in, outputs carried
-//! out.
+//! The task that owns the control instance: passes inputs to it and carries out its outputs.
 
 use std::{collections::BTreeMap, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -25,26 +24,27 @@
 
 use crate::{
     operators, peers,
-    state::{Job, Read, State},
+    state::{Job, Query, State},
 };
 
-/// Jobs taken in one go before timers are looked at again.
-const BURST: usize = 256;
+/// Most jobs handled before timers are checked again.
+const MAX_BURST: usize = 256;
 
 /// How often the platform's list and the wall clock are read.
-const LOOK_EVERY: Duration = Duration::from_secs(1);
+const POLL_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Largest list, in bytes.
-const LIST_MAX: usize = 1 << 20;
+/// Largest list of the platform, in bytes.
+const MAX_LIST_BYTES: usize = 1 << 20;
 
-/// How long leadership may take to be handed over in a planned stop.
-const HANDOVER: Duration = Duration::from_millis(1_500);
+/// How long a planned stop waits for another instance to take over the leadership.
+const HANDOVER_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Serves until a planned stop has ended.
+/// Serves requests until a planned stop has completed.
 ///
 /// # Errors
 ///
-/// Fails when the data folder can't be used or a signal not listened for.
+/// Fails if the data folder can't be opened, the signal handlers can't be installed or the
+/// operators' listener fails.
 pub(crate) async fn serve(settings: ControlSettings, listeners: Listeners) -> Result<()> {
     let clock = Clock::start();
     let (jobs, queue) = mpsc::unbounded_channel();
@@ -53,14 +53,14 @@
     let names = controls.keys().cloned().collect();
     let state = Arc::new(State::new(identity.name.clone(), controls, jobs.clone()));
     let (control, writer) = open(&settings, names, jobs.clone())?;
-    let stopping = daemon::stop_signal()?;
+    let stop_signal = daemon::stop_signal()?;
     tokio::spawn(async move {
-        stopping.await;
+        stop_signal.await;
         jobs.send(Job::Stop).ok();
     });
-    tokio::spawn(look(Arc::clone(&state), identity.platform));
+    tokio::spawn(poll_platform(Arc::clone(&state), identity.platform));
     let stop = CancellationToken::new();
-    let operators = answer(&state, listeners, stop.clone());
+    let operators = start_servers(&state, listeners, stop.clone());
     event!(
         telemetry::Event::Started,
         listen = identity.listen.to_string()
@@ -81,30 +81,30 @@
     Ok(())
 }
 
-/// Opens the data folder, and starts its writer and the control instance on
-/// what it holds.
+/// Opens the data folder, starts its writer thread and restores the control instance from the
+/// folder's content.
 fn open(
     settings: &ControlSettings,
     names: Vec<InstanceName>,
     jobs: mpsc::UnboundedSender<Job>,
 ) -> Result<(Control, Writer)> {
     let seed = settings.seed.unwrap_or_else(|| Seed(rand::random()));
-    let life = Incarnation(u64::try_from(daemon::wall_clock()?.as_micros())?);
-    let opened = disk::open(&settings.data, &settings.identity.name, life)?;
+    let incarnation = Incarnation(u64::try_from(daemon::wall_clock()?.as_micros())?);
+    let opened = disk::open(&settings.data, &settings.identity.name, incarnation)?;
     daemon::report_fate(&opened.fate);
     let raw = RawSettings::usual(opened.folder.id().clone(), names, seed);
     let replica = Replica::new(raw.try_into()?, opened.restored);
     let control = Control::new(control::Config::default(), replica, Box::new(check));
     let writer = daemon::start_writer(opened.folder, move |input| {
-        // After the shell has ended nobody waits for it.
+        // Fails after the shell has ended; then no one waits for the result.
         jobs.send(Job::Input(input)).ok();
     })?;
     Ok((control, writer))
 }
 
-/// Answers operators until `stop`, and peers as long as the process runs;
-/// returns the task of the operators' listener.
-fn answer(
+/// Starts both servers and returns the task of the operators' one. It stops at `stop`; the one
+/// for peers serves as long as the process runs.
+fn start_servers(
     state: &Arc<State>,
     listeners: Listeners,
     stop: CancellationToken,
@@ -115,11 +115,11 @@
         drain: Duration::from_secs(10),
         ..server::Limits::default()
     };
-    let at_operators = Arc::clone(state);
-    let handler = move |req| operators::answer(Arc::clone(&at_operators), req);
+    let operator_state = Arc::clone(state);
+    let handler = move |req| operators::answer(Arc::clone(&operator_state), req);
     let operators = tokio::spawn(server::serve(listeners.own, limits, handler, stop));
-    let at_peers = Arc::clone(state);
-    let handler = move |req| peers::answer(Arc::clone(&at_peers), req);
+    let peer_state = Arc::clone(state);
+    let handler = move |req| peers::answer(Arc::clone(&peer_state), req);
     tokio::spawn(server::serve(
         listeners.peers,
         limits,
@@ -129,6 +129,7 @@
     operators
 }
 
+/// Returns the configured control instances and their peer listeners.
 fn controls(settings: &ControlSettings) -> BTreeMap<InstanceName, SocketAddr> {
     match &settings.begin {
         Begin::Voters(voters) => voters.clone(),
@@ -136,7 +137,11 @@
     }
 }
 
-/// Checks a text for operators.
+/// Parses an operator's text.
+///
+/// # Errors
+///
+/// Returns a message for each error in the text.
 fn check(raw: &str) -> Result<Checked, Vec<String>> {
     match text::Model::try_from(raw) {
         Ok(model) => Ok(Checked {
@@ -146,53 +151,55 @@
     }
 }
 
-/// Reads the platform's list and the wall clock over and over.
-async fn look(state: Arc<State>, platform: SocketAddr) {
+/// Reads the platform's list and the wall clock at a fixed interval.
+async fn poll_platform(state: Arc<State>, platform: SocketAddr) {
     let client = Client::default();
-    let mut tick = interval(LOOK_EVERY);
+    let mut tick = interval(POLL_INTERVAL);
     loop {
         tick.tick().await;
         if let Ok(since) = daemon::wall_clock() {
             let ms = u64::try_from(since.as_millis()).unwrap_or(u64::MAX);
-            state.tell(Input::Wall { ms });
+            state.send_input(Input::Wall { ms });
         }
         if let Some(list) = list(&client, platform).await {
             let instances = list.instances.into_iter().map(|i| i.name).collect();
-            state.tell(Input::List { instances });
+            state.send_input(Input::List { instances });
         }
     }
 }
 
 async fn list(client: &Client, platform: SocketAddr) -> Option<List> {
     let mut send = Send::new(platform, hyper::Method::GET, "/v1/list");
-    send.limits = Limits::within(LOOK_EVERY);
+    send.limits = Limits::within(POLL_INTERVAL);
     let answer = client.send(send).await.ok()?;
-    let body = answer.whole(LIST_MAX).await.ok()?;
+    let body = answer.whole(MAX_LIST_BYTES).await.ok()?;
     serde_json::from_slice(&body).ok()
 }
 
+/// The control instance with what its task needs to carry out its outputs.
 struct Shell {
     state: Arc<State>,
     control: Control,
     writer: Writer,
     clock: Clock,
+    /// When the control instance wants its next [`Input::Wake`].
     wake: Time,
 }
 
 impl Shell {
     async fn run(mut self, mut queue: mpsc::UnboundedReceiver<Job>) {
         self.handle(Input::Wake);
-        let mut burst = Vec::with_capacity(BURST);
+        let mut burst = Vec::with_capacity(MAX_BURST);
         let mut stop_at = None;
         loop {
             let now = self.clock.now();
-            let led = self.control.leads(now);
-            if stop_at.is_some_and(|at| now >= at || !led) {
+            let leads = self.control.leads(now);
+            if stop_at.is_some_and(|at| now >= at || !leads) {
                 return;
             }
             let wake = stop_at.map_or(self.wake, |at| self.wake.min(at));
             tokio::select! {
-                count = queue.recv_many(&mut burst, BURST) => {
+                count = queue.recv_many(&mut burst, MAX_BURST) => {
                     if count == 0 {
                         return;
                     }
@@ -204,11 +211,11 @@
             for job in burst.drain(..) {
                 match job {
                     Job::Input(input) => self.handle(input),
-                    Job::Read(read) => self.read(read),
+                    Job::Query(query) => self.answer(query),
                     Job::Stop => {
                         event!(telemetry::Event::DrainBegun);
                         self.handle(Input::HandOver);
-                        stop_at = Some(self.clock.now() + HANDOVER);
+                        stop_at = Some(self.clock.now() + HANDOVER_TIMEOUT);
                     }
                 }
             }
@@ -227,8 +234,8 @@
         let state = &self.state;
         match output {
             Output::Reply { ticket, reply } => state.reply(ticket, reply),
-            Output::Applied { ticket, applied } => state.answer(ticket, applied),
-            Output::Forward { ticket, to, apply } => peers::pass(state, ticket, &to, apply),
+            Output::Applied { ticket, applied } => state.finish_change(ticket, applied),
+            Output::Forward { ticket, to, apply } => peers::forward(state, ticket, &to, apply),
             Output::Send { to, call } => peers::send(state, &to, call),
             Output::Write { no, records } => {
                 self.write(replog::Output::Write { no, records });
@@ -242,36 +249,38 @@
                 snapshot,
                 records,
             }),
-            // Nobody here changes replicas, or names editions and versions.
+            // This daemon has no API that changes the log's members or
+            // publishes editions or adapter versions.
             Output::Members { .. } | Output::Published { .. } => {}
             Output::Wake(at) => self.wake = at,
-            Output::Event(report) => write_event(report),
+            Output::Event(event) => write_event(event),
         }
     }
 
     fn write(&self, output: replog::Output) {
         let left = self.writer.take(output);
-        debug_assert_eq!(left, None, "every write is for the writer");
+        debug_assert_eq!(left, None, "the writer takes every write");
     }
 
-    fn read(&self, read: Read) {
-        // Whoever asked may have left.
-        match read {
-            Read::Status(to) => {
+    fn answer(&self, query: Query) {
+        // Sending fails if the caller has disconnected.
+        match query {
+            Query::Status(to) => {
                 to.send(self.control.status(self.clock.now())).ok();
             }
-            Read::History(to) => {
+            Query::History(to) => {
                 to.send(self.control.history(base::TextVersion(0))).ok();
             }
-            Read::Text(to) => {
+            Query::Text(to) => {
                 to.send(self.control.text()).ok();
             }
-            Read::Peers(to) => {
+            Query::Peers(to) => {
                 to.send(self.peers()).ok();
             }
         }
     }
 
+    /// Returns the addresses of the entry instances' peer listeners.
     fn peers(&self) -> BTreeMap<InstanceName, SocketAddr> {
         let members = self.control.state().table().members().iter();
         let addressed = members.filter_map(|(name, member)| {
@@ -282,9 +291,10 @@
     }
 }
 
-fn write_event(report: Event) {
+/// Logs one event of the control instance.
+fn write_event(event: Event) {
     use telemetry::Event as Line;
-    match report {
+    match event {
         Event::Leads { term } => event!(Line::LeaderElected, term = term),
         Event::Follows => event!(Line::LeaderLost),
         Event::Text { version } => event!(Line::TextAccepted, version = version),
--- a/crates/controld/src/state.rs
+++ b/crates/controld/src/state.rs
@@ -1,4 +1,4 @@
-//! What all tasks of the daemon share.
+//! State shared by all tasks of the daemon.
 
 use std::{
     collections::BTreeMap,
@@ -15,20 +15,20 @@
     operator::{Applied, Current, Entry, Status},
 };
 
-/// What the shell takes in: an input of the control instance, or a question.
+/// A message to the shell's task.
 #[derive(Debug)]
 pub(crate) enum Job {
-    /// Something happened.
+    /// An input of the control instance.
     Input(Input),
-    /// An operator reads something.
-    Read(Read),
-    /// This process is to stop.
+    /// An operator's query.
+    Query(Query),
+    /// The process was asked to stop.
     Stop,
 }
 
-/// What an operator may read.
+/// A query to the control instance, with the channel for its answer.
 #[derive(Debug)]
-pub(crate) enum Read {
+pub(crate) enum Query {
     /// The state of the system.
     Status(oneshot::Sender<Status>),
     /// Accepted changes.
@@ -39,14 +39,18 @@
     Peers(oneshot::Sender<BTreeMap<InstanceName, SocketAddr>>),
 }
 
-/// Handles that every task of the daemon may use.
+/// State shared by all tasks of the daemon.
 #[derive(Debug)]
 pub(crate) struct State {
+    /// Queue of the shell's task.
     pub(crate) jobs: mpsc::UnboundedSender<Job>,
-    /// The other control instances' peer listeners.
+    /// Peer listeners of the control instances, from the settings.
     pub(crate) controls: BTreeMap<InstanceName, SocketAddr>,
-    tickets: AtomicU64,
+    /// Last ticket assigned to a call or change.
+    last_ticket: AtomicU64,
+    /// Calls that have no reply yet.
     replies: Pending<Ticket, Reply>,
+    /// Operators' changes that have no outcome yet.
     applied: Pending<Ticket, Applied>,
     pub(crate) links: Links,
 }
@@ -61,40 +65,42 @@
         State {
             jobs,
             controls,
-            tickets: AtomicU64::new(0),
+            last_ticket: AtomicU64::new(0),
             replies: Pending::default(),
             applied: Pending::default(),
             links,
         }
     }
 
-    /// Hands an input to the control instance; after it has ended there is
-    /// nobody left to tell.
-    pub(crate) fn tell(&self, input: Input) {
+    /// Queues an input for the control instance; does nothing after the shell's task has ended.
+    pub(crate) fn send_input(&self, input: Input) {
         self.jobs.send(Job::Input(input)).ok();
     }
 
-    /// Numbers a call and returns where its reply comes.
-    pub(crate) fn expect_reply(&self) -> (Ticket, oneshot::Receiver<Reply>) {
+    /// Assigns a ticket to a call and returns the channel on which its reply arrives.
+    pub(crate) fn register_call(&self) -> (Ticket, oneshot::Receiver<Reply>) {
         let ticket = self.next_ticket();
         (ticket, self.replies.expect(ticket))
     }
 
-    /// Numbers a change and returns where its outcome comes.
-    pub(crate) fn expect_applied(&self) -> (Ticket, oneshot::Receiver<Applied>) {
+    /// Assigns a ticket to an operator's change and returns the channel on which its outcome
+    /// arrives.
+    pub(crate) fn register_change(&self) -> (Ticket, oneshot::Receiver<Applied>) {
         let ticket = self.next_ticket();
         (ticket, self.applied.expect(ticket))
     }
 
+    /// Completes a call.
     pub(crate) fn reply(&self, ticket: Ticket, reply: Reply) {
         self.replies.answer(&ticket, reply);
     }
 
-    pub(crate) fn answer(&self, ticket: Ticket, applied: Applied) {
+    /// Reports the outcome of an operator's change.
+    pub(crate) fn finish_change(&self, ticket: Ticket, applied: Applied) {
         self.applied.answer(&ticket, applied);
     }
 
     pub(crate) fn next_ticket(&self) -> Ticket {
-        Ticket(self.tickets.fetch_add(1, Ordering::Relaxed) + 1)
+        Ticket(self.last_ticket.fetch_add(1, Ordering::Relaxed) + 1)
     }
 }
