--- a/crates/daemon/src/clock.rs
+++ b/crates/daemon/src/clock.rs
@@ -1,4 +1,4 @@
-//! The process's monotonic clock, as the decisions see it.
+//! The monotonic clock that gives the node and the control instance their time.
 
 use std::time::Duration;
 
@@ -6,14 +6,15 @@
 use nix::time::{ClockId, clock_gettime};
 use tokio::time::Instant;
 
-/// A monotonic clock that starts when it is made and goes on while the machine
+/// A monotonic clock that starts at zero when it is created and keeps running while the machine
 /// is suspended.
 ///
-/// Failure: a machine is suspended for seconds while its process holds a lease.
-/// The usual steady clock stands still meanwhile, so the process would go on as
-/// leader or owner after others have taken over.
+/// `CLOCK_MONOTONIC` stops during a suspension. A machine that is suspended for seconds while
+/// its process holds a lease would then wake up with a lease that looks valid, and the process
+/// would act as leader or owner after another one has taken over.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
+    /// Time from the machine's boot to the start of this clock.
     start: Duration,
 }
 
@@ -26,25 +27,25 @@
         }
     }
 
-    /// Returns the time now.
+    /// Returns the current time of this clock.
     #[must_use]
     pub fn now(self) -> Time {
         Time::ZERO + since_boot().saturating_sub(self.start)
     }
 
-    /// Returns the moment to sleep until for `at`.
+    /// Converts `at` to the [`Instant`] that tokio's timers need.
     #[must_use]
     pub fn instant(self, at: Time) -> Instant {
         Instant::now() + at.since(self.now())
     }
 }
 
-/// Returns the time since the machine started.
+/// Returns the time since the machine's boot.
 ///
 /// # Panics
 ///
-/// Panics where the system has no such clock; every Linux does.
+/// Panics if the system has no `CLOCK_BOOTTIME`; every Linux has one.
 fn since_boot() -> Duration {
-    let now = clock_gettime(ClockId::CLOCK_BOOTTIME).expect("Linux counts the time since boot");
+    let now = clock_gettime(ClockId::CLOCK_BOOTTIME).expect("Linux has CLOCK_BOOTTIME");
     Duration::from(now)
 }
--- a/crates/daemon/src/folder.rs
+++ b/crates/daemon/src/folder.rs
@@ -1,4 +1,4 @@
-//! What both kinds of control instance do with the folder of the log.
+//! The data folder of the replicated log, as all daemons with a control instance use it.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
@@ -7,14 +7,14 @@
 use disk::{Done, Fate, Folder, Writer};
 use telemetry::event;
 
-/// Starts the thread that writes; each end of a write is handed to `give`.
+/// Starts the thread that writes to the folder; the result of each write is passed to `send`.
 ///
 /// # Errors
 ///
-/// Fails when the thread can't be started.
-pub fn start_writer(folder: Folder, give: impl Fn(Input) + Send + 'static) -> Result<Writer> {
+/// Fails if the thread can't be started.
+pub fn start_writer(folder: Folder, send: impl Fn(Input) + Send + 'static) -> Result<Writer> {
     Writer::start(folder, move |done| {
-        give(match done {
+        send(match done {
             Done::Synced { upto } => Input::Synced { upto },
             Done::Failed { no } => {
                 event!(telemetry::Event::DiskFailed, write = no);
@@ -25,7 +25,7 @@
     })
 }
 
-/// Logs what was found in a folder that isn't whole.
+/// Logs that [`disk::open`] found a torn write or a damaged log in the folder.
 pub fn report_fate(fate: &Fate) {
     match fate {
         Fate::New | Fate::Whole => {}
@@ -37,12 +37,12 @@
     }
 }
 
-/// Returns the wall clock, as the time since 1970.
+/// Returns the time of the wall clock, as the time since 1970.
 ///
 /// # Errors
 ///
-/// Fails when the clock stands before that.
+/// Fails if the clock is set to an earlier time.
 pub fn wall_clock() -> Result<Duration> {
-    let since = SystemTime::now().duration_since(UNIX_EPOCH);
-    since.context("the clock stands before 1970")
+    let elapsed = SystemTime::now().duration_since(UNIX_EPOCH);
+    elapsed.context("the system clock is set before 1970")
 }
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,8 +1,7 @@
-//! What the shells of both daemons share: start and end of a process, its
-//! clock, its signals and its links to others.
+//! Parts that the I/O shells of the daemons share: start and stop of the process, its clock,
+//! its signals and its links to other processes.
 //!
-//! It decides nothing; it only keeps the two shells from telling the same
-//! story twice.
+//! This crate makes no decisions; they are made by the state machines that the shells drive.
 
 mod clock;
 mod folder;
--- a/crates/daemon/src/links.rs
+++ b/crates/daemon/src/links.rs
@@ -1,4 +1,4 @@
-//! Links to other processes, one for each address.
+//! Links for RPC calls to other processes, one for each address.
 
 use std::{
     collections::HashMap,
@@ -12,12 +12,13 @@
 /// The links of one process.
 #[derive(Debug)]
 pub struct Links {
+    /// Name of the own instance, sent with each call.
     from: InstanceName,
     links: Mutex<HashMap<SocketAddr, Link>>,
 }
 
 impl Links {
-    /// Makes the links of the instance `from`.
+    /// Creates the links of the instance `from`; each is added at its first use.
     #[must_use]
     pub fn new(from: InstanceName) -> Self {
         Links {
@@ -35,8 +36,8 @@
     }
 }
 
-/// Locks a map that is whole after every step, so a panic elsewhere does it no
-/// harm.
+/// Locks a mutex, also after a panic while it was locked. Only for values that are consistent
+/// after each single operation, such as a map.
 pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/daemon/src/pending.rs
+++ b/crates/daemon/src/pending.rs
@@ -1,4 +1,4 @@
-//! Answers that tasks of a daemon wait for.
+//! Answers that tasks of a daemon are waiting for.
 
 use std::{collections::HashMap, hash::Hash, sync::Mutex};
 
@@ -6,7 +6,7 @@
 
 use crate::lock;
 
-/// Answers still to come, by what names them.
+/// Answers that haven't arrived yet. `K` identifies what was asked, such as the number of a call.
 #[derive(Debug)]
 pub struct Pending<K, T> {
     waiting: Mutex<HashMap<K, oneshot::Sender<T>>>,
@@ -21,7 +21,7 @@
 }
 
 impl<K: Eq + Hash, T> Pending<K, T> {
-    /// Returns where the answer to `key` comes.
+    /// Returns the channel on which the answer to `key` arrives.
     #[must_use]
     pub fn expect(&self, key: K) -> oneshot::Receiver<T> {
         let (tx, rx) = oneshot::channel();
@@ -29,7 +29,7 @@
         rx
     }
 
-    /// Hands over the answer to `key`; whoever waited may have left.
+    /// Sends the answer to `key` to the task that waits for it, if it still does.
     pub fn answer(&self, key: &K, answer: T) {
         if let Some(tx) = lock(&self.waiting).remove(key) {
             tx.send(answer).ok();
--- a/crates/daemon/src/start.rs
+++ b/crates/daemon/src/start.rs
@@ -1,4 +1,4 @@
-//! Start and end of a daemon.
+//! Start and stop of a daemon.
 
 use std::{net::SocketAddr, process::ExitCode};
 
@@ -13,18 +13,20 @@
 /// The two listeners of a daemon.
 #[derive(Debug)]
 pub struct Listeners {
-    /// For callers or operators.
+    /// For callers (entry daemon) or operators (control daemon).
     pub own: TcpListener,
-    /// For other instances.
+    /// For other instances, and for operators' queries to an entry daemon.
     pub peers: TcpListener,
 }
 
-/// Runs a daemon from its checked settings to its end: runtime, telemetry and
-/// listeners, then `serve`.
+/// Runs a daemon: starts the runtime, telemetry and listeners, then runs `serve` to its end.
+///
+/// Errors are written to stderr. Invalid settings have an exit code of their own. `common` returns
+/// the sections of the settings that all daemons have.
 pub fn main<S, F>(
     program: &str,
     settings: Result<S, settings::Errors>,
-    of: impl FnOnce(&S) -> (&Identity, &Telemetry),
+    common: impl FnOnce(&S) -> (&Identity, &Telemetry),
     serve: impl FnOnce(S, Listeners) -> F,
 ) -> ExitCode
 where
@@ -37,7 +39,7 @@
             return ExitCode::from(errors.exit_code());
         }
     };
-    match run(program, settings, of, serve) {
+    match run(program, settings, common, serve) {
         Ok(()) => ExitCode::SUCCESS,
         Err(err) => {
             eprintln!("{program}: {err:#}");
@@ -49,7 +51,7 @@
 fn run<S, F>(
     program: &str,
     settings: S,
-    of: impl FnOnce(&S) -> (&Identity, &Telemetry),
+    common: impl FnOnce(&S) -> (&Identity, &Telemetry),
     serve: impl FnOnce(S, Listeners) -> F,
 ) -> Result<()>
 where
@@ -60,7 +62,7 @@
         .build()
         .context("can't start the runtime")?;
     runtime.block_on(async {
-        let (identity, telemetry) = of(&settings);
+        let (identity, telemetry) = common(&settings);
         let guard = telemetry::start(program, identity.name.as_str(), telemetry)?;
         let bound = bind(identity).await;
         let listeners = bound.inspect_err(|err| {
@@ -82,17 +84,17 @@
 ///
 /// # Errors
 ///
-/// Fails when the system refuses it.
+/// Fails if the address can't be bound.
 pub async fn listen(address: SocketAddr) -> Result<TcpListener> {
     let bound = TcpListener::bind(address).await;
     bound.with_context(|| format!("can't listen on {address}"))
 }
 
-/// Returns what ends when the process is asked to stop.
+/// Returns a future that completes when the process receives SIGTERM or SIGINT.
 ///
 /// # Errors
 ///
-/// Fails when the system refuses to tell of signals.
+/// Fails if the signal handlers can't be installed.
 pub fn stop_signal() -> Result<impl Future<Output = ()>> {
     let mut term = signal(SignalKind::terminate()).context("can't listen for SIGTERM")?;
     let mut int = signal(SignalKind::interrupt()).context("can't listen for SIGINT")?;
