--- a/crates/peer/src/answer.rs
+++ b/crates/peer/src/answer.rs
@@ -1,4 +1,4 @@
-//! The answering end: upgrades a connection and serves its calls.
+//! The server side: upgrades a connection and serves the calls on it.
 
 use std::{future::Future, sync::Arc};
 
@@ -12,19 +12,18 @@
 
 use crate::rpc::{Caller, PATH, PROTOCOL, transport};
 
-/// Calls of one connection that run at once; a caller beyond it waits, and
-/// only on its own connection.
-const CALLS_AT_ONCE: usize = 256;
+/// Most calls of one connection that run at once. Further calls wait, on this connection only.
+const MAX_CONCURRENT_CALLS: usize = 256;
 
-/// Tells whether `req` asks for the upgrade that [`accept`] gives.
+/// Returns whether `req` asks for the upgrade that [`accept`] performs.
 #[must_use]
 pub fn wants_upgrade<B>(req: &Request<B>) -> bool {
-    let asked = req.headers().get(header::UPGRADE);
-    req.uri().path() == PATH && asked.is_some_and(|value| value == PROTOCOL)
+    let protocol = req.headers().get(header::UPGRADE);
+    req.uri().path() == PATH && protocol.is_some_and(|value| value == PROTOCOL)
 }
 
-/// Answers `req` with the upgrade and serves the connection's calls in the
-/// background until the other end leaves.
+/// Answers `req` with the upgrade and serves the connection's calls in the background until the
+/// peer closes it. `handler` gets the calling instance and the call.
 pub fn accept<F, Fut>(req: Request<Incoming>, handler: F) -> Response<Empty<Bytes>>
 where
     F: Fn(InstanceName, Call) -> Fut + Send + Sync + 'static,
@@ -33,7 +32,7 @@
     tokio::spawn(async move {
         match hyper::upgrade::on(req).await {
             Ok(io) => serve(io, handler).await,
-            Err(err) => tracing::debug!("upgrade of a peer's connection failed: {err}"),
+            Err(err) => tracing::debug!("failed to upgrade a peer's connection: {err}"),
         }
     });
     let mut answer = Response::new(Empty::new());
@@ -58,7 +57,7 @@
     let channel = BaseChannel::with_defaults(transport(io));
     channel
         .execute(server.serve())
-        .for_each_concurrent(CALLS_AT_ONCE, |call| async move {
+        .for_each_concurrent(MAX_CONCURRENT_CALLS, |call| async move {
             tokio::spawn(call).await.ok();
         })
         .await;
--- a/crates/peer/src/link.rs
+++ b/crates/peer/src/link.rs
@@ -1,4 +1,4 @@
-//! The calling end: one link to one peer, made anew whenever it goes silent.
+//! The client side: a link to one peer, which reconnects after a call failed or timed out.
 
 use std::{sync::Arc, time::Duration};
 
@@ -15,31 +15,31 @@
 
 use crate::rpc::{CallerClient, PATH, PROTOCOL, transport};
 
-/// How long one attempt at a connection may take: two round trips between
-/// regions and the start of a busy process. Its calls wait for it in line.
+/// Time limit for one attempt to connect: long enough for two round trips between regions and
+/// a peer that is busy starting. All calls on the link wait for the attempt.
 ///
-/// Failure: a machine without power swallows the first packet of a connection,
-/// and the system sends it again only after a second. Whoever restarts first
-/// after a common loss of power then can't talk to the others when they are up:
-/// the log had no leader for another half second.
-const CONNECT: Duration = Duration::from_millis(250);
+/// A machine without power drops the first packet (SYN) of a connection, and the kernel sends
+/// it again only after one second. With a longer limit, the instance that restarts first after
+/// a common loss of power is still waiting for that when the others are up, which left the
+/// replicated log without a leader for another half second.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Why a call brought no reply, and whether it may have been carried out.
+/// Why a call got no reply.
 #[derive(Debug, Error)]
 pub enum CallError {
-    /// No connection could be made: nothing was sent.
+    /// No connection could be made, so nothing was sent.
     #[error("can't reach the peer: {0}")]
     Connect(String),
-    /// No reply came in time.
+    /// No reply arrived within the time limit.
     #[error("no reply in time")]
     Timeout,
-    /// The connection broke before the reply.
+    /// The connection broke before the reply arrived.
     #[error("the connection broke: {0}")]
     Broken(String),
 }
 
 impl CallError {
-    /// Tells whether the peer may have carried the call out.
+    /// Returns whether the peer may have carried out the call.
     #[must_use]
     pub fn verdict(&self) -> Verdict {
         match self {
@@ -62,15 +62,16 @@
     slot: Mutex<Slot>,
 }
 
-/// The connection in use; `serial` tells it from the ones before it.
+/// The connection in use.
 #[derive(Debug, Default)]
 struct Slot {
+    /// Number of the connection on this link, counted from 1.
     serial: u64,
     client: Option<CallerClient>,
 }
 
 impl Link {
-    /// Makes a link from `from` to the peer at `address` (IP and port); it
+    /// Creates a link from the instance `from` to the peer at `address` (IP and port). It
     /// connects at the first call.
     #[must_use]
     pub fn new(from: InstanceName, address: String) -> Self {
@@ -90,35 +91,34 @@
         &self.inner.address
     }
 
-    /// Makes one call and waits at most `limit` for the reply, the time for a
-    /// new connection included.
+    /// Makes one call and waits at most `limit` for the reply, including the time to connect.
     ///
     /// # Errors
     ///
-    /// Returns a [`CallError`] that says whether the call may have been
-    /// carried out.
+    /// Fails if no reply arrives in time; [`CallError::verdict`] tells whether the call may have
+    /// been carried out.
     pub async fn call(&self, call: Call, limit: Duration) -> Result<Reply, CallError> {
-        let until = Instant::now() + limit;
+        let deadline = Instant::now() + limit;
         let (serial, client) = match tokio::time::timeout(limit, self.client()).await {
-            Ok(found) => found?,
+            Ok(connected) => connected?,
             Err(_) => return Err(CallError::Connect("no connection in time".to_owned())),
         };
         let mut context = tarpc::context::current();
-        context.deadline = (until + MOST).into_std();
+        context.deadline = (deadline + MOST).into_std();
         let reply = client.call(context, self.inner.from.clone(), call);
-        match answer_by(until, reply).await {
+        match answer_by(deadline, reply).await {
             Some(Ok(reply)) => Ok(reply),
             Some(Err(err)) => Err(self.fail(serial, err).await),
             None => Err(self.fail(serial, RpcError::DeadlineExceeded).await),
         }
     }
 
-    /// Drops the connection after a failure.
+    /// Drops the connection `serial` after a call on it failed, and returns the call's error.
     ///
-    /// Something between the two ends may have lost track of the connection:
-    /// calls on it would then time out for ever while a new one works. A
-    /// connection that let one call time out is therefore not used again; one
-    /// that another call has made since is kept.
+    /// A middlebox between the two processes may have dropped the state of the connection:
+    /// every call on it would then time out, while a new connection works. A connection on
+    /// which one call timed out is therefore not used again. A newer connection that another
+    /// call has made meanwhile stays in use.
     async fn fail(&self, serial: u64, err: RpcError) -> CallError {
         let mut slot = self.inner.slot.lock().await;
         if slot.serial == serial {
@@ -131,12 +131,13 @@
         }
     }
 
+    /// Returns the connection and its number; connects if there is none.
     async fn client(&self) -> Result<(u64, CallerClient), CallError> {
         let mut slot = self.inner.slot.lock().await;
         if let Some(client) = &slot.client {
             return Ok((slot.serial, client.clone()));
         }
-        let connected = tokio::time::timeout(CONNECT, connect(&self.inner.address)).await;
+        let connected = tokio::time::timeout(CONNECT_TIMEOUT, connect(&self.inner.address)).await;
         let connected = connected.unwrap_or_else(|_| Err(anyhow::anyhow!("no answer in time")));
         let io = connected.map_err(|err| CallError::Connect(format!("{err:#}")))?;
         let client = CallerClient::new(tarpc::client::Config::default(), transport(io)).spawn();
--- a/crates/peer/src/rpc.rs
+++ b/crates/peer/src/rpc.rs
@@ -1,4 +1,4 @@
-//! The tarpc service and its framing, shared by both ends.
+//! The tarpc service and its framing, shared by client and server.
 
 use base::InstanceName;
 use hyper::upgrade::Upgraded;
@@ -8,25 +8,25 @@
 use tokio_util::codec::{Framed, LengthDelimitedCodec};
 use wire::call::{Call, Reply};
 
-/// The protocol that a connection is upgraded to.
+/// Name of the protocol to which a connection is upgraded.
 pub const PROTOCOL: &str = "quetzal-call/1";
 
-/// The path whose requests ask for the upgrade.
+/// HTTP path of the upgrade request.
 pub const PATH: &str = "/quetzal/call";
 
-/// Largest call or reply in bytes: a text of 48,000 adapters and some room.
+/// Largest call or reply, in bytes: a configuration text of 48,000 adapters fits with a margin.
 pub const CALL_MAX: usize = 32 << 20;
 
 #[tarpc::service]
 pub(crate) trait Caller {
-    /// Makes one call.
+    /// Makes one call in the name of the instance `from`.
     async fn call(from: InstanceName, call: Call) -> Reply;
 }
 
 type Wire<Item, SinkItem> =
     Transport<TokioIo<Upgraded>, Item, SinkItem, MessagePack<Item, SinkItem>>;
 
-/// Frames an upgraded connection for one direction's types.
+/// Returns a transport that sends `SinkItem` and receives `Item` on an upgraded connection.
 pub(crate) fn transport<Item, SinkItem>(io: Upgraded) -> Wire<Item, SinkItem>
 where
     Item: for<'de> serde::Deserialize<'de>,
--- a/crates/peer/tests/calls.rs
+++ b/crates/peer/tests/calls.rs
@@ -1,4 +1,5 @@
-//! Calls over an upgraded connection, also when one goes silent.
+//! RPC calls over an upgraded connection, including connections that stop carrying data without
+//! being closed.
 
 use std::{
     convert::Infallible,
@@ -17,8 +18,8 @@
 use tokio::net::{TcpListener, TcpStream};
 use wire::call::{Call, Reply};
 
-/// Far above what any call here takes; only a failure waits this long.
-const CEILING: Duration = Duration::from_secs(20);
+/// Time limit for calls that should succeed; only a failing test takes that long.
+const TIMEOUT: Duration = Duration::from_secs(20);
 
 async fn answer(_: InstanceName, call: Call) -> Reply {
     match call {
@@ -53,20 +54,21 @@
     address
 }
 
-/// Passes bytes between callers and `to`; connections made before `silent`
-/// is set carry nothing after it, but stay open.
-async fn start_gate(to: String, silent: Arc<AtomicBool>, made: Arc<AtomicUsize>) -> String {
+/// Starts a TCP proxy to `to`. While `silent` is set, the first connection through it carries
+/// no data but stays open. `accepted` counts the connections.
+async fn start_proxy(to: String, silent: Arc<AtomicBool>, accepted: Arc<AtomicUsize>) -> String {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap().to_string();
     tokio::spawn(async move {
         loop {
-            let (near, _) = listener.accept().await.unwrap();
-            let far = TcpStream::connect(&to).await.unwrap();
-            let first = made.fetch_add(1, Ordering::SeqCst) == 0;
+            let (client, _) = listener.accept().await.unwrap();
+            let server = TcpStream::connect(&to).await.unwrap();
+            let first = accepted.fetch_add(1, Ordering::SeqCst) == 0;
             let silent = silent.clone();
-            let ((near_in, near_out), (far_in, far_out)) = (near.into_split(), far.into_split());
-            tokio::spawn(pass(near_in, far_out, silent.clone(), first));
-            tokio::spawn(pass(far_in, near_out, silent, first));
+            let ((client_in, client_out), (server_in, server_out)) =
+                (client.into_split(), server.into_split());
+            tokio::spawn(pass(client_in, server_out, silent.clone(), first));
+            tokio::spawn(pass(server_in, client_out, silent, first));
         }
     });
     address
@@ -105,7 +107,7 @@
             Call::Text {
                 have: TextVersion(4),
             },
-            CEILING,
+            TIMEOUT,
         )
         .await;
     let want = Reply::Text {
@@ -116,27 +118,27 @@
 }
 
 #[tokio::test]
-async fn an_unreachable_peer_certainly_did_nothing() {
+async fn a_call_to_an_unreachable_peer_has_not_run() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap().to_string();
     drop(listener);
     let err = Link::new(name(), address)
-        .call(Call::Drain, CEILING)
+        .call(Call::Drain, TIMEOUT)
         .await
         .unwrap_err();
     assert_that!(err.verdict(), eq(Verdict::NotRun));
 }
 
-/// A user sees: heartbeats to one peer fail for ever after a firewall
-/// restarted, although the peer is well. The connection worked, then carried
-/// nothing more without being closed. The cause: the link kept it.
+/// Guards against a link that keeps a dead connection: after a restart, a firewall drops all
+/// packets of an open connection without closing it. Every heartbeat to the peer would then
+/// time out, although the peer is healthy.
 #[tokio::test]
 async fn a_silent_connection_is_replaced() {
     let silent = Arc::new(AtomicBool::new(false));
-    let made = Arc::new(AtomicUsize::new(0));
-    let gate = start_gate(start_peer().await, silent.clone(), made.clone()).await;
-    let link = Link::new(name(), gate);
-    link.call(Call::Drain, CEILING).await.unwrap();
+    let accepted = Arc::new(AtomicUsize::new(0));
+    let proxy = start_proxy(start_peer().await, silent.clone(), accepted.clone()).await;
+    let link = Link::new(name(), proxy);
+    link.call(Call::Drain, TIMEOUT).await.unwrap();
     silent.store(true, Ordering::SeqCst);
     let err = link
         .call(Call::Drain, Duration::from_millis(200))
@@ -145,24 +147,24 @@
     assert_that!(matches!(err, CallError::Timeout), eq(true));
     assert_that!(err.verdict(), eq(Verdict::MayHaveRun));
     assert_that!(
-        link.call(Call::Drain, CEILING).await.unwrap(),
+        link.call(Call::Drain, TIMEOUT).await.unwrap(),
         eq(&Reply::Done)
     );
-    assert_that!(made.load(Ordering::SeqCst), eq(2));
+    assert_that!(accepted.load(Ordering::SeqCst), eq(2));
 }
 
-/// A common loss of power: one process is back before the others, whose
-/// machines swallow what it sends. When they were up it still waited for its
-/// first attempt, and every message waited behind that one.
+/// Guards against a hanging attempt to connect that delays all calls of a link: after a common
+/// loss of power, one process restarts before the machines of the others, and its first attempt
+/// to connect gets no answer. When the others are up, calls must not wait for that attempt.
 #[tokio::test]
-async fn an_attempt_that_hangs_holds_nobody_up_for_long() {
+async fn a_hanging_connection_attempt_delays_calls_only_briefly() {
     let silent = Arc::new(AtomicBool::new(true));
-    let made = Arc::new(AtomicUsize::new(0));
-    let gate = start_gate(start_peer().await, silent, made).await;
-    let link = Link::new(name(), gate);
+    let accepted = Arc::new(AtomicUsize::new(0));
+    let proxy = start_proxy(start_peer().await, silent, accepted).await;
+    let link = Link::new(name(), proxy);
     let (first, second) = tokio::join!(
-        link.call(Call::Drain, CEILING),
-        link.call(Call::Drain, CEILING),
+        link.call(Call::Drain, TIMEOUT),
+        link.call(Call::Drain, TIMEOUT),
     );
     assert_that!(first.unwrap_err().verdict(), eq(Verdict::NotRun));
     assert_that!(second.unwrap(), eq(&Reply::Done));
