--- a/crates/daemon/src/folder.rs
+++ b/crates/daemon/src/folder.rs
@@ -26,7 +26,7 @@
 }
 
 /// Logs that [`disk::open`] found a torn write or a damaged log in the folder.
-pub fn report_fate(fate: &Fate) {
+pub fn log_folder_state(fate: &Fate) {
     match fate {
         Fate::New | Fate::Whole => {}
         Fate::CutOff { bytes } => event!(telemetry::Event::DiskTorn, bytes = bytes),
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -11,7 +11,7 @@
 
 pub use crate::{
     clock::Clock,
-    folder::{report_fate, start_writer, wall_clock},
+    folder::{log_folder_state, start_writer, wall_clock},
     links::{Links, lock},
     pending::Pending,
     start::{Listeners, listen, main, stop_signal},
--- a/crates/frontd/src/control.rs
+++ b/crates/frontd/src/control.rs
@@ -162,7 +162,7 @@
 ) -> Result<Shell> {
     let name = names::instance_name(setup.ip);
     let opened = disk::open(&setup.data_dir, &name, incarnation)?;
-    daemon::report_fate(&opened.fate);
+    daemon::log_folder_state(&opened.fate);
     let seeds = (platform.read_seeds)().unwrap_or_default();
     let peers = seeds.into_iter().map(names::instance_name).collect();
     let raw = RawSettings {
