--- a/crates/controld/src/shell.rs
+++ b/crates/controld/src/shell.rs
@@ -117,7 +117,7 @@
     };
     let operator_state = Arc::clone(state);
     let handler = move |req| operators::answer(Arc::clone(&operator_state), req);
-    let operators = tokio::spawn(server::serve(listeners.own, limits, handler, stop));
+    let operators = tokio::spawn(server::serve(listeners.clients, limits, handler, stop));
     let peer_state = Arc::clone(state);
     let handler = move |req| peers::answer(Arc::clone(&peer_state), req);
     tokio::spawn(server::serve(
--- a/crates/daemon/src/start.rs
+++ b/crates/daemon/src/start.rs
@@ -14,7 +14,7 @@
 #[derive(Debug)]
 pub struct Listeners {
     /// For callers (entry daemon) or operators (control daemon).
-    pub own: TcpListener,
+    pub clients: TcpListener,
     /// For other instances, and for operators' queries to an entry daemon.
     pub peers: TcpListener,
 }
@@ -75,9 +75,9 @@
 }
 
 async fn bind(identity: &Identity) -> Result<Listeners> {
-    let own = listen(identity.listen).await?;
+    let clients = listen(identity.listen).await?;
     let peers = listen(identity.peer_listen).await?;
-    Ok(Listeners { own, peers })
+    Ok(Listeners { clients, peers })
 }
 
 /// Listens on an address.
