--- a/crates/controld/src/state.rs
+++ b/crates/controld/src/state.rs
@@ -80,24 +80,24 @@
     /// Assigns a ticket to a call and returns the channel on which its reply arrives.
     pub(crate) fn register_call(&self) -> (Ticket, oneshot::Receiver<Reply>) {
         let ticket = self.next_ticket();
-        (ticket, self.replies.expect(ticket))
+        (ticket, self.replies.register(ticket))
     }
 
     /// Assigns a ticket to an operator's change and returns the channel on which its outcome
     /// arrives.
     pub(crate) fn register_change(&self) -> (Ticket, oneshot::Receiver<Applied>) {
         let ticket = self.next_ticket();
-        (ticket, self.applied.expect(ticket))
+        (ticket, self.applied.register(ticket))
     }
 
     /// Completes a call.
     pub(crate) fn reply(&self, ticket: Ticket, reply: Reply) {
-        self.replies.answer(&ticket, reply);
+        self.replies.complete(&ticket, reply);
     }
 
     /// Reports the outcome of an operator's change.
     pub(crate) fn finish_change(&self, ticket: Ticket, applied: Applied) {
-        self.applied.answer(&ticket, applied);
+        self.applied.complete(&ticket, applied);
     }
 
     pub(crate) fn next_ticket(&self) -> Ticket {
--- a/crates/daemon/src/pending.rs
+++ b/crates/daemon/src/pending.rs
@@ -23,14 +23,14 @@
 impl<K: Eq + Hash, T> Pending<K, T> {
     /// Returns the channel on which the answer to `key` arrives.
     #[must_use]
-    pub fn expect(&self, key: K) -> oneshot::Receiver<T> {
+    pub fn register(&self, key: K) -> oneshot::Receiver<T> {
         let (tx, rx) = oneshot::channel();
         lock(&self.waiting).insert(key, tx);
         rx
     }
 
     /// Sends the answer to `key` to the task that waits for it, if it still does.
-    pub fn answer(&self, key: &K, answer: T) {
+    pub fn complete(&self, key: &K, answer: T) {
         if let Some(tx) = lock(&self.waiting).remove(key) {
             tx.send(answer).ok();
         }
--- a/crates/entryd/src/state.rs
+++ b/crates/entryd/src/state.rs
@@ -105,11 +105,11 @@
     /// its reply arrives.
     pub(crate) fn register_call(&self) -> (u64, oneshot::Receiver<Reply>) {
         let call = self.last_call.fetch_add(1, Ordering::Relaxed) + 1;
-        (call, self.replies.expect(call))
+        (call, self.replies.register(call))
     }
 
     /// Replies to a call from another process.
     pub(crate) fn reply(&self, call: u64, reply: Reply) {
-        self.replies.answer(&call, reply);
+        self.replies.complete(&call, reply);
     }
 }
