--- a/crates/entryd/src/shell.rs
+++ b/crates/entryd/src/shell.rs
@@ -67,7 +67,12 @@
     let peer_stop = CancellationToken::new();
     let caller_state = Arc::clone(&state);
     let handler = move |req| callers::answer(Arc::clone(&caller_state), req);
-    let callers = tokio::spawn(server::serve(listeners.clients, limits, handler, stop.clone()));
+    let callers = tokio::spawn(server::serve(
+        listeners.clients,
+        limits,
+        handler,
+        stop.clone(),
+    ));
     let peer_state = Arc::clone(&state);
     let handler = move |req| hops::answer(Arc::clone(&peer_state), req);
     tokio::spawn(server::serve(
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -13,5 +13,5 @@
 pub use crate::{
     answer::{accept, wants_upgrade},
     link::{CallError, Link},
-    rpc::{CALL_MAX, PATH, PROTOCOL},
+    rpc::{MAX_CALL_BYTES, PATH, PROTOCOL},
 };
--- a/crates/peer/src/rpc.rs
+++ b/crates/peer/src/rpc.rs
@@ -15,7 +15,7 @@
 pub const PATH: &str = "/quetzal/call";
 
 /// Largest call or reply, in bytes: a configuration text of 48,000 adapters fits with a margin.
-pub const CALL_MAX: usize = 32 << 20;
+pub const MAX_CALL_BYTES: usize = 32 << 20;
 
 #[tarpc::service]
 pub(crate) trait Caller {
@@ -33,7 +33,7 @@
     SinkItem: serde::Serialize,
 {
     let codec = LengthDelimitedCodec::builder()
-        .max_frame_length(CALL_MAX)
+        .max_frame_length(MAX_CALL_BYTES)
         .new_codec();
     let framed = Framed::new(TokioIo::new(io), codec);
     tarpc::serde_transport::new(framed, MessagePack::default())
