--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -6,12 +6,12 @@
 //! a stalled body never delays a heartbeat or a claim, and no second port has to be opened
 //! between availability zones.
 
-mod answer;
 mod link;
 mod rpc;
+mod server;
 
 pub use crate::{
-    answer::{accept, wants_upgrade},
     link::{CallError, Link},
     rpc::{MAX_CALL_BYTES, PATH, PROTOCOL},
+    server::{accept, wants_upgrade},
 };
