--- a/crates/entryd/src/attempts.rs
+++ b/crates/entryd/src/attempts.rs
@@ -21,8 +21,8 @@
 
 use crate::{
     exchange::{CallerRequest, Exchange, Item},
+    external::json_headers,
     hops,
-    outside::json_headers,
     state::State,
 };
 
--- a/crates/entryd/src/shell.rs
+++ b/crates/entryd/src/shell.rs
@@ -21,7 +21,7 @@
 use web::server::{self, Limits};
 
 use crate::{
-    attempts, callers, calls, events, hops, outside, saved,
+    attempts, callers, calls, events, external, hops, saved,
     state::{InForce, State},
 };
 
@@ -50,7 +50,7 @@
     let state = Arc::new(State::new(identity.name.clone(), inputs, text));
     let stop = CancellationToken::new();
     let grace = settings.drain_grace;
-    tokio::spawn(outside::poll_list(Arc::clone(&state), identity.platform));
+    tokio::spawn(external::poll_list(Arc::clone(&state), identity.platform));
     let stop_signal = daemon::stop_signal()?;
     let drain_state = Arc::clone(&state);
     tokio::spawn(async move {
@@ -219,8 +219,8 @@
                 body,
                 fence,
                 ..
-            } => outside::order(state, order, address, body, fence),
-            Output::Poll { poll, address, .. } => outside::poll(state, poll, address),
+            } => external::order(state, order, address, body, fence),
+            Output::Poll { poll, address, .. } => external::poll(state, poll, address),
             Output::Call {
                 call,
                 address,
