--- a/crates/controld/src/main.rs
+++ b/crates/controld/src/main.rs
@@ -1,8 +1,8 @@
 //! Control daemon: the I/O shell around one [`control::Control`].
 //!
-//! The daemon owns the clock, the sockets and the data folder. [`control::Control`] decides
-//! which changes are accepted, which leases are granted and which claims on idempotency keys
-//! succeed.
+//! The daemon owns the clock, the sockets and the data folder. [`control::Control`]
+//! decides which changes are accepted, which leases are granted and which claims on
+//! idempotency keys succeed.
 
 mod operators;
 mod peers;
--- a/crates/controld/src/operators.rs
+++ b/crates/controld/src/operators.rs
@@ -18,8 +18,8 @@
 
 use crate::state::{Job, Query, State};
 
-/// Largest body of an operator's request, in bytes. A configuration text counts as quoted in
-/// JSON.
+/// Largest body of an operator's request, in bytes. A configuration text counts as quoted
+/// in JSON.
 const MAX_BODY_BYTES: usize = 32 << 20;
 
 /// Time limit for the call that tells an instance to drain.
@@ -102,8 +102,8 @@
     Ok(reply::json(status, &applied))
 }
 
-/// Returns the name of a refusal for the log. The errors found in a text are sent to the operator
-/// only.
+/// Returns the name of a refusal for the log. The errors found in a text are sent to the
+/// operator only.
 fn refusal_name(why: &Why) -> &'static str {
     match why {
         Why::Conflict { .. } => "conflict",
--- a/crates/controld/src/peers.rs
+++ b/crates/controld/src/peers.rs
@@ -14,8 +14,8 @@
 
 use crate::state::State;
 
-/// Time limit for a message of the replicated log. After it the message counts as lost, and the
-/// log sends it again.
+/// Time limit for a message of the replicated log. After it the message counts as lost,
+/// and the log sends it again.
 const MESSAGE_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Time limit for forwarding an operator's change to the leader.
--- a/crates/controld/src/shell.rs
+++ b/crates/controld/src/shell.rs
@@ -1,4 +1,5 @@
-//! The task that owns the control instance: passes inputs to it and carries out its outputs.
+//! The task that owns the control instance: passes inputs to it and carries out its
+//! outputs.
 
 use std::{collections::BTreeMap, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -81,8 +82,8 @@
     Ok(())
 }
 
-/// Opens the data folder, starts its writer thread and restores the control instance from the
-/// folder's content.
+/// Opens the data folder, starts its writer thread and restores the control instance from
+/// the folder's content.
 fn open(
     settings: &ControlSettings,
     names: Vec<InstanceName>,
@@ -102,8 +103,8 @@
     Ok((control, writer))
 }
 
-/// Starts both servers and returns the task of the operators' one. It stops at `stop`; the one
-/// for peers serves as long as the process runs.
+/// Starts both servers and returns the task of the operators' one. It stops at `stop`;
+/// the one for peers serves as long as the process runs.
 fn start_servers(
     state: &Arc<State>,
     listeners: Listeners,
--- a/crates/controld/src/state.rs
+++ b/crates/controld/src/state.rs
@@ -72,7 +72,8 @@
         }
     }
 
-    /// Queues an input for the control instance; does nothing after the shell's task has ended.
+    /// Queues an input for the control instance; does nothing after the shell's task has
+    /// ended.
     pub(crate) fn send_input(&self, input: Input) {
         self.jobs.send(Job::Input(input)).ok();
     }
@@ -83,8 +84,8 @@
         (ticket, self.replies.register(ticket))
     }
 
-    /// Assigns a ticket to an operator's change and returns the channel on which its outcome
-    /// arrives.
+    /// Assigns a ticket to an operator's change and returns the channel on which its
+    /// outcome arrives.
     pub(crate) fn register_change(&self) -> (Ticket, oneshot::Receiver<Applied>) {
         let ticket = self.next_ticket();
         (ticket, self.applied.register(ticket))
--- a/crates/daemon/src/clock.rs
+++ b/crates/daemon/src/clock.rs
@@ -6,12 +6,12 @@
 use nix::time::{ClockId, clock_gettime};
 use tokio::time::Instant;
 
-/// A monotonic clock that starts at zero when it is created and keeps running while the machine
-/// is suspended.
+/// A monotonic clock that starts at zero when it is created and keeps running while the
+/// machine is suspended.
 ///
-/// `CLOCK_MONOTONIC` stops during a suspension. A machine that is suspended for seconds while
-/// its process holds a lease would then wake up with a lease that looks valid, and the process
-/// would act as leader or owner after another one has taken over.
+/// `CLOCK_MONOTONIC` stops during a suspension. A machine that is suspended for seconds
+/// while its process holds a lease would then wake up with a lease that looks valid, and
+/// the process would act as leader or owner after another one has taken over.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     /// Time from the machine's boot to the start of this clock.
--- a/crates/daemon/src/folder.rs
+++ b/crates/daemon/src/folder.rs
@@ -7,7 +7,8 @@
 use disk::{Done, Fate, Folder, Writer};
 use telemetry::event;
 
-/// Starts the thread that writes to the folder; the result of each write is passed to `send`.
+/// Starts the thread that writes to the folder; the result of each write is passed to
+/// `send`.
 ///
 /// # Errors
 ///
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,7 +1,8 @@
-//! Parts that the I/O shells of the daemons share: start and stop of the process, its clock,
-//! its signals and its links to other processes.
+//! Parts that the I/O shells of the daemons share: start and stop of the process, its
+//! clock, its signals and its links to other processes.
 //!
-//! This crate makes no decisions; they are made by the state machines that the shells drive.
+//! This crate makes no decisions; they are made by the state machines that the shells
+//! drive.
 
 mod clock;
 mod folder;
--- a/crates/daemon/src/links.rs
+++ b/crates/daemon/src/links.rs
@@ -36,8 +36,8 @@
     }
 }
 
-/// Locks a mutex, also after a panic while it was locked. Only for values that are consistent
-/// after each single operation, such as a map.
+/// Locks a mutex, also after a panic while it was locked. Only for values that are
+/// consistent after each single operation, such as a map.
 pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/daemon/src/pending.rs
+++ b/crates/daemon/src/pending.rs
@@ -6,7 +6,8 @@
 
 use crate::lock;
 
-/// Answers that haven't arrived yet. `K` identifies what was asked, such as the number of a call.
+/// Answers that haven't arrived yet. `K` identifies what was asked, such as the number of
+/// a call.
 #[derive(Debug)]
 pub struct Pending<K, T> {
     waiting: Mutex<HashMap<K, oneshot::Sender<T>>>,
--- a/crates/daemon/src/start.rs
+++ b/crates/daemon/src/start.rs
@@ -19,10 +19,11 @@
     pub peers: TcpListener,
 }
 
-/// Runs a daemon: starts the runtime, telemetry and listeners, then runs `serve` to its end.
+/// Runs a daemon: starts the runtime, telemetry and listeners, then runs `serve` to its
+/// end.
 ///
-/// Errors are written to stderr. Invalid settings have an exit code of their own. `common` returns
-/// the sections of the settings that all daemons have.
+/// Errors are written to stderr. Invalid settings have an exit code of their own.
+/// `common` returns the sections of the settings that all daemons have.
 pub fn main<S, F>(
     program: &str,
     settings: Result<S, settings::Errors>,
--- a/crates/entryd/src/attempts.rs
+++ b/crates/entryd/src/attempts.rs
@@ -1,5 +1,5 @@
-//! Sends one attempt of a request to a target, or to the instance that owns it, and reports
-//! the progress of the answer to the node.
+//! Sends one attempt of a request to a target, or to the instance that owns it, and
+//! reports the progress of the answer to the node.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -26,24 +26,24 @@
     state::State,
 };
 
-/// Idle timeout of an answer. Tokens follow each other fast, but a request may wait inside the
-/// engine for a place in its batch.
+/// Idle timeout of an answer. Tokens follow each other fast, but a request may wait
+/// inside the engine for a place in its batch.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Idle timeout for critical and live requests that may be sent again. Nearly every first token
-/// arrives sooner.
+/// Idle timeout for critical and live requests that may be sent again. Nearly every first
+/// token arrives sooner.
 const LIVE_IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Idle timeout for an answer that passes through another instance. That instance writes a
 /// keep-alive comment each second while it waits; at the timeout, three are missing.
 const HOP_IDLE_TIMEOUT: Duration = Duration::from_millis(3_500);
 
-/// Largest answer that isn't an event stream, in bytes; such answers may be held back until
-/// they are complete.
+/// Largest answer that isn't an event stream, in bytes; such answers may be held back
+/// until they are complete.
 const MAX_ANSWER_BYTES: usize = 8 << 20;
 
-/// Largest answer to a marked request that is copied, in bytes. The copy answers a retry with
-/// the same idempotency key.
+/// Largest answer to a marked request that is copied, in bytes. The copy answers a retry
+/// with the same idempotency key.
 const MAX_COPY_BYTES: usize = 4 << 10;
 
 /// Starts an attempt in the background.
@@ -205,8 +205,9 @@
         self.end(true);
     }
 
-    /// Passes on complete events only. If the connection is cut within an event, the caller has
-    /// nothing of it, so a resumed stream continues at the beginning of that event.
+    /// Passes on complete events only. If the connection is cut within an event, the
+    /// caller has nothing of it, so a resumed stream continues at the beginning of that
+    /// event.
     async fn events(&mut self, parser: &mut Parser, piece: &[u8]) -> Option<()> {
         let mut events = Vec::new();
         if parser.push(piece, &mut events).is_err() {
@@ -351,8 +352,8 @@
 
 fn limits(attempt: &Attempt) -> Limits {
     let reuse = match attempt.class {
-        // The head of a completion takes long, so a delay doesn't show that a reused
-        // connection is broken.
+        // The head of a completion takes long, so a delay can't show that a reused
+        // connection is broken: completions always get a new one.
         _ if attempt.resident.is_some() => Duration::ZERO,
         Class::Critical | Class::Live | Class::Batch => Limits::default().reuse,
     };
@@ -370,9 +371,10 @@
 
 /// Returns the idle timeout for an answer of a target.
 ///
-/// An engine may hang, or a middlebox may drop the state of its connection. Without the timeout
-/// the stream would stall until the caller's deadline; with it, the request continues at another
-/// engine. The timeout is longer where the request can't be sent again.
+/// An engine may hang, or a middlebox may drop the state of its connection. Without the
+/// timeout the stream would stall until the caller's deadline; with it, the request
+/// continues at another engine. The timeout is longer where the request can't be sent
+/// again.
 fn idle_timeout(attempt: &Attempt) -> Duration {
     match (attempt.class, attempt.mark) {
         (Class::Critical | Class::Live, Mark::Repeatable) => LIVE_IDLE_TIMEOUT,
@@ -380,7 +382,8 @@
     }
 }
 
-/// Returns whether the answer is a failure of another instance rather than a target's answer.
+/// Returns whether the answer is a failure of another instance rather than a target's
+/// answer.
 fn refused_by_peer(answer: &Answer) -> bool {
     !answer.status.is_success() && answer.header(header::VERDICT).is_some()
 }
@@ -390,8 +393,8 @@
     kind.is_some_and(|kind| kind.starts_with("text/event-stream"))
 }
 
-/// Returns the headers to pass on to the caller: all but those that concern the connection to
-/// the target only.
+/// Returns the headers to pass on to the caller: all but those that concern the
+/// connection to the target only.
 fn headers_for_caller(headers: &HeaderMap) -> HeaderMap {
     let mut headers = headers.clone();
     for name in [
--- a/crates/entryd/src/callers.rs
+++ b/crates/entryd/src/callers.rs
@@ -53,37 +53,38 @@
 }
 
 async fn route(state: Arc<State>, req: Request<Incoming>) -> Result<Response<Body>, Failure> {
-    let force = state.in_force();
-    let brand = brand_of(&force, req.headers())?;
+    let in_force = state.in_force();
+    let brand = brand_of(&in_force, req.headers())?;
     let path = req.uri().path().to_owned();
     match (req.method(), path.as_str()) {
-        (&Method::GET, "/v1/models") => Ok(models(&force, &brand)),
-        (&Method::POST, "/v1/chat/completions") => chat(state, &force, brand, req).await,
+        (&Method::GET, "/v1/models") => Ok(models(&in_force, &brand)),
+        (&Method::POST, "/v1/chat/completions") => chat(state, &in_force, brand, req).await,
         (_, "/v1/models" | "/v1/chat/completions") => {
             let mut resp = reply::failure(&Failure::not_run(Refusal::BadRequest));
             *resp.status_mut() = StatusCode::METHOD_NOT_ALLOWED;
             Ok(resp)
         }
-        _ => plain_service(state, &force, brand, &path, req).await,
+        _ => plain_service(state, &in_force, brand, &path, req).await,
     }
 }
 
 /// Returns the brand that the caller's API key belongs to.
-fn brand_of(force: &InForce, headers: &HeaderMap) -> Result<BrandName, Failure> {
+fn brand_of(in_force: &InForce, headers: &HeaderMap) -> Result<BrandName, Failure> {
     let bad = || Failure::not_run(Refusal::BadKey);
     let auth = header_text(headers, http::AUTHORIZATION.as_str()).ok_or_else(bad)?;
     let key = auth.strip_prefix("Bearer ").ok_or_else(bad)?;
     let hash = text::key_hash(key.trim());
-    let found = force.keys.brand(&hash).cloned();
+    let found = in_force.keys.brand(&hash).cloned();
     if found.is_none() {
         event!(Event::BadKey);
     }
     found.ok_or_else(bad)
 }
 
-/// Lists the assistants of the caller's own brand; those of other brands are not disclosed.
-fn models(force: &InForce, brand: &BrandName) -> Response<Body> {
-    let services = force.model.services.get(brand);
+/// Lists the assistants of the caller's own brand; those of other brands are not
+/// disclosed.
+fn models(in_force: &InForce, brand: &BrandName) -> Response<Body> {
+    let services = in_force.model.services.get(brand);
     let assistants = services.into_iter().flatten();
     let assistants =
         assistants.filter(|(_, service)| matches!(service.kind, ServiceKind::Assistant { .. }));
@@ -95,16 +96,16 @@
 
 async fn chat(
     state: Arc<State>,
-    force: &InForce,
+    in_force: &InForce,
     brand: BrandName,
     req: Request<Incoming>,
 ) -> Result<Response<Body>, Failure> {
     let (parts, body) = req.into_parts();
-    let raw = body::read(body, read_limits(force)).await?;
+    let raw = body::read(body, read_limits(in_force)).await?;
     let bad = || Failure::not_run(Refusal::BadRequest);
     let chat = Chat::try_from(&raw[..]).map_err(|_| bad())?;
     let (service, version) = model_name(&chat.model).ok_or_else(bad)?;
-    let found = force.model.service(&brand, &service);
+    let found = in_force.model.service(&brand, &service);
     let found = found.filter(|s| matches!(s.kind, ServiceKind::Assistant { .. }));
     if found.is_none() {
         return Err(Failure::not_run(Refusal::NotFound));
@@ -125,7 +126,7 @@
 
 async fn plain_service(
     state: Arc<State>,
-    force: &InForce,
+    in_force: &InForce,
     brand: BrandName,
     path: &str,
     req: Request<Incoming>,
@@ -137,11 +138,11 @@
     let service = names.next().and_then(|name| name.parse().ok());
     let service: ServiceName = service.ok_or_else(not_found)?;
     let rest = names.next().unwrap_or_default();
-    let found = force.model.service(&brand, &service);
+    let found = in_force.model.service(&brand, &service);
     let found = found.filter(|s| s.kind == ServiceKind::Plain);
     found.ok_or_else(not_found)?;
     let (parts, body) = req.into_parts();
-    let raw = body::read(body, read_limits(force)).await?;
+    let raw = body::read(body, read_limits(in_force)).await?;
     let query = parts.uri.query().map(|query| format!("?{query}"));
     let inner = format!("/{service}/{rest}{}", query.unwrap_or_default());
     let mut call = CallInfo::read(&parts.headers, brand, service)?;
@@ -235,8 +236,8 @@
     }
 }
 
-/// The wait for the head of an answer. Dropped before the head arrives, it reports to the node
-/// that the caller disconnected.
+/// The wait for the head of an answer. Dropped before the head arrives, it reports to the
+/// node that the caller disconnected.
 pub(crate) struct AnswerWait {
     state: Arc<State>,
     ticket: Ticket,
@@ -275,8 +276,8 @@
     }
 }
 
-fn read_limits(force: &InForce) -> ReadLimits {
-    let max = force.model.limits.max_body.get();
+fn read_limits(in_force: &InForce) -> ReadLimits {
+    let max = in_force.model.limits.max_body.get();
     ReadLimits {
         bytes: usize::try_from(max).unwrap_or(usize::MAX),
         ..ReadLimits::default()
@@ -298,8 +299,8 @@
     }
 }
 
-/// Returns the timestamp of a UUID of version 7, in milliseconds since 1970. None if `raw` is
-/// no such UUID, or the timestamp lies in the future.
+/// Returns the timestamp of a UUID of version 7, in milliseconds since 1970. None if
+/// `raw` is no such UUID, or the timestamp lies in the future.
 fn uuid_v7_time(raw: &str) -> Option<u64> {
     let hex: String = raw.chars().filter(|c| *c != '-').collect();
     let is_v7 = hex.len() == 32 && raw.len() == 36 && hex.as_bytes()[12] == b'7';
@@ -324,8 +325,8 @@
     short
 }
 
-/// Returns the headers to send to a plain service: all but the caller's API key and the headers
-/// that concern the caller's connection only.
+/// Returns the headers to send to a plain service: all but the caller's API key and the
+/// headers that concern the caller's connection only.
 fn headers_for_target(headers: &HeaderMap) -> HeaderMap {
     let mut headers = headers.clone();
     for name in [
--- a/crates/entryd/src/exchange.rs
+++ b/crates/entryd/src/exchange.rs
@@ -1,4 +1,5 @@
-//! The data of one request: the caller's body and the answer until its last piece is written.
+//! The data of one request: the caller's body and the answer until its last piece is
+//! written.
 //!
 //! The node decides what to do with each part of an answer and never sees the bytes. They
 //! wait here until the node's decision, an [`Output::Flow`](node::Output::Flow), arrives.
@@ -27,12 +28,12 @@
 
 use crate::state::State;
 
-/// Most pieces of an answer that wait for a slow caller. Beyond them, the attempt's connection
-/// isn't read any further.
+/// Most pieces of an answer that wait for a slow caller. Beyond them, the attempt's
+/// connection isn't read any further.
 const MAX_WAITING_PIECES: usize = 64;
 
-/// Time without an event after which a keep-alive comment is written to an event stream. A few
-/// of them fit into the shortest idle timeout of a reader.
+/// Time without an event after which a keep-alive comment is written to an event stream.
+/// A few of them fit into the shortest idle timeout of a reader.
 const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// A request as the caller sent it.
@@ -40,7 +41,8 @@
 pub(crate) enum CallerRequest {
     /// A chat completion.
     Chat {
-        /// Its JSON body; `model` and `priority` are replaced when it is sent to an engine.
+        /// Its JSON body; `model` and `priority` are replaced when it is sent to an
+        /// engine.
         body: Map<String, Value>,
         /// Whether the answer is to be streamed.
         stream: bool,
@@ -69,8 +71,8 @@
 pub(crate) struct Exchange {
     pub(crate) ticket: Ticket,
     pub(crate) request: CallerRequest,
-    /// The idempotency key as the caller wrote it. It is passed on to targets; the node gets
-    /// only its hash.
+    /// The idempotency key as the caller wrote it. It is passed on to targets; the node
+    /// gets only its hash.
     pub(crate) key: Option<String>,
     pub(crate) span: Span,
     /// A permit for each piece that may wait, see [`MAX_WAITING_PIECES`].
@@ -194,8 +196,8 @@
             Ending::Broken(failure) if self.streams() => {
                 inner.write(Write::Last(sse::error(&failure)));
             }
-            // Only an event stream can carry an error. Any other body is cut off, which the
-            // caller sees as an incomplete transfer.
+            // Only an event stream can carry an error. Any other body is cut off, which
+            // the caller sees as an incomplete transfer.
             Ending::Broken(_) => inner.pump = None,
         }
     }
@@ -210,8 +212,8 @@
 }
 
 impl Inner {
-    /// Holds a head or piece back. The piece's permit is released, as answers that are held
-    /// back have a size limit of their own.
+    /// Holds a head or piece back. The piece's permit is released, as answers that are
+    /// held back have a size limit of their own.
     fn hold(&mut self, item: Item) {
         match item {
             Item::Head(status, headers) => self.held_head = Some((status, headers)),
@@ -247,8 +249,8 @@
     }
 }
 
-/// Creates the body of an answer that is passed on. An event stream gets keep-alive comments
-/// between its events.
+/// Creates the body of an answer that is passed on. An event stream gets keep-alive
+/// comments between its events.
 fn open_body(headers: &HeaderMap) -> (Writer, Body) {
     let kind = headers.get(hyper::header::CONTENT_TYPE);
     if kind.is_some_and(|kind| kind.as_bytes().starts_with(b"text/event-stream")) {
@@ -287,7 +289,7 @@
                 writer.end().await.ok();
                 return;
             }
-            // The exchange was dropped before the end: the body is cut off.
+            // No end was written, so the body is cut off.
             None => return,
         };
         if result.is_err() {
--- a/crates/entryd/src/explain.rs
+++ b/crates/entryd/src/explain.rs
@@ -1,7 +1,7 @@
 //! `GET /v1/explain`: how requests for a service or adapter are routed, for operators.
 //!
-//! It is served on the peer listener, where operators are trusted: on the callers' listener
-//! one brand could query the services of another.
+//! It is served on the peer listener, where operators are trusted: on the callers'
+//! listener one brand could query the services of another.
 
 use std::sync::Arc;
 
--- a/crates/entryd/src/external.rs
+++ b/crates/entryd/src/external.rs
@@ -1,5 +1,5 @@
-//! HTTP requests to the platform, for its list of targets and instances, and to engines, for
-//! their reports and to load and unload adapters.
+//! HTTP requests to the platform, for its list of targets and instances, and to engines,
+//! for their reports and to load and unload adapters.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -17,8 +17,8 @@
 
 use crate::state::State;
 
-/// How often the platform's list is read. A target must be known to be leaving within three
-/// seconds after the list says so.
+/// How often the platform's list is read. A target must be known to be leaving within
+/// three seconds after the list says so.
 const LIST_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Time limit for reading a list or report.
@@ -91,7 +91,8 @@
     };
     let mut send = Send::new(address, Method::POST, path);
     send.body = body;
-    // The client must not retry an order: the second copy could arrive after a later order.
+    // The client must not retry an order: the second copy could arrive after a later
+    // order.
     send.mark = Mark::Once;
     send.limits = Limits {
         first: ORDER_TIMEOUT,
@@ -113,8 +114,8 @@
     }
 }
 
-/// Returns whether a load was refused because the adapter is already resident. Engines answer
-/// that with an error, although the adapter is loaded as ordered.
+/// Returns whether a load was refused because the adapter is already resident. Engines
+/// answer that with an error, although the adapter is loaded as ordered.
 async fn already_loaded(answer: Answer) -> bool {
     let body = answer.whole(MAX_READ_BYTES).await.unwrap_or_default();
     String::from_utf8_lossy(&body).contains(ALREADY_LOADED)
--- a/crates/entryd/src/hops.rs
+++ b/crates/entryd/src/hops.rs
@@ -29,8 +29,8 @@
 /// HTTP path of a forwarded request.
 pub(crate) const PATH: &str = "/quetzal/hop";
 
-/// Header of a marked request: one with an idempotency key, which may run at most once. The
-/// owner never cancels it.
+/// Header of a marked request: one with an idempotency key, which may run at most once.
+/// The owner never cancels it.
 const MARKED: &str = "x-quetzal-marked";
 
 /// Answers one request on the peer listener.
--- a/crates/entryd/src/prompt.rs
+++ b/crates/entryd/src/prompt.rs
@@ -4,8 +4,8 @@
 use serde::Deserialize;
 use serde_json::{Map, Value};
 
-/// Bytes at the beginning of the prompt that the hash for prefix caches covers: requests to
-/// one assistant share the beginning of their prompts.
+/// Bytes at the beginning of the prompt that the hash for prefix caches covers: requests
+/// to one assistant share the beginning of their prompts.
 const PREFIX_BYTES: usize = 1_024;
 
 /// Assumed limit of tokens in the answer if the request sets none.
--- a/crates/entryd/src/saved.rs
+++ b/crates/entryd/src/saved.rs
@@ -1,7 +1,7 @@
 //! Copy of the text that was last in force, stored in the data folder if there is one.
 //!
 //! An instance that starts while its availability zone is cut off from the control
-//! instances serves by this copy. The copy is only a cache: a file that is missing or
+//! instances uses this copy. The copy is only a cache: a file that is missing or
 //! can't be parsed is ignored.
 
 use std::{
--- a/crates/entryd/src/shell.rs
+++ b/crates/entryd/src/shell.rs
@@ -28,20 +28,20 @@
 /// Most inputs handled before timers are checked again.
 const MAX_BURST: usize = 256;
 
-/// Most open connections of each listener; beyond them the one that has been idle longest is
-/// closed.
+/// Most open connections of each listener; beyond them the one that has been idle longest
+/// is closed.
 const MAX_CONNECTIONS: usize = 4_096;
 
-/// How long requests in progress may still run in a planned stop. Overnight batch requests run
-/// for hours, but they are resumed through another instance.
+/// How long requests in progress may still run in a planned stop. Overnight batch
+/// requests run for hours, but they are resumed through another instance.
 const DRAIN_TIMEOUT: Duration = Duration::from_secs(600);
 
 /// Serves requests until a planned stop has completed.
 ///
 /// # Errors
 ///
-/// Fails if the signal handlers can't be installed, the wall clock is set before 1970 or the
-/// callers' listener fails.
+/// Fails if the signal handlers can't be installed, the wall clock is set before 1970 or
+/// the callers' listener fails.
 pub(crate) async fn serve(settings: EntrySettings, listeners: Listeners) -> Result<()> {
     let clock = Clock::start();
     let (inputs, queue) = mpsc::unbounded_channel();
@@ -174,8 +174,8 @@
         self.carry_out(outputs, step)
     }
 
-    /// Carries out the node's outputs; returns whether the daemon may exit. `step` names the
-    /// answer's head or piece that the input was about.
+    /// Carries out the node's outputs; returns whether the daemon may exit. `step` names
+    /// the answer's head or piece that the input was about.
     fn carry_out(&mut self, outputs: &mut Vec<Output>, step: Option<(base::Ticket, u64)>) -> bool {
         let exchange = step.and_then(|(ticket, _)| self.state.exchange(ticket));
         let mut ended = false;
@@ -238,12 +238,12 @@
                     saved::write(data.clone(), version, raw);
                 }
                 let keys = Keys::from(&*model);
-                let force = InForce {
+                let in_force = InForce {
                     version,
                     model,
                     keys,
                 };
-                self.text_sender.send_replace(Arc::new(force));
+                self.text_sender.send_replace(Arc::new(in_force));
             }
             Output::Ready(ready) => state.ready.store(ready, Ordering::Relaxed),
             Output::Drained => {}
--- a/crates/peer/src/link.rs
+++ b/crates/peer/src/link.rs
@@ -15,13 +15,13 @@
 
 use crate::rpc::{CallerClient, PATH, PROTOCOL, transport};
 
-/// Time limit for one attempt to connect: long enough for two round trips between regions and
-/// a peer that is busy starting. All calls on the link wait for the attempt.
+/// Time limit for one attempt to connect: long enough for two round trips between regions
+/// and a peer that is busy starting. All calls on the link wait for the attempt.
 ///
-/// A machine without power drops the first packet (SYN) of a connection, and the kernel sends
-/// it again only after one second. With a longer limit, the instance that restarts first after
-/// a common loss of power is still waiting for that when the others are up, which left the
-/// replicated log without a leader for another half second.
+/// A machine without power drops the first packet (SYN) of a connection, and the kernel
+/// sends it again only after one second. With a longer limit, the instance that restarts
+/// first after a common loss of power is still waiting for that when the others are up,
+/// which left the replicated log without a leader for another half second.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// Why a call got no reply.
@@ -91,12 +91,13 @@
         &self.inner.address
     }
 
-    /// Makes one call and waits at most `limit` for the reply, including the time to connect.
+    /// Makes one call and waits at most `limit` for the reply, including the time to
+    /// connect.
     ///
     /// # Errors
     ///
-    /// Fails if no reply arrives in time; [`CallError::verdict`] tells whether the call may have
-    /// been carried out.
+    /// Fails if no reply arrives in time; [`CallError::verdict`] tells whether the call
+    /// may have been carried out.
     pub async fn call(&self, call: Call, limit: Duration) -> Result<Reply, CallError> {
         let deadline = Instant::now() + limit;
         let (serial, client) = match tokio::time::timeout(limit, self.client()).await {
@@ -113,12 +114,13 @@
         }
     }
 
-    /// Drops the connection `serial` after a call on it failed, and returns the call's error.
+    /// Drops the connection `serial` after a call on it failed, and returns the call's
+    /// error.
     ///
-    /// A middlebox between the two processes may have dropped the state of the connection:
-    /// every call on it would then time out, while a new connection works. A connection on
-    /// which one call timed out is therefore not used again. A newer connection that another
-    /// call has made meanwhile stays in use.
+    /// A middlebox between the two processes may have dropped the state of the
+    /// connection: every call on it would then time out, while a new connection works. A
+    /// connection on which one call timed out is therefore not used again. A newer
+    /// connection that another call has made meanwhile stays in use.
     async fn fail(&self, serial: u64, err: RpcError) -> CallError {
         let mut slot = self.inner.slot.lock().await;
         if slot.serial == serial {
--- a/crates/peer/src/rpc.rs
+++ b/crates/peer/src/rpc.rs
@@ -14,7 +14,8 @@
 /// HTTP path of the upgrade request.
 pub const PATH: &str = "/quetzal/call";
 
-/// Largest call or reply, in bytes: a configuration text of 48,000 adapters fits with a margin.
+/// Largest call or reply, in bytes: a configuration text of 48,000 adapters fits with a
+/// margin.
 pub const MAX_CALL_BYTES: usize = 32 << 20;
 
 #[tarpc::service]
@@ -26,7 +27,8 @@
 type Wire<Item, SinkItem> =
     Transport<TokioIo<Upgraded>, Item, SinkItem, MessagePack<Item, SinkItem>>;
 
-/// Returns a transport that sends `SinkItem` and receives `Item` on an upgraded connection.
+/// Returns a transport that sends `SinkItem` and receives `Item` on an upgraded
+/// connection.
 pub(crate) fn transport<Item, SinkItem>(io: Upgraded) -> Wire<Item, SinkItem>
 where
     Item: for<'de> serde::Deserialize<'de>,
--- a/crates/peer/src/server.rs
+++ b/crates/peer/src/server.rs
@@ -12,7 +12,8 @@
 
 use crate::rpc::{Caller, PATH, PROTOCOL, transport};
 
-/// Most calls of one connection that run at once. Further calls wait, on this connection only.
+/// Most calls of one connection that run at once. Further calls wait, on this connection
+/// only.
 const MAX_CONCURRENT_CALLS: usize = 256;
 
 /// Returns whether `req` asks for the upgrade that [`accept`] performs.
@@ -22,8 +23,8 @@
     req.uri().path() == PATH && protocol.is_some_and(|value| value == PROTOCOL)
 }
 
-/// Answers `req` with the upgrade and serves the connection's calls in the background until the
-/// peer closes it. `handler` gets the calling instance and the call.
+/// Answers `req` with the upgrade and serves the connection's calls in the background
+/// until the peer closes it. `handler` gets the calling instance and the call.
 pub fn accept<F, Fut>(req: Request<Incoming>, handler: F) -> Response<Empty<Bytes>>
 where
     F: Fn(InstanceName, Call) -> Fut + Send + Sync + 'static,
--- a/crates/peer/tests/calls.rs
+++ b/crates/peer/tests/calls.rs
@@ -1,5 +1,5 @@
-//! RPC calls over an upgraded connection, including connections that stop carrying data without
-//! being closed.
+//! RPC calls over an upgraded connection, including connections that stop carrying data
+//! without being closed.
 
 use std::{
     convert::Infallible,
@@ -54,8 +54,8 @@
     address
 }
 
-/// Starts a TCP proxy to `to`. While `silent` is set, the first connection through it carries
-/// no data but stays open. `accepted` counts the connections.
+/// Starts a TCP proxy to `to`. While `silent` is set, the first connection through it
+/// carries no data but stays open. `accepted` counts the connections.
 async fn start_proxy(to: String, silent: Arc<AtomicBool>, accepted: Arc<AtomicUsize>) -> String {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap().to_string();
@@ -129,9 +129,9 @@
     assert_that!(err.verdict(), eq(Verdict::NotRun));
 }
 
-/// Guards against a link that keeps a dead connection: after a restart, a firewall drops all
-/// packets of an open connection without closing it. Every heartbeat to the peer would then
-/// time out, although the peer is healthy.
+/// Guards against a link that keeps a dead connection: after a restart, a firewall drops
+/// all packets of an open connection without closing it. Every heartbeat to the peer
+/// would then time out, although the peer is healthy.
 #[tokio::test]
 async fn a_silent_connection_is_replaced() {
     let silent = Arc::new(AtomicBool::new(false));
@@ -153,9 +153,10 @@
     assert_that!(accepted.load(Ordering::SeqCst), eq(2));
 }
 
-/// Guards against a hanging attempt to connect that delays all calls of a link: after a common
-/// loss of power, one process restarts before the machines of the others, and its first attempt
-/// to connect gets no answer. When the others are up, calls must not wait for that attempt.
+/// Guards against a hanging attempt to connect that delays all calls of a link: after a
+/// common loss of power, one process restarts before the machines of the others, and its
+/// first attempt to connect gets no answer. When the others are up, calls must not wait
+/// for that attempt.
 #[tokio::test]
 async fn a_hanging_connection_attempt_delays_calls_only_briefly() {
     let silent = Arc::new(AtomicBool::new(true));
