--- a/crates/disk/benches/restart.rs
+++ b/crates/disk/benches/restart.rs
@@ -1,5 +1,5 @@
-//! How long a control instance takes from opening its folder to a replica
-//! that may take its first input, by the number of changes.
+//! Measures the time from opening a control instance's data folder to a replica that can
+//! take its first input, by the number of changes in the log.
 
 use std::{fs, hint::black_box, path::Path, sync::mpsc::channel};
 
@@ -11,7 +11,7 @@
     Term, WriteNo,
 };
 
-/// A change of configuration: a few lines of the operators' text.
+/// Size of a configuration change: a few lines of the operators' text.
 const CHANGE_BYTES: usize = 1_024;
 
 fn entry(index: u64) -> Record {
@@ -24,7 +24,7 @@
     })
 }
 
-/// Writes `changes` entries, each with a sync of its own.
+/// Writes `changes` entries, each with its own sync.
 fn fill(dir: &Path, instance: &InstanceName, changes: u64) {
     let _ = fs::remove_dir_all(dir);
     let folder = open(dir, instance, Incarnation(1)).expect("opens").folder;
--- a/crates/disk/src/calls.rs
+++ b/crates/disk/src/calls.rs
@@ -1,4 +1,4 @@
-//! The two calls of the system that may fail in ways worth testing.
+//! The two system calls that tests replace by failing ones.
 
 use std::{
     fmt,
@@ -9,11 +9,11 @@
 type WriteCall = Box<dyn FnMut(&mut File, &[u8]) -> io::Result<()> + Send>;
 type SyncCall = Box<dyn FnMut(&File) -> io::Result<()> + Send>;
 
-/// How bytes are written and made durable; a test hands in failing ones.
+/// How bytes are written and made durable; tests replace these to inject failures.
 pub struct Calls {
-    /// Writes all bytes at the file's end.
+    /// Writes all bytes at the file's current position.
     pub write: WriteCall,
-    /// Makes all that was written durable.
+    /// Syncs the file, so that everything written to it is durable.
     pub sync: SyncCall,
 }
 
--- a/crates/disk/src/folder.rs
+++ b/crates/disk/src/folder.rs
@@ -1,4 +1,4 @@
-//! An open data folder: appends to the log and replaces it with a snapshot.
+//! An open data folder: appends to the log, and replaces log and snapshot together.
 
 use std::{
     fs::{self, File, OpenOptions},
@@ -13,17 +13,17 @@
 
 use crate::Calls;
 
-/// Space kept for the time when the disk is full: room for thousands of votes
-/// and the entries that begin a term.
+/// Size of the reserve file, which is deleted when the disk is full: room for thousands
+/// of votes and for the entries that begin a term.
 const RESERVE_BYTES: usize = 256 << 10;
 
 /// Why a write didn't become durable.
 #[derive(Debug, Error)]
 pub(crate) enum WriteError {
-    /// No space; nothing was written, and it may be tried again.
+    /// The disk is full; nothing was written, and the write may be retried.
     #[error("the disk is full")]
     Full,
-    /// Nobody knows what is on disk now.
+    /// The write failed in a way that leaves the content on disk unknown.
     #[error("{0}")]
     Failed(#[from] io::Error),
 }
@@ -32,7 +32,7 @@
 #[derive(Debug)]
 pub struct Folder {
     pub(crate) dir: PathBuf,
-    /// Held open and not used: the lock ends with it.
+    /// Held open only for the lock, which is released when the file is closed.
     pub(crate) _lock: File,
     pub(crate) id: ReplicaId,
     pub(crate) log: File,
@@ -45,13 +45,13 @@
 }
 
 impl Folder {
-    /// Returns whose folder it is.
+    /// Returns the replica that owns the folder.
     #[must_use]
     pub fn id(&self) -> &ReplicaId {
         &self.id
     }
 
-    /// Replaces the calls of the system, for tests.
+    /// Replaces the system calls, for tests.
     #[must_use]
     pub fn with_calls(self, calls: Calls) -> Self {
         Folder { calls, ..self }
@@ -61,7 +61,7 @@
     pub(crate) fn append(&mut self, records: &[Record]) -> Result<(), WriteError> {
         let frame = encode_frame(self.next, records);
         if let Err(err) = (self.calls.write)(&mut self.log, &frame) {
-            self.undo(&err)?;
+            self.undo_write(&err)?;
             return Err(WriteError::Full);
         }
         (self.calls.sync)(&self.log)?;
@@ -70,8 +70,8 @@
         Ok(())
     }
 
-    /// Replaces log and snapshot. A crash at any moment leaves either the old
-    /// pair or the new one: the new log counts from its rename on.
+    /// Replaces log and snapshot atomically: a crash at any time leaves either the old
+    /// pair or the new one. The new pair takes effect with the rename of the new log.
     pub(crate) fn replace(
         &mut self,
         snapshot: &Snapshot,
@@ -79,39 +79,39 @@
     ) -> Result<(), WriteError> {
         let generation = self.generation + 1;
         let raw = encode_next_log(&self.id, snapshot.at, records);
-        self.put(
+        self.write_atomically(
             &snapshot_path(&self.dir, generation),
             &encode_snapshot(snapshot),
         )?;
-        let log = self.put(&log_path(&self.dir, generation), &raw)?;
+        let log = self.write_atomically(&log_path(&self.dir, generation), &raw)?;
         let old = std::mem::replace(&mut self.generation, generation);
         self.log = log;
         self.len = raw.len() as u64;
         self.next = 2;
-        // A leftover only takes space; the next start ignores it.
+        // A file that isn't removed only takes space: the next start ignores it.
         let _ = fs::remove_file(log_path(&self.dir, old));
         let _ = fs::remove_file(snapshot_path(&self.dir, old));
         Ok(())
     }
 
-    /// Gives the reserve back to the disk.
-    pub(crate) fn use_reserve(&self) {
+    /// Deletes the reserve file to free its space.
+    pub(crate) fn delete_reserve(&self) {
         let _ = fs::remove_file(reserve_path(&self.dir));
     }
 
-    /// Takes the reserve again if there is space for it.
-    pub(crate) fn keep_reserve(&self) -> bool {
-        keep_reserve(&self.dir).is_ok()
+    /// Recreates the reserve file; returns whether there was space for it.
+    pub(crate) fn create_reserve(&self) -> bool {
+        create_reserve(&self.dir).is_ok()
     }
 
-    /// Writes a file under a temporary name, syncs it, renames it and syncs
-    /// the folder, so that it is there as a whole or not at all.
-    fn put(&mut self, path: &Path, raw: &[u8]) -> Result<File, WriteError> {
+    /// Writes a file under a temporary name, syncs it, renames it and syncs the folder,
+    /// so that the file appears either in full or not at all.
+    fn write_atomically(&mut self, path: &Path, raw: &[u8]) -> Result<File, WriteError> {
         let temp = path.with_added_extension("tmp");
-        let mut file = create(&temp).map_err(full_or)?;
+        let mut file = create(&temp).map_err(to_write_error)?;
         if let Err(err) = (self.calls.write)(&mut file, raw) {
             let _ = fs::remove_file(&temp);
-            return Err(full_or(err));
+            return Err(to_write_error(err));
         }
         (self.calls.sync)(&file)?;
         fs::rename(&temp, path)?;
@@ -119,11 +119,11 @@
         Ok(file)
     }
 
-    /// Takes back a write that found no space, so that it may be tried again.
+    /// Undoes a write that failed because the disk is full, so that it may be retried.
     ///
-    /// That is safe because nothing was synced: unlike after a failed sync,
-    /// the kernel has reported the failure for exactly these bytes.
-    fn undo(&mut self, err: &io::Error) -> Result<(), WriteError> {
+    /// This is safe because no sync was attempted: unlike a failed sync, the error
+    /// concerns exactly these bytes.
+    fn undo_write(&mut self, err: &io::Error) -> Result<(), WriteError> {
         if !is_full(err) {
             return Err(io::Error::new(err.kind(), err.to_string()).into());
         }
@@ -145,7 +145,7 @@
     dir.join("reserve")
 }
 
-/// Makes a new log with no snapshot and no records.
+/// Creates a log file without snapshot or records.
 pub(crate) fn new_log(dir: &Path, id: &ReplicaId) -> io::Result<(File, u64)> {
     let raw = encode_first_log(id);
     let path = log_path(dir, 1);
@@ -162,8 +162,9 @@
     File::open(dir)?.sync_all()
 }
 
-/// Fills the reserve with real bytes; a sparse file would reserve nothing.
-pub(crate) fn keep_reserve(dir: &Path) -> io::Result<()> {
+/// Creates the reserve file unless it exists. Its bytes are written out, as a sparse file
+/// would reserve no space.
+pub(crate) fn create_reserve(dir: &Path) -> io::Result<()> {
     let path = reserve_path(dir);
     if path.exists() {
         return Ok(());
@@ -190,7 +191,7 @@
     )
 }
 
-fn full_or(err: io::Error) -> WriteError {
+fn to_write_error(err: io::Error) -> WriteError {
     if is_full(&err) {
         return WriteError::Full;
     }
--- a/crates/disk/src/lib.rs
+++ b/crates/disk/src/lib.rs
@@ -3,13 +3,13 @@
 //! | file | content |
 //! | --- | --- |
 //! | `lock` | locked while a process uses the folder |
-//! | `log.N` | identity of the replica, then its records; `N` grows by each snapshot |
+//! | `log.N` | identity of the replica, then its records; `N` increases with each snapshot |
 //! | `snapshot.N` | the snapshot that `log.N` continues, if it does |
-//! | `reserve` | space that lets a full disk still take votes |
-//! | `damaged.L` | files that were moved aside when life `L` began |
+//! | `reserve` | reserved space, deleted so that votes can still be written to a full disk |
+//! | `damaged.L` | corrupt files, moved aside when incarnation `L` started |
 //!
-//! A folder is opened once at the start ([`open()`]); from then on a thread
-//! writes to it ([`Writer`]) and reports what is durable.
+//! A folder is opened once at startup ([`open()`]). From then on a thread writes to it
+//! ([`Writer`]) and reports which writes are durable.
 
 mod calls;
 mod folder;
--- a/crates/disk/src/open.rs
+++ b/crates/disk/src/open.rs
@@ -1,4 +1,4 @@
-//! Opening a data folder: what is there, and whether it may be trusted.
+//! Opens a data folder and decides whether its content may be used.
 
 use std::{
     fs::{self, File, OpenOptions},
@@ -12,52 +12,52 @@
 
 use crate::{
     Calls, Folder,
-    folder::{keep_reserve, log_path, new_log, snapshot_path, sync_dir},
+    folder::{create_reserve, log_path, new_log, snapshot_path, sync_dir},
 };
 
-/// What became of a folder's content.
+/// What was found in a data folder and done about it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Fate {
-    /// There was none; the replica is new.
+    /// The folder was empty; the replica is new.
     New,
-    /// It is whole.
+    /// The content is intact.
     Whole,
-    /// A write that a crash interrupted was cut off.
+    /// A torn write at the end of the log was truncated.
     CutOff {
-        /// The length of what was cut off, in bytes.
+        /// The number of bytes truncated.
         bytes: u64,
     },
-    /// It was damaged or another instance's, and moved aside; the replica is
-    /// new.
+    /// The content was corrupt or belonged to another instance and was moved aside; the
+    /// replica is new.
     Replaced {
-        /// What is wrong with it.
+        /// Why the content was rejected.
         reason: String,
-        /// Where it is now.
+        /// The folder that the files were moved to.
         kept: PathBuf,
     },
 }
 
-/// An opened folder and what it holds.
+/// An opened data folder and its content.
 #[derive(Debug)]
 pub struct Opened {
     /// The folder, ready for writing.
     pub folder: Folder,
-    /// What the replica starts from.
+    /// The state that the replica starts from.
     pub restored: Restored,
-    /// What became of the content.
+    /// What was found in the folder.
     pub fate: Fate,
 }
 
-/// Opens the data folder of `instance`, or makes one. A new replica lives as
-/// `life`, which has to be greater than any earlier one; microseconds of the
-/// wall clock will do.
+/// Opens the data folder of `instance`, or creates it. A new replica gets the incarnation
+/// `incarnation`, which must be greater than all earlier ones; microseconds of the wall
+/// clock are suitable.
 ///
 /// # Errors
 ///
-/// Fails when another process uses the folder, when it was written by another
-/// release, or when the disk refuses.
+/// Fails when another process uses the folder, when the folder was written by another
+/// release, or on an I/O error.
 pub fn open(dir: &Path, instance: &InstanceName, life: Incarnation) -> Result<Opened> {
-    fs::create_dir_all(dir).with_context(|| format!("can't make {}", dir.display()))?;
+    fs::create_dir_all(dir).with_context(|| format!("can't create {}", dir.display()))?;
     let lock = take_lock(dir)?;
     let generations = generations(dir)?;
     let Some(&generation) = generations.last() else {
@@ -68,7 +68,7 @@
     if found.tail == Tail::OtherFormat {
         bail!("the data folder was written by another release");
     }
-    match trust(dir, generation, instance, &found) {
+    match check_content(dir, generation, instance, &found) {
         Ok((header, restored)) => {
             let cut = raw.len() as u64 - found.len;
             let log = reopen(&log_path(dir, generation), found.len)?;
@@ -90,10 +90,9 @@
             finish(folder, restored, fate)
         }
         Err(reason) => {
-            // Votes and acknowledgements are lost with the records. A replica
-            // that went on under its old identity could vote twice in a term,
-            // or make a majority with an instance that lacks what it had
-            // acknowledged.
+            // Votes and acknowledgements are lost with the records. A replica that
+            // continued under its old identity could vote twice in a term, or form a
+            // majority with an instance that lacks the entries it had acknowledged.
             base::hit!(never_trust_damage);
             let kept = move_aside(dir, life)?;
             let old = found.header.map_or(Incarnation(0), |header| header.id.life);
@@ -106,7 +105,7 @@
 
 /// Locks the folder for as long as the file is open.
 ///
-/// Two processes on one folder would vote under one identity.
+/// Two processes that share a folder would vote under the same identity.
 fn take_lock(dir: &Path) -> Result<File> {
     let path = dir.join("lock");
     let mut options = OpenOptions::new();
@@ -119,7 +118,7 @@
     Ok(file)
 }
 
-/// Returns the numbers of the log files, in order.
+/// Returns the generation numbers of the log files, in ascending order.
 fn generations(dir: &Path) -> Result<Vec<u64>> {
     let mut found = Vec::new();
     for entry in fs::read_dir(dir).context("can't list the data folder")? {
@@ -134,16 +133,16 @@
     Ok(found)
 }
 
-/// Returns what the replica may start from, or why it may not.
-fn trust(
+/// Returns the state that the replica may start from, or why the content can't be used.
+fn check_content(
     dir: &Path,
     generation: u64,
     instance: &InstanceName,
     found: &Recovered,
 ) -> Result<(Header, Restored), String> {
-    let header = found.header.clone().ok_or("the log's head is damaged")?;
+    let header = found.header.clone().ok_or("the log's header is corrupt")?;
     if found.tail == Tail::Damaged {
-        return Err("the log is damaged before its end".to_owned());
+        return Err("the log is corrupt before its last frame".to_owned());
     }
     if header.id.instance != *instance {
         return Err(format!("the folder belongs to {}", header.id.instance));
@@ -152,14 +151,14 @@
         Some(at) => {
             let snapshot = read_snapshot(dir, generation)?;
             if snapshot.at != at {
-                return Err("log and snapshot don't fit".to_owned());
+                return Err("the snapshot is not the one that the log continues".to_owned());
             }
             Some(snapshot)
         }
         None => None,
     };
     let restored = Restored::replay(base, found.records.clone());
-    let restored = restored.ok_or("records of the log contradict each other")?;
+    let restored = restored.ok_or("the records of the log are inconsistent")?;
     Ok((header, restored))
 }
 
@@ -169,8 +168,8 @@
     recover_snapshot(&raw).map_err(|err| err.to_string())
 }
 
-/// Opens the log for appending after its readable part; what follows that is
-/// cut off for good before anything new is written.
+/// Opens the log for appending after its readable part; anything after that part is
+/// truncated durably before new records are written.
 fn reopen(path: &Path, len: u64) -> Result<File> {
     let mut log = OpenOptions::new().read(true).write(true).open(path)?;
     log.set_len(len)?;
@@ -190,7 +189,7 @@
         instance: instance.clone(),
         life,
     };
-    let (log, len) = new_log(dir, &id).context("can't make the log")?;
+    let (log, len) = new_log(dir, &id).context("can't create the log file")?;
     let folder = Folder {
         dir: dir.to_owned(),
         _lock: lock,
@@ -205,9 +204,8 @@
 }
 
 fn finish(folder: Folder, restored: Restored, fate: Fate) -> Result<Opened> {
-    // Without a reserve the replica still works; it only can't vote once the
-    // disk is full.
-    let _ = keep_reserve(&folder.dir);
+    // Without a reserve the replica still works, but it can't vote once the disk is full.
+    let _ = create_reserve(&folder.dir);
     Ok(Opened {
         folder,
         restored,
@@ -215,7 +213,7 @@
     })
 }
 
-/// Moves all files but the lock into a folder of their own.
+/// Moves all files except lock and reserve into a subfolder.
 fn move_aside(dir: &Path, life: Incarnation) -> Result<PathBuf> {
     let aside = dir.join(format!("damaged.{life}"));
     fs::create_dir_all(&aside)?;
--- a/crates/disk/src/writer.rs
+++ b/crates/disk/src/writer.rs
@@ -15,13 +15,13 @@
 
 use crate::{Folder, folder::WriteError};
 
-/// How long a write waits for space before it is tried again.
+/// Delay before a write is retried when the disk is full.
 const FULL_PAUSE: Duration = Duration::from_millis(500);
 
-/// How long the thread sleeps without work; it only has to be finite.
+/// Longest sleep without work; any finite value will do, as a job wakes the thread.
 const IDLE_PAUSE: Duration = Duration::from_secs(3_600);
 
-/// What a write came to.
+/// The result of a write, or a change of the free space.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Done {
     /// All writes up to this one are durable.
@@ -34,7 +34,7 @@
         /// The write.
         no: WriteNo,
     },
-    /// The disk is full, or has space again.
+    /// The disk has run full, or has space again.
     Space {
         /// Whether it is full.
         full: bool,
@@ -46,7 +46,7 @@
     Replace(Snapshot, Vec<Record>),
 }
 
-/// Hands writes to the thread; the thread ends when it is dropped.
+/// Passes writes to the thread; dropping it ends the thread.
 #[derive(Debug)]
 pub struct Writer {
     jobs: Option<Sender<(WriteNo, Job)>>,
@@ -74,11 +74,11 @@
         Ok(Writer {
             stop,
             jobs: Some(jobs),
-            thread: Some(thread.context("can't start the disk's thread")?),
+            thread: Some(thread.context("can't start the thread that writes to disk")?),
         })
     }
 
-    /// Takes an output of a replica if it is a write; gives it back otherwise.
+    /// Queues `output` if it is a write; returns it otherwise.
     #[must_use]
     pub fn take(&self, output: Output) -> Option<Output> {
         let (no, job) = match output {
@@ -91,7 +91,7 @@
             other => return Some(other),
         };
         if let Some(jobs) = &self.jobs {
-            // After a failed write nobody listens any more, as it should be.
+            // After a failed write the thread has ended, and further writes are dropped.
             let _ = jobs.send((no, job));
         }
         None
@@ -111,7 +111,7 @@
 struct Worker<R> {
     folder: Folder,
     report: R,
-    /// Whether the disk was full at the last try.
+    /// Whether the disk was full at the last attempt.
     full: bool,
     stop: Arc<AtomicBool>,
 }
@@ -122,7 +122,7 @@
             let first = match queue.recv_timeout(self.pause()) {
                 Ok(first) => first,
                 Err(RecvTimeoutError::Timeout) => {
-                    self.look_for_space();
+                    self.check_space();
                     continue;
                 }
                 Err(RecvTimeoutError::Disconnected) => return,
@@ -130,21 +130,21 @@
             let mut batch = vec![first];
             batch.extend(queue.try_iter());
             for (no, job) in merge(batch) {
-                if !self.carry_out(no, &job) {
+                if !self.execute(no, &job) {
                     return;
                 }
             }
         }
     }
 
-    /// How long to wait for work before looking for space again.
+    /// Returns how long to wait for work before checking for space.
     fn pause(&self) -> Duration {
         if self.full { FULL_PAUSE } else { IDLE_PAUSE }
     }
 
-    /// Carries out a write, waiting for space if there is none; returns
-    /// whether the thread may go on.
-    fn carry_out(&mut self, no: WriteNo, job: &Job) -> bool {
+    /// Executes a write, waiting for space if the disk is full; returns whether the
+    /// thread may continue.
+    fn execute(&mut self, no: WriteNo, job: &Job) -> bool {
         loop {
             let result = match job {
                 Job::Append(records) => self.folder.append(records),
@@ -153,13 +153,13 @@
             match result {
                 Ok(()) => {
                     (self.report)(Done::Synced { upto: no });
-                    self.look_for_space();
+                    self.check_space();
                     return true;
                 }
                 Err(WriteError::Failed(_)) => {
-                    // Whether anything of it is on disk is unknown, and a
-                    // second sync could succeed without it. So this is the
-                    // last word.
+                    // Whether any of the data is on disk is unknown, and a second sync
+                    // could succeed without it. So the failure is final and isn't
+                    // retried.
                     base::hit!(failed_sync_is_final);
                     (self.report)(Done::Failed { no });
                     return false;
@@ -170,22 +170,22 @@
                     self.full = true;
                     base::hit!(full_disk_waits);
                     (self.report)(Done::Space { full: true });
-                    self.folder.use_reserve();
+                    self.folder.delete_reserve();
                 }
             }
         }
     }
 
-    /// Reports that the disk has space again once the reserve fits.
-    fn look_for_space(&mut self) {
-        if self.full && self.folder.keep_reserve() {
+    /// Reports that the disk has space again once the reserve file could be recreated.
+    fn check_space(&mut self) {
+        if self.full && self.folder.create_reserve() {
             self.full = false;
             (self.report)(Done::Space { full: false });
         }
     }
 }
 
-/// Joins appends that wait together, so that they share one sync.
+/// Merges consecutive queued appends, so that they share one sync.
 fn merge(batch: Vec<(WriteNo, Job)>) -> Vec<(WriteNo, Job)> {
     let mut merged: Vec<(WriteNo, Job)> = Vec::new();
     for (no, job) in batch {
--- a/crates/disk/tests/folder.rs
+++ b/crates/disk/tests/folder.rs
@@ -1,4 +1,4 @@
-//! Real files: what a start finds after crashes, damage and full disks.
+//! Opens and writes real files: restarts after crashes, corruption and full disks.
 
 use std::{
     fs,
@@ -19,10 +19,10 @@
     Blob, Entry, Index, Members, Output, Payload, Position, Record, Snapshot, Term, WriteNo,
 };
 
-/// The longest that a report is waited for.
+/// Longest wait for a report of the writer.
 const CEILING: Duration = Duration::from_secs(60);
 
-/// A folder that is removed with the test.
+/// A temporary folder, removed when dropped.
 struct Dir(PathBuf);
 
 impl Dir {
@@ -69,7 +69,7 @@
     Output::Write { no, records }
 }
 
-/// Founds the log and writes entries up to `last`, each with a sync of its own.
+/// Writes the initial membership and entries up to `last`, each with its own sync.
 fn fill(dir: &Path, life: u64, last: u64) {
     let (writer, reports) = writer(start(dir, life).folder);
     let found = Record::Found(Members::default());
@@ -90,8 +90,8 @@
     dir.join("log.1")
 }
 
-/// An operator restarts a control instance after more than a thousand changes.
-/// All of them are there, with and without a snapshot, under the old identity.
+/// A control instance restarts after more than a thousand changes. All of them are
+/// restored, with and without a snapshot, and its identity is unchanged.
 #[test]
 fn a_restart_finds_everything() {
     let dir = Dir::new("restart");
@@ -125,8 +125,8 @@
     assert_that!(log(&dir.0).exists(), eq(false));
 }
 
-/// Power fails in the middle of a write. The instance starts with all that it
-/// had acknowledged; the half record is cut off, and writing goes on after it.
+/// Power fails during a write. The replica restarts with everything it had acknowledged;
+/// the torn record is truncated, and writing continues after it.
 #[test]
 fn a_torn_record_is_cut_off() {
     base::covers!(torn_tail);
@@ -145,7 +145,7 @@
         term: Term(2),
         voted: None,
     };
-    // Shorter than what was torn: nothing of that may be left behind it.
+    // Shorter than the torn record, none of which may remain after it.
     assert_that!(writer.take(write(1, vec![vote])), none());
     wait(&reports, 1);
     drop(writer);
@@ -154,9 +154,9 @@
     assert_that!(opened.restored.term, eq(Term(2)));
 }
 
-/// A disk returns a wrong byte in an old record, or somebody copies another
-/// instance's folder. Votes and acknowledgements can't be trusted any more, so
-/// the instance comes back as a new replica and keeps the files for a look.
+/// A disk returns a wrong byte in an old record, or the folder of another instance is
+/// copied. Votes and acknowledgements can't be trusted, so the instance starts as a new
+/// replica and keeps the old files for inspection.
 #[test]
 fn damage_makes_a_new_replica() {
     base::covers!(never_trust_damage);
@@ -179,8 +179,8 @@
     assert_that!(opened.folder.id().instance, eq(&other));
 }
 
-/// Two processes are started on one folder by mistake. The second one says so
-/// and ends; otherwise both would vote under one identity.
+/// Two processes are started on one folder by mistake. The second one reports an error
+/// and exits; otherwise both would vote under the same identity.
 #[test]
 fn two_processes_never_share_a_folder() {
     base::covers!(folder_locked);
@@ -191,8 +191,8 @@
     assert_that!(start(&dir.0, 6).folder.id().life, eq(Incarnation(5)));
 }
 
-/// A sync fails, and the next one would succeed because the kernel has dropped
-/// the pages. The failure is reported once and nothing is written after it.
+/// A sync fails, and the next one would succeed because the kernel has dropped the dirty
+/// pages. The failure is reported once, and nothing is written after it.
 #[test]
 fn a_failed_sync_is_never_retried() {
     let dir = Dir::new("sync");
@@ -214,8 +214,8 @@
     assert_that!(syncs.load(Ordering::SeqCst), eq(1));
 }
 
-/// The disk fills up. The instance is told, so that it refuses proposals; the
-/// write waits, loses nothing, and is done once there is space again.
+/// The disk fills up. The replica is notified, so that it rejects proposals; the write
+/// waits without data loss and completes once there is space again.
 #[test]
 fn a_full_disk_waits() {
     let dir = Dir::new("full");
