--- a/crates/replog/src/blob.rs
+++ b/crates/replog/src/blob.rs
@@ -1,10 +1,10 @@
-//! Bytes that are shared instead of copied.
+//! Immutable bytes that are shared instead of copied.
 
 use std::{fmt, ops::Deref, sync::Arc};
 
 use serde::{Deserialize, Deserializer, Serialize, Serializer, de};
 
-/// Immutable bytes; a clone shares them.
+/// Immutable bytes with cheap clones.
 ///
 /// It serialises as one byte string, where a plain `Vec<u8>` would become a
 /// sequence of numbers of up to twice the length.
--- a/crates/replog/src/entry.rs
+++ b/crates/replog/src/entry.rs
@@ -1,4 +1,4 @@
-//! What the log holds: entries, the members that vote on them, snapshots.
+//! Contents of the log: entries, membership and snapshots.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,61 +9,62 @@
 base::record! {
     /// One entry of the log.
     pub struct Entry {
-        /// Where it stands, and in which term it was proposed.
+        /// The entry's index and the term in which it was proposed.
         pub at: Position,
-        /// What it says.
+        /// What the entry carries.
         pub payload: Payload,
     }
 
-    /// The meaning of an entry.
+    /// The content of an entry.
     pub enum Payload {
-        /// Says nothing; a new leader commits one to learn what is committed.
+        /// An empty entry. A new leader commits one to establish the commit index.
         Noop,
-        /// A command of the state machine, opaque here.
+        /// A command of the state machine, opaque to the log.
         Command(Blob),
-        /// The replicas from here on, in force as soon as it is in the log.
+        /// The new membership, in force as soon as the entry is in the log.
         Members(Members),
     }
 
-    /// The replicas of the log.
+    /// The membership of the log.
     #[derive(Default)]
     pub struct Members {
-        /// Replicas that elect and acknowledge.
+        /// Voters: replicas that vote in elections and count towards a quorum.
         pub voters: BTreeSet<ReplicaId>,
-        /// Replicas that only receive, until they have caught up.
+        /// Learners: replicas that receive the log but don't vote until they have caught
+        /// up.
         pub learners: BTreeSet<ReplicaId>,
-        /// The newest life of each instance that was ever a member, so that
-        /// no removed life comes back by a late message.
+        /// The newest incarnation of each instance that was ever a member, so that a
+        /// delayed message can't bring back a removed incarnation.
         pub lives: BTreeMap<InstanceName, Incarnation>,
     }
 
-    /// The state machine's state after one entry, with what the log needs to
-    /// go on from there.
+    /// The state machine's state after one entry, with the log metadata needed to
+    /// continue from there.
     pub struct Snapshot {
         /// The last entry that it covers.
         pub at: Position,
         /// The replicas as of that entry.
         pub members: Members,
-        /// The state, opaque here.
+        /// The state, opaque to the log.
         pub data: Blob,
     }
 }
 
 base::value! {
-    /// A place in the log together with the term of the entry there.
+    /// An index in the log together with the term of its entry.
     ///
-    /// The order is that of Raft's comparison of logs: first by term.
+    /// Positions are ordered as Raft compares logs: by term, then by index.
     #[derive(Default)]
     pub struct Position {
         /// The term in which the entry was proposed.
         pub term: Term,
-        /// The place.
+        /// The index of the entry.
         pub index: Index,
     }
 }
 
 impl Members {
-    /// Tells whether `id` receives the log.
+    /// Returns whether `id` is a voter or a learner.
     #[must_use]
     pub fn contains(&self, id: &ReplicaId) -> bool {
         self.voters.contains(id) || self.learners.contains(id)
@@ -74,19 +75,19 @@
         self.voters.iter().chain(&self.learners)
     }
 
-    /// Returns how many voters make a majority.
+    /// Returns the quorum size: the number of voters that make a majority.
     #[must_use]
     pub fn majority(&self) -> usize {
         self.voters.len() / 2 + 1
     }
 
-    /// Returns the present life of an instance's replica.
+    /// Returns the member that is an incarnation of `instance`.
     #[must_use]
     pub fn life_of(&self, instance: &InstanceName) -> Option<&ReplicaId> {
         self.all().find(|id| id.instance == *instance)
     }
 
-    /// Returns the members without any life of `instance`.
+    /// Returns the members without `instance`, whatever its incarnation.
     #[must_use]
     pub fn without(&self, instance: &InstanceName) -> Members {
         let keep = |ids: &BTreeSet<ReplicaId>| {
@@ -100,7 +101,7 @@
         }
     }
 
-    /// Makes the founding members: all of them voters.
+    /// Returns the initial membership, in which every replica is a voter.
     #[must_use]
     pub fn founding(ids: impl IntoIterator<Item = ReplicaId>) -> Members {
         let voters: BTreeSet<_> = ids.into_iter().collect();
@@ -112,8 +113,8 @@
         }
     }
 
-    /// Returns the members with `id` as a learner in place of any older life
-    /// of its instance.
+    /// Returns the members with `id` as a learner in place of any older incarnation of
+    /// its instance.
     #[must_use]
     pub fn with_learner(&self, id: ReplicaId) -> Members {
         let mut members = self.without(&id.instance);
@@ -132,7 +133,7 @@
         members
     }
 
-    /// Tells whether `id` was a member once and is none any more.
+    /// Returns whether `id` was a member and no longer is.
     #[must_use]
     pub fn removed(&self, id: &ReplicaId) -> bool {
         let newest = self.lives.get(&id.instance);
--- a/crates/replog/src/id.rs
+++ b/crates/replog/src/id.rs
@@ -5,16 +5,15 @@
 use base::{Incarnation, InstanceName};
 
 base::record! {
-    /// One replica of the log: an instance together with the life of its data
-    /// folder.
+    /// A replica of the log: an instance name and the incarnation of its data folder.
     ///
-    /// An emptied folder makes a new life, so the votes and acknowledgements
-    /// of the old one are never taken for those of the new one.
+    /// An emptied folder starts a new incarnation, so votes and acknowledgements of the
+    /// old one are never attributed to the new one.
     #[derive(PartialOrd, Ord, Hash)]
     pub struct ReplicaId {
-        /// The instance whose folder it is.
+        /// The instance that owns the data folder.
         pub instance: InstanceName,
-        /// The life of the folder; a later life has a greater number.
+        /// The incarnation of the data folder; later incarnations have greater numbers.
         pub life: Incarnation,
     }
 }
@@ -65,10 +64,10 @@
 }
 
 counters! {
-    /// An election's number; a term has at most one leader.
+    /// The number of an election; a term has at most one leader.
     Term
-    /// The place of an entry in the log, from 1. A committed index is never
-    /// given to another entry, so it serves as a fencing number.
+    /// The position of an entry in the log, counted from 1. A committed index is never
+    /// reused for another entry, so it serves as a fencing token.
     Index
     /// The number of a write to the disk, in the order of writing.
     WriteNo
--- a/crates/replog/src/io.rs
+++ b/crates/replog/src/io.rs
@@ -1,82 +1,82 @@
-//! What goes into a replica and what comes out of it.
+//! Inputs and outputs of a replica.
 
 use base::{InstanceName, Time};
 use thiserror::Error;
 
 use crate::{Blob, Index, Message, Record, ReplicaId, Snapshot, Term, WriteNo};
 
-/// What happened to a replica.
+/// An input of a replica.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Input {
-    /// A message arrived. Any message may be lost, late, doubled or out of
-    /// order.
+    /// A message arrived. Messages may be lost, delayed, duplicated or reordered.
     Received {
-        /// Who sent it.
+        /// The sender.
         from: ReplicaId,
-        /// What it says.
+        /// The message.
         message: Message,
     },
-    /// Somebody wants `command` in the log; answered by [`Output::Proposed`].
+    /// A caller proposes `command`; answered by [`Output::Proposed`].
     Propose {
-        /// Names the proposal in the answer.
+        /// Identifies the proposal in the answer.
         ticket: u64,
-        /// What to put into the log.
+        /// The command to append to the log.
         command: Blob,
     },
-    /// All writes up to this one will survive a power cut.
+    /// All writes up to this one are durable: they survive a power failure.
     Synced {
         /// The last of them.
         upto: WriteNo,
     },
-    /// A write or its sync failed; nothing is known about what is on disk.
+    /// A write or its sync failed, so the content on disk is unknown.
     WriteFailed {
-        /// The write in question.
+        /// The failed write.
         no: WriteNo,
     },
-    /// The disk has no space left for proposals, or has again.
+    /// The disk has run out of space for proposals, or has space again.
     Space {
         /// Whether it is full.
         full: bool,
     },
-    /// Time has passed; also the first input of a replica's life.
+    /// The timer set by [`Output::Wake`] fired; also the first input of a new replica.
     Wake,
     /// The state machine's answer to [`Output::TakeSnapshot`].
     Snapshot {
-        /// The index asked for.
+        /// The requested index.
         index: Index,
         /// The state after that entry.
         data: Blob,
     },
-    /// Adds a replica: as a learner first, as a voter once it has caught up.
-    /// An older life of the same instance leaves by the same entry.
+    /// Adds a replica: as a learner first, as a voter once it has caught up. The same
+    /// entry removes any older incarnation of the instance.
     AddReplica {
-        /// Names the proposal in the answer.
+        /// Identifies the proposal in the answer.
         ticket: u64,
         /// The replica to add.
         id: ReplicaId,
     },
     /// Removes a replica.
     RemoveReplica {
-        /// Names the proposal in the answer.
+        /// Identifies the proposal in the answer.
         ticket: u64,
         /// The replica to remove.
         id: ReplicaId,
     },
-    /// Other instances are meant to have a replica from now on.
+    /// Replaces the list of instances that should have a replica.
     Peers {
         /// Their names.
         peers: Vec<InstanceName>,
     },
-    /// This process is about to stop: leadership goes to a caught-up voter.
+    /// This process is about to stop: starts a leadership transfer to a voter that has
+    /// caught up.
     HandOver,
 }
 
-/// What whoever embeds a replica has to do, in this order.
+/// An action that the embedder carries out, in the order of output.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Output {
-    /// Send a message; it may get lost.
+    /// Send a message; delivery is not guaranteed.
     Send {
-        /// The instance to send it to, whichever life it lives.
+        /// The receiving instance, whatever its incarnation.
         to: InstanceName,
         /// The message.
         message: Message,
@@ -96,12 +96,12 @@
         no: WriteNo,
         /// The new snapshot.
         snapshot: Snapshot,
-        /// The whole content of the new log file.
+        /// The full content of the new log file.
         records: Vec<Record>,
     },
-    /// Apply a committed command. Indexes grow, with gaps.
+    /// Apply a committed command. Indexes are increasing but not contiguous.
     Apply {
-        /// The entry's index; never given to another command.
+        /// The entry's index; never reused for another command.
         index: Index,
         /// The term of the entry.
         term: Term,
@@ -122,25 +122,26 @@
         /// The committed index, or why there is none.
         result: Result<Index, Rejected>,
     },
-    /// Hand in the state after the entry `upto`, which has just been applied.
+    /// Pass the state after entry `upto`, which has just been applied, as
+    /// [`Input::Snapshot`].
     TakeSnapshot {
         /// The entry.
         upto: Index,
     },
-    /// Call with [`Input::Wake`] at this moment; replaces the last one.
+    /// Pass [`Input::Wake`] at this time; replaces the previous timer.
     Wake {
-        /// The moment.
+        /// The time of the next wake-up.
         at: Time,
     },
-    /// Who leads has changed.
+    /// The known leader or this replica's role has changed.
     Role {
         /// The leader as far as known.
         leader: Option<ReplicaId>,
-        /// Whether it is this replica. Whether it may act as such at a moment
-        /// is for [`crate::Replica::leads`] to say.
+        /// Whether this replica is the leader of its term. Whether it holds a valid lease
+        /// at a given time is answered by [`crate::Replica::leads`].
         leading: bool,
     },
-    /// The replica does nothing any more, and answers nothing.
+    /// The replica has stopped: it ignores all inputs but proposals, which it rejects.
     Halted {
         /// Why.
         reason: HaltReason,
@@ -150,43 +151,43 @@
 /// The list that outputs are collected in.
 pub type Outputs = Vec<Output>;
 
-/// Why a proposal has no index.
+/// Why a proposal was not committed.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum Rejected {
-    /// It is certainly not in the log and never will be.
+    /// The command is not in the log and never will be.
     #[error("not accepted: {why}")]
     NotAccepted {
         /// Why not.
         why: WhyNot,
-        /// Who may accept it.
+        /// The leader as far as known, which may accept the proposal.
         leader: Option<ReplicaId>,
     },
-    /// It may or may not be accepted; nobody can tell yet.
+    /// The outcome is unknown: the command may still be committed by the next leader.
     #[error("may have been accepted: the leader lost its term")]
     Unknown {
-        /// Who may know.
+        /// The leader as far as known.
         leader: Option<ReplicaId>,
     },
 }
 
-/// Why a proposal was turned away before it reached the log.
+/// Why a proposal was rejected before it reached the log.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum WhyNot {
     /// This replica doesn't lead.
-    #[error("this replica does not lead")]
+    #[error("this replica is not the leader")]
     NotLeader,
     /// The disk is full.
     #[error("the disk is full")]
     DiskFull,
-    /// Too much is waiting already, or the command is too large.
-    #[error("too much is waiting to be replicated")]
+    /// The backlog of uncommitted proposals is full, or the command alone exceeds it.
+    #[error("the backlog of uncommitted proposals is full")]
     Overloaded,
-    /// A change of members is under way.
-    #[error("another change of members is under way")]
+    /// Another membership change is not committed yet.
+    #[error("another membership change is in progress")]
     Changing,
-    /// The change of members makes no sense: no such replica, an older life,
-    /// or the last voter.
-    #[error("no such change of members is possible")]
+    /// The membership change is invalid: unknown replica, older incarnation or last
+    /// voter.
+    #[error("the membership change is invalid")]
     BadChange,
 }
 
@@ -196,7 +197,7 @@
     /// A write or sync failed.
     #[error("a write to disk failed")]
     WriteFailed,
-    /// It is no member any more; it may come back under a new identity.
+    /// The replica was removed; its instance may join again as a new incarnation.
     #[error("this replica was removed")]
     Removed,
 }
--- a/crates/replog/src/journal.rs
+++ b/crates/replog/src/journal.rs
@@ -6,18 +6,18 @@
 
 use crate::{Entry, Index, Members, Payload, Position, Record, Snapshot, Term};
 
-/// What an entry takes beside its command, in memory and on the wire; a
-/// generous estimate that bounds messages of many small entries.
+/// Overhead of an entry beside its command, in bytes, in memory and on the wire.
+/// Estimated high, so that messages of many small entries stay within their limit.
 const ENTRY_OVERHEAD: u64 = 48;
 
-/// The log from `floor` on. Entries at or before the snapshot's index are
-/// kept for followers that lag a little.
+/// The log after `floor`. Entries covered by the snapshot are retained for slightly
+/// lagging followers.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Journal {
     base: Option<Snapshot>,
     floor: Position,
     entries: VecDeque<Entry>,
-    configs: BTreeMap<Index, Members>,
+    memberships: BTreeMap<Index, Members>,
 }
 
 impl Journal {
@@ -43,15 +43,17 @@
         self.entries.back().map_or(self.floor, |entry| entry.at)
     }
 
-    /// The replicas by the end of the log, committed or not; none before the
-    /// log is founded or received.
+    /// The membership as of the end of the log, committed or not; `None` before the log
+    /// is founded or received.
     pub(crate) fn members(&self) -> Option<&Members> {
-        self.configs.last_key_value().map(|(_, members)| members)
+        self.memberships
+            .last_key_value()
+            .map(|(_, members)| members)
     }
 
-    /// Where the newest change of members stands.
+    /// The index of the newest membership change.
     pub(crate) fn members_index(&self) -> Index {
-        let last = self.configs.last_key_value();
+        let last = self.memberships.last_key_value();
         last.map_or(Index(0), |(index, _)| *index)
     }
 
@@ -67,7 +69,7 @@
         self.entries.get(usize::try_from(offset).ok()?)
     }
 
-    /// Returns the first index of the term that the entry at `index` is of.
+    /// Returns the first index that has the same term as the entry at `index`.
     pub(crate) fn term_start(&self, index: Index) -> Index {
         let term = self.term_at(index);
         let mut first = index;
@@ -101,7 +103,7 @@
     pub(crate) fn append(&mut self, entry: Entry) {
         assert_eq!(entry.at.index, self.last().index.next(), "a gap in the log");
         if let Payload::Members(members) = &entry.payload {
-            self.configs.insert(entry.at.index, members.clone());
+            self.memberships.insert(entry.at.index, members.clone());
         }
         self.entries.push_back(entry);
     }
@@ -111,11 +113,11 @@
         let keep = index.get().saturating_sub(self.floor.index.get() + 1);
         self.entries
             .truncate(usize::try_from(keep).unwrap_or(usize::MAX));
-        self.configs.split_off(&index);
+        self.memberships.split_off(&index);
     }
 
-    /// Replaces the whole log by a snapshot; entries after it stay if the log
-    /// holds the entry that it ends with. Returns whether they did.
+    /// Replaces the log by a snapshot. If the log holds the last entry that the snapshot
+    /// covers, the entries after it are kept. Returns whether they were.
     pub(crate) fn install(&mut self, snapshot: Snapshot) -> bool {
         if self.term_at(snapshot.at.index) == Some(snapshot.at.term) && self.base.is_some() {
             self.compact(snapshot, 0, Bytes(0));
@@ -123,8 +125,8 @@
         }
         self.floor = snapshot.at;
         self.entries.clear();
-        self.configs.clear();
-        self.configs
+        self.memberships.clear();
+        self.memberships
             .insert(snapshot.at.index, snapshot.members.clone());
         self.base = Some(snapshot);
         false
@@ -133,7 +135,7 @@
     /// Makes the snapshot for the state `data` after the entry at `index`.
     pub(crate) fn snapshot(&self, index: Index, data: crate::Blob) -> Option<Snapshot> {
         let term = self.term_at(index)?;
-        let (_, members) = self.configs.range(..=index).next_back()?;
+        let (_, members) = self.memberships.range(..=index).next_back()?;
         Some(Snapshot {
             at: Position { term, index },
             members: members.clone(),
@@ -141,13 +143,13 @@
         })
     }
 
-    /// Replaces what the snapshot covers, but for the last `keep` entries as
-    /// far as they fit `bytes`.
+    /// Compacts the entries that the snapshot covers, but retains the last `keep` of them
+    /// as far as they fit `bytes`.
     pub(crate) fn compact(&mut self, snapshot: Snapshot, keep: u64, bytes: Bytes) {
         let at = snapshot.at.index;
-        self.configs = self.configs.split_off(&at.next());
-        self.configs.insert(at, snapshot.members.clone());
-        let floor = self.floor_behind(at, keep, bytes);
+        self.memberships = self.memberships.split_off(&at.next());
+        self.memberships.insert(at, snapshot.members.clone());
+        let floor = self.floor_for(at, keep, bytes);
         while let Some(entry) = self.entries.front()
             && entry.at.index <= floor
         {
@@ -157,9 +159,9 @@
         self.base = Some(snapshot);
     }
 
-    /// Returns the entry before the last `keep` up to `at`, or before the fewer
+    /// Returns the index before the last `keep` entries up to `at`, or before the fewer
     /// of them that fit `bytes`.
-    fn floor_behind(&self, at: Index, keep: u64, bytes: Bytes) -> Index {
+    fn floor_for(&self, at: Index, keep: u64, bytes: Bytes) -> Index {
         let mut floor = at;
         let mut size = 0;
         while at.get() - floor.get() < keep
@@ -174,7 +176,7 @@
         floor
     }
 
-    /// Returns what a log file that continues the snapshot has to hold.
+    /// Returns the records of a log file that continues the snapshot.
     pub(crate) fn records(&self) -> Vec<Record> {
         let after = self.entries.iter();
         let after = after.filter(|entry| entry.at.index > self.base_index());
@@ -182,7 +184,7 @@
     }
 }
 
-/// Returns what an entry counts against limits, in bytes.
+/// Returns the size of an entry as counted against limits, in bytes.
 pub(crate) fn entry_size(entry: &Entry) -> u64 {
     let inner = match &entry.payload {
         Payload::Noop => 0,
--- a/crates/replog/src/lib.rs
+++ b/crates/replog/src/lib.rs
@@ -1,9 +1,8 @@
 //! Replicated log of the control instances, without clock, socket or disk.
 //!
-//! One [`Replica`] is a plain value. Whoever embeds it hands in what arrived
-//! and what time it is, and carries out what comes back: messages to send,
-//! records to write, commands to apply. A test can therefore hold back any
-//! message, timer or disk write for as long as it likes.
+//! A [`Replica`] is a state machine without I/O. The embedder passes in received messages
+//! and the current time, and carries out the outputs: messages to send, records to write,
+//! commands to apply. Tests can therefore delay any message, timer or disk write.
 //!
 //! The algorithm is Raft with pre-vote, check-quorum, leases, learners and
 //! single-replica membership changes; `docs/design/log.md` gives the reasons.
--- a/crates/replog/src/message.rs
+++ b/crates/replog/src/message.rs
@@ -1,23 +1,24 @@
-//! What replicas say to each other.
+//! Messages between replicas.
 
 use base::{Incarnation, InstanceName};
 use thiserror::Error;
 
 use crate::{Blob, Entry, Index, Members, Position, ReplicaId, Term};
 
-/// Says that bytes are no message.
+/// Bytes that don't decode as a message.
 #[derive(Debug, Error)]
 #[error("malformed message of the log: {0}")]
 pub struct BadMessage(#[from] rmp_serde::decode::Error);
 
 base::value! {
-    /// What a candidate asks for.
+    /// The kind of a vote request.
     pub enum VoteKind {
-        /// Whether it would get a vote; changes nothing at either side.
+        /// Pre-vote: asks whether the vote would be granted; changes no state at either
+        /// side.
         Pre,
         /// A vote.
         Real,
-        /// A vote, at the wish of the leader, who has given up its lease.
+        /// A vote in a leadership transfer: the leader has given up its lease.
         Transfer,
     }
 }
@@ -25,21 +26,22 @@
 base::record! {
     /// A message between two replicas; a term is always the sender's.
     pub enum Message {
-        /// An unstarted replica asks to be taken in.
+        /// A replica that hears no leader asks to be added as a member.
         Join,
-        /// Answers [`Message::Join`] at a replica that doesn't lead: who may.
+        /// Answers [`Message::Join`] from a replica that doesn't lead: names the members
+        /// to ask.
         Ask {
             /// The members' instances.
             instances: Vec<InstanceName>,
         },
-        /// The founding members, from the founder to all others.
+        /// The initial membership, sent by the founder to all other founding members.
         Found {
-            /// The replicas that all start together.
+            /// The initial membership.
             members: Members,
         },
-        /// The founding members are on disk.
+        /// Acknowledges that the initial membership is on disk.
         Founded {
-            /// The replicas that all start together.
+            /// The initial membership.
             members: Members,
         },
         /// A candidate asks for a vote.
@@ -64,7 +66,7 @@
         Append {
             /// The leader's term.
             term: Term,
-            /// The receiver's life; another one ignores the message.
+            /// The receiver's incarnation; any other incarnation ignores the message.
             life: Incarnation,
             /// The heartbeat round, echoed in the reply.
             round: u64,
@@ -72,28 +74,28 @@
             prev: Position,
             /// The entries.
             entries: Vec<Entry>,
-            /// Up to where the log is committed.
+            /// The leader's commit index.
             commit: Index,
         },
         /// A part of an entry that is too large for one message.
         Piece {
             /// The leader's term.
             term: Term,
-            /// The receiver's life; another one ignores the message.
+            /// The receiver's incarnation; any other incarnation ignores the message.
             life: Incarnation,
             /// The heartbeat round, echoed in the reply.
             round: u64,
             /// The entry before it.
             prev: Position,
-            /// Where the entry stands.
+            /// The position of the entry.
             at: Position,
             /// The length of its command in bytes.
             total: u64,
-            /// Where this part of the command begins.
+            /// The offset of this part in the command, in bytes.
             offset: u64,
             /// The part.
             data: Blob,
-            /// Up to where the log is committed.
+            /// The leader's commit index.
             commit: Index,
         },
         /// How much of a large entry has arrived.
@@ -107,13 +109,13 @@
             /// The bytes of its command that have arrived without a gap.
             received: u64,
         },
-        /// A follower's answer.
+        /// A follower's answer to [`Message::Append`].
         AppendReply {
             /// The follower's term.
             term: Term,
             /// The round of the message answered.
             round: u64,
-            /// How far the logs agree, on the follower's disk.
+            /// How far the follower's log on disk agrees with the leader's.
             outcome: Outcome,
             /// Whether the follower's disk is full.
             full: bool,
@@ -122,7 +124,7 @@
         Chunk {
             /// The leader's term.
             term: Term,
-            /// The receiver's life; another one ignores the message.
+            /// The receiver's incarnation; any other incarnation ignores the message.
             life: Incarnation,
             /// The heartbeat round, echoed in the reply.
             round: u64,
@@ -130,11 +132,11 @@
             at: Position,
             /// The replicas as of that entry.
             members: Members,
-            /// The length of the whole in bytes.
+            /// The length of the full snapshot in bytes.
             total: u64,
-            /// Checksum of the whole.
+            /// CRC-32 of the full snapshot.
             crc: u32,
-            /// Where this part begins.
+            /// The offset of this part in bytes.
             offset: u64,
             /// The part.
             data: Blob,
@@ -150,40 +152,41 @@
             /// The bytes that have arrived without a gap.
             received: u64,
         },
-        /// The leader steps down; the receiver stands for election at once.
+        /// Leadership transfer: the leader steps down, and the receiver starts an
+        /// election at once.
         TimeoutNow {
             /// The leader's term.
             term: Term,
         },
-        /// The receiver is no member any more.
+        /// The receiver has been removed from the membership.
         Removed {
             /// The replica that was removed.
             id: ReplicaId,
         },
-        /// A restarted replica asks whether the receiver leads.
+        /// A restarted replica asks whether the receiver is the leader.
         Leading {
             /// Echoed in the answer.
             number: u64,
         },
-        /// Answers [`Message::Leading`]: the sender doesn't.
+        /// Answers [`Message::Leading`]: the sender is not the leader.
         Idle {
             /// The question's number.
             number: u64,
         },
     }
 
-    /// Whether entries fit a follower's log.
+    /// The result of a consistency check of entries against a follower's log.
     pub enum Outcome {
-        /// They do.
+        /// The entries are consistent with the log.
         Matched {
-            /// The last entry that agrees and is on the follower's disk.
+            /// The last matching entry that is on the follower's disk.
             upto: Index,
         },
-        /// The entry before them is not in the log.
+        /// The entry before the sent ones is not in the follower's log.
         Conflict {
-            /// The index that was not found.
+            /// The index that did not match.
             prev: Index,
-            /// An earlier one that may be.
+            /// An earlier index that may match.
             hint: Index,
         },
         /// The follower has no log yet and needs a snapshot.
--- a/crates/replog/src/record.rs
+++ b/crates/replog/src/record.rs
@@ -1,21 +1,21 @@
-//! The form of the log and of a snapshot on disk.
+//! On-disk format of the log and of snapshots.
 //!
-//! A file is a row of frames. Each frame is what one sync made durable:
+//! A file is a sequence of frames. Each frame holds what one sync made durable:
 //!
 //! ```text
 //! magic u32 | length u32 | sequence u64 | crc of payload u32 | crc of header u32 | payload
 //! ```
 //!
-//! Numbers are little-endian, payloads MessagePack. The first frame of a log
-//! file names format, owner and the snapshot that it continues. The header has
-//! a checksum of its own, so a damaged length is told apart from a short file.
+//! Numbers are little-endian, payloads MessagePack. The first frame of a log file gives
+//! the format, the owner and the snapshot that the log continues. The header has a
+//! checksum of its own, so that a corrupt length is distinguished from a truncated file.
 
 use serde::{Serialize, de::DeserializeOwned};
 use thiserror::Error;
 
 use crate::{Entry, Members, Position, ReplicaId, Snapshot, Term};
 
-/// The format written by this release; another one is not read.
+/// The format written by this release; no other one is read.
 pub const FORMAT: u32 = 1;
 
 const MAGIC: u32 = u32::from_le_bytes(*b"qzlg");
@@ -26,20 +26,20 @@
     pub struct Header {
         /// The format of what follows.
         pub format: u32,
-        /// Whose log it is.
+        /// The replica that owns the log.
         pub id: ReplicaId,
         /// The snapshot that the log continues, if any.
         pub base: Option<Position>,
-        /// Frames that were synced before the file was put in place; none of
-        /// them can be torn.
+        /// The number of frames that were synced before the file was renamed into place;
+        /// none of them can be a torn write.
         pub sealed: u64,
     }
 
-    /// One fact that a replica has to remember.
+    /// A record of the state that a replica persists.
     pub enum Record {
-        /// The founding members.
+        /// The initial membership.
         Found(Members),
-        /// The term, and who got the vote in it.
+        /// The current term and the vote given in it.
         Vote {
             /// The term.
             term: Term,
@@ -51,23 +51,23 @@
     }
 }
 
-/// How the bytes after the last whole frame look.
+/// The state of a log file after its last valid frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Tail {
-    /// There are none.
+    /// Nothing follows the last valid frame.
     Whole,
-    /// A write that a crash interrupted. It was never acknowledged, so it may
-    /// be cut off.
+    /// A torn write: interrupted by a crash and never acknowledged, so it may be
+    /// truncated.
     Torn,
-    /// Something that was durable once is unreadable: the file has lost votes
-    /// or entries that others count on.
+    /// Data that was durable is unreadable: the file has lost votes or entries that other
+    /// replicas rely on.
     Damaged,
-    /// The file is whole but was written by another release, in a format that
-    /// this one doesn't read.
+    /// The file is intact but was written by another release in a format that this one
+    /// doesn't read.
     OtherFormat,
 }
 
-/// What a log file holds.
+/// The content of a log file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Recovered {
     /// The first frame, if it is readable.
@@ -78,13 +78,13 @@
     pub len: u64,
     /// The sequence number of the next frame.
     pub next: u64,
-    /// What follows the readable part.
+    /// The state of the file after the readable part.
     pub tail: Tail,
 }
 
-/// Says that bytes are no snapshot file.
+/// Bytes that are not a valid snapshot file.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
-#[error("the snapshot is damaged")]
+#[error("the snapshot file is corrupt")]
 pub struct BadSnapshot;
 
 /// Encodes the first frame of a log file.
@@ -93,7 +93,7 @@
     frame(0, header)
 }
 
-/// Encodes the log file of a folder that has nothing yet.
+/// Encodes the log file of an empty data folder.
 #[must_use]
 pub fn encode_first_log(id: &ReplicaId) -> Vec<u8> {
     encode_header(&Header {
@@ -104,8 +104,8 @@
     })
 }
 
-/// Encodes the log file that continues the snapshot at `base`; `records` are
-/// its one sealed frame.
+/// Encodes the log file that continues the snapshot at `base`; `records` make up its one
+/// sealed frame (see [`Header::sealed`]).
 #[must_use]
 pub fn encode_next_log(id: &ReplicaId, base: Position, records: &[Record]) -> Vec<u8> {
     let mut raw = encode_header(&Header {
@@ -118,7 +118,7 @@
     raw
 }
 
-/// Encodes what one sync makes durable as the frame number `seq`.
+/// Encodes the records of one sync as frame number `seq`.
 #[must_use]
 pub fn encode_frame(seq: u64, records: &[Record]) -> Vec<u8> {
     frame(seq, &records)
@@ -142,7 +142,7 @@
     }
 }
 
-/// Reads a log file as far as it goes.
+/// Reads a log file up to its last valid frame.
 #[must_use]
 pub fn recover(raw: &[u8]) -> Recovered {
     let mut found = Recovered {
@@ -177,18 +177,17 @@
         base::hit!(damaged_sealed);
         return found;
     }
-    found.tail = judge_tail(&raw[at..], found.next);
+    found.tail = classify_tail(&raw[at..], found.next);
     found
 }
 
-/// Tells an interrupted write from damage.
+/// Distinguishes a torn write from corruption.
 ///
-/// A frame is written only after the one before it was synced, so a crash
-/// tears the last frame only. A readable frame of a later number behind an
-/// unreadable one shows that the unreadable one had been durable: cutting it
-/// off would take back a vote or an acknowledgement, and two leaders could be
-/// elected in one term.
-fn judge_tail(rest: &[u8], next: u64) -> Tail {
+/// A frame is written only after the previous one was synced, so a crash can tear only
+/// the last frame. A valid frame header with another sequence number after an unreadable
+/// frame proves that the unreadable frame had been durable. Truncating it would revoke a
+/// vote or an acknowledgement, and two leaders could be elected in one term.
+fn classify_tail(rest: &[u8], next: u64) -> Tail {
     if rest.is_empty() {
         return Tail::Whole;
     }
--- a/crates/replog/src/replica.rs
+++ b/crates/replog/src/replica.rs
@@ -26,7 +26,7 @@
     journal::{Journal, entry_size},
 };
 
-/// One replica of the log: a plain value, driven by [`Replica::handle`].
+/// One replica of the log: a state machine without I/O, driven by [`Replica::handle`].
 #[derive(Clone, Debug)]
 pub struct Replica {
     settings: Settings,
@@ -39,25 +39,25 @@
     applied: Index,
     role: Role,
     leader: Option<ReplicaId>,
-    /// When a leader was last heard; until an election timeout later, no vote
-    /// is given.
+    /// When the leader was last heard from. For an election timeout after it, this
+    /// replica grants no vote.
     heard: Option<Time>,
-    /// When to stand for election.
+    /// When to start an election.
     deadline: Time,
-    /// Candidacies since a leader was last heard.
-    tries: u32,
-    /// The wait after a restart, while it lasts.
+    /// Elections started since a leader was last heard from.
+    attempts: u32,
+    /// The grace period after a restart, while it lasts.
     grace: Option<Grace>,
     follow: Follow,
     founding: Founding,
-    /// The snapshot that the state machine was asked for.
-    asked: Option<Index>,
-    /// Bytes of the entries applied since a snapshot was asked for or installed.
-    grown: Bytes,
+    /// The index of the snapshot requested from the state machine.
+    pending_snapshot: Option<Index>,
+    /// Bytes of entries applied since a snapshot was last requested or installed.
+    applied_bytes: Bytes,
     full: bool,
     halted: Option<HaltReason>,
     started: bool,
-    told: Told,
+    reported: Reported,
 }
 
 #[derive(Clone, Debug)]
@@ -67,16 +67,16 @@
     Leader(Box<Leader>),
 }
 
-/// What was last reported, so that only changes are.
+/// The outputs reported last; only changes are reported again.
 #[derive(Clone, Debug, Default)]
-struct Told {
+struct Reported {
     wake: Option<Time>,
     leader: Option<ReplicaId>,
     leading: bool,
 }
 
 impl Replica {
-    /// Makes a replica from what its disk holds. Its first input should be
+    /// Creates a replica from the content of its disk. Its first input should be
     /// [`Input::Wake`].
     #[must_use]
     pub fn new(settings: Settings, restored: Restored) -> Self {
@@ -94,22 +94,22 @@
             leader: None,
             heard: None,
             deadline: Time::ZERO,
-            tries: 0,
+            attempts: 0,
             grace: None,
             follow: Follow::default(),
             founding: Founding::default(),
-            asked: None,
-            grown: Bytes(0),
+            pending_snapshot: None,
+            applied_bytes: Bytes(0),
             full: false,
             halted: None,
             started: false,
-            told: Told::default(),
+            reported: Reported::default(),
             journal,
             settings,
         }
     }
 
-    /// Takes one input and appends what has to be done about it, in order.
+    /// Processes one input and appends the resulting outputs, in order.
     pub fn handle(&mut self, now: Time, input: Input, out: &mut Outputs) {
         if self.halted.is_some() {
             refuse(input, out);
@@ -124,25 +124,25 @@
             return;
         }
         self.tick(now, out);
-        self.settle(now, out);
+        self.finish_input(now, out);
         self.report(out);
     }
 
-    /// Tells whether this replica may act as the leader at `now`: it has won
-    /// an election, has applied all that was accepted before, and a majority
-    /// has promised not to elect another yet.
+    /// Returns whether this replica may act as the leader at `now`: it has won an
+    /// election, has applied all entries committed before, and holds a lease from a
+    /// quorum.
     #[must_use]
     pub fn leads(&self, now: Time) -> bool {
         let Role::Leader(leader) = &self.role else {
             return false;
         };
-        // A leader that was cut off, or frozen and thawed, still believes in
-        // its term while another has been elected. Followers refuse votes for
-        // an election timeout after they answered a round; the lease is
-        // shorter by the drift margin and counts from the round's beginning,
-        // so it has ended before any of them may elect another.
+        // A leader that was partitioned, or whose process was suspended, still considers
+        // itself leader of its term after another one has been elected. Followers refuse
+        // votes for an election timeout after they answered a heartbeat round. The lease
+        // is shorter by the drift margin and counts from the start of the round, so it
+        // expires before any of them can elect another leader.
         let leased = |contact| now < contact + self.settings.lease;
-        let held = self.contact(leader, now).is_some_and(leased);
+        let held = self.quorum_contact(leader, now).is_some_and(leased);
         if !held {
             base::hit!(lease_lapsed);
         }
@@ -173,13 +173,13 @@
         self.commit
     }
 
-    /// Returns the replicas by the end of the log; none before it is founded.
+    /// Returns the membership as of the end of the log; `None` before the log is founded.
     #[must_use]
     pub fn members(&self) -> Option<&crate::Members> {
         self.journal.members()
     }
 
-    /// Tells whether the newest change of members is known to be committed.
+    /// Returns whether the newest membership change is known to be committed.
     #[must_use]
     pub fn members_settled(&self) -> bool {
         self.journal.members_index() <= self.commit
@@ -193,7 +193,7 @@
 
     fn start(&mut self, now: Time, out: &mut Outputs) {
         self.started = true;
-        self.rearm(now);
+        self.reset_election_timer(now);
         if let Some(base) = self.journal.base()
             && base.at.index > Index(0)
         {
@@ -202,7 +202,7 @@
                 data: base.data.clone(),
             });
         }
-        if self.unstarted() {
+        if self.log_is_empty() {
             self.deadline = now;
             return;
         }
@@ -217,10 +217,10 @@
             }
             Input::Synced { upto } => self.synced(now, upto, out),
             Input::WriteFailed { .. } => {
-                // After a failed sync the kernel may have dropped the pages
-                // and reports success for the next one; a retry would
-                // acknowledge what is not on disk. So nothing is answered any
-                // more, and the majority goes on without this replica.
+                // After a failed sync the kernel may drop the dirty pages and report
+                // success for the next sync, so a retry would acknowledge data that is
+                // not on disk. The replica halts instead, and the majority continues
+                // without it.
                 base::hit!(halted_by_write);
                 self.halt(HaltReason::WriteFailed, out);
             }
@@ -230,7 +230,7 @@
             Input::AddReplica { ticket, id } => self.add_replica(now, Some(ticket), id, out),
             Input::RemoveReplica { ticket, id } => self.remove_replica(now, ticket, &id, out),
             Input::Peers { peers } => self.settings.raw.peers = peers,
-            Input::HandOver => self.hand_over(now),
+            Input::HandOver => self.transfer_leadership(now),
         }
     }
 
@@ -240,7 +240,7 @@
         }
         match message {
             Message::Join => self.join(now, from, out),
-            Message::Ask { instances } => self.founding.called.extend(instances),
+            Message::Ask { instances } => self.founding.named.extend(instances),
             Message::Found { members } => self.found(from, members, out),
             Message::Founded { members } => self.founded(now, from, &members),
             Message::Vote { term, kind, last } => self.vote(now, from, (term, kind), last, out),
@@ -252,9 +252,9 @@
             Message::Append { term, life, .. }
             | Message::Piece { term, life, .. }
             | Message::Chunk { term, life, .. } => {
-                // What is meant for another life of this folder shows that the
-                // leader doesn't know this one yet.
-                if life == self.id().life && self.obey(now, from, term, out) {
+                // A message for another incarnation shows that the leader doesn't know
+                // this one yet.
+                if life == self.id().life && self.accept_leader(now, from, term, out) {
                     self.follow(from, message, out);
                 }
             }
@@ -268,8 +268,8 @@
                 }
             }
             Message::TimeoutNow { term } => self.timeout_now(now, from, term, out),
-            Message::Leading { number } => self.leading(from, number, out),
-            Message::Idle { number } => self.idle(now, from, number),
+            Message::Leading { number } => self.answer_leading(from, number, out),
+            Message::Idle { number } => self.record_idle(now, from, number),
             Message::Removed { id } => {
                 if id == *self.id() {
                     base::hit!(removed_halts);
@@ -288,48 +288,48 @@
         }
     }
 
-    /// Ends what one input began: writes, sends and commits.
-    fn settle(&mut self, now: Time, out: &mut Outputs) {
-        // A leader's proposals share the next write: with a slow disk, one
-        // sync then makes many of them durable.
-        let wait = matches!(self.role, Role::Leader(_)) && self.writes.busy();
+    /// Emits the writes, messages and commits that an input has caused.
+    fn finish_input(&mut self, now: Time, out: &mut Outputs) {
+        // While a write is in flight, a leader's proposals wait for the next one: on a
+        // slow disk, one sync then makes many of them durable.
+        let wait = matches!(self.role, Role::Leader(_)) && self.writes.should_batch();
         if !wait {
             self.writes.flush(self.journal.last().index, out);
         }
         self.replicate(out);
-        self.finish_handover(now, out);
+        self.finish_transfer(now, out);
     }
 
     fn report(&mut self, out: &mut Outputs) {
         let leading = matches!(self.role, Role::Leader(_));
-        if (&self.told.leader, self.told.leading) != (&self.leader, leading) {
-            self.told.leader.clone_from(&self.leader);
-            self.told.leading = leading;
+        if (&self.reported.leader, self.reported.leading) != (&self.leader, leading) {
+            self.reported.leader.clone_from(&self.leader);
+            self.reported.leading = leading;
             out.push(Output::Role {
                 leader: self.leader.clone(),
                 leading,
             });
         }
         let at = self.next_wake();
-        if self.told.wake != Some(at) {
-            self.told.wake = Some(at);
+        if self.reported.wake != Some(at) {
+            self.reported.wake = Some(at);
             out.push(Output::Wake { at });
         }
     }
 
     fn tick(&mut self, now: Time, out: &mut Outputs) {
         if matches!(self.role, Role::Leader(_)) {
-            self.beat(now, out);
+            self.heartbeat(now, out);
             return;
         }
-        self.ask_voters(now, out);
+        self.query_voters(now, out);
         if now < self.deadline {
             return;
         }
-        if self.may_vote() && !self.unstarted() {
+        if self.is_voter() && !self.log_is_empty() {
             self.campaign(now, crate::VoteKind::Pre, out);
         } else {
-            self.call_out(now, out);
+            self.request_join(now, out);
         }
     }
 
@@ -343,7 +343,7 @@
         }
     }
 
-    /// Follows the term `term`, with no leader known yet.
+    /// Becomes a follower in `term` with no known leader.
     fn step_down(&mut self, now: Time, term: Term, out: &mut Outputs) {
         self.become_follower(now, term, None, out);
     }
@@ -360,7 +360,7 @@
         }
         if leader.is_some() {
             self.grace = None;
-            self.tries = 0;
+            self.attempts = 0;
         }
         if self.leader != leader {
             self.leader = leader;
@@ -368,17 +368,17 @@
         }
         if !matches!(self.role, Role::Follower) {
             let role = std::mem::replace(&mut self.role, Role::Follower);
-            self.rearm(now);
-            self.abandon(role, out);
+            self.reset_election_timer(now);
+            self.answer_unknown(role, out);
         }
     }
 
-    /// Answers what a leader leaves behind when it loses its term.
+    /// Answers a leader's open proposals when it loses its term.
     ///
-    /// Its entries may be on a majority, and the next leader may commit them;
-    /// "not accepted" could turn out false, and an operator who repeats the
-    /// change would make it twice.
-    fn abandon(&self, role: Role, out: &mut Outputs) {
+    /// Its entries may be on a majority, and the next leader may commit them. Reporting
+    /// "not accepted" could turn out false, and an operator who repeats the change would
+    /// make it twice.
+    fn answer_unknown(&self, role: Role, out: &mut Outputs) {
         let Role::Leader(leader) = role else { return };
         for ticket in leader.tickets() {
             base::hit!(unknown_on_lost_term);
@@ -403,28 +403,28 @@
     fn halt(&mut self, reason: HaltReason, out: &mut Outputs) {
         let role = std::mem::replace(&mut self.role, Role::Follower);
         self.leader = None;
-        self.abandon(role, out);
+        self.answer_unknown(role, out);
         self.halted = Some(reason);
         self.report(out);
         out.push(Output::Halted { reason });
     }
 
-    /// Sets the time to stand for election anew, with jitter so that two
-    /// followers seldom stand at once.
-    fn rearm(&mut self, now: Time) {
+    /// Resets the election timer, with jitter so that two followers seldom start an
+    /// election at once.
+    fn reset_election_timer(&mut self, now: Time) {
         let election = self.settings.raw.election;
         let jitter = self.rng.random_range(0..election.as_micros() as u64);
         self.deadline = now + election + std::time::Duration::from_micros(jitter);
     }
 
-    /// Applies what is committed.
+    /// Applies the committed entries.
     fn apply(&mut self, out: &mut Outputs) {
         while self.applied < self.commit && self.halted.is_none() {
             let Some(entry) = self.journal.get(self.applied.next()).cloned() else {
                 return;
             };
             self.applied = entry.at.index;
-            self.grown = Bytes(self.grown.get() + entry_size(&entry));
+            self.applied_bytes = Bytes(self.applied_bytes.get() + entry_size(&entry));
             match entry.payload {
                 Payload::Noop => {}
                 Payload::Command(command) => out.push(Output::Apply {
@@ -452,37 +452,36 @@
         }
     }
 
-    /// Asks for a snapshot once the log has grown by enough entries or bytes.
+    /// Requests a snapshot once enough entries or bytes have been applied.
     ///
-    /// Failure: entries of some megabytes fill the disk long before there are
-    /// enough of them. All replicas hold the same entries, so all disks are
-    /// full at once, no majority can write, and no change is acknowledged any
-    /// more. Entries count here as they are applied, so the file never holds
-    /// more of them than the bound and the one that reached it; what isn't
-    /// applied is bounded by the backlog.
+    /// Failure: entries of some megabytes fill the disk long before the entry count is
+    /// reached. All replicas hold the same entries, so all disks are full at once, no
+    /// majority can write, and no change is acknowledged any more. Bytes are counted as
+    /// entries are applied, so applied entries in the file exceed the limit by at most
+    /// one entry; entries that are not applied yet are bounded by the backlog.
     fn ask_snapshot(&mut self, out: &mut Outputs) {
-        if self.asked.is_some() {
+        if self.pending_snapshot.is_some() {
             return;
         }
         let raw = &self.settings.raw;
         let entries = self.applied.get() - self.journal.base_index().get();
-        let heavy = self.grown >= raw.compact_bytes;
+        let heavy = self.applied_bytes >= raw.compact_bytes;
         if entries < raw.compact && !heavy {
             return;
         }
         if heavy {
             base::hit!(compacted_by_bytes);
         }
-        self.asked = Some(self.applied);
-        self.grown = Bytes(0);
+        self.pending_snapshot = Some(self.applied);
+        self.applied_bytes = Bytes(0);
         out.push(Output::TakeSnapshot { upto: self.applied });
     }
 
     fn snapshot_taken(&mut self, index: Index, data: crate::Blob, out: &mut Outputs) {
-        if self.asked != Some(index) {
+        if self.pending_snapshot != Some(index) {
             return;
         }
-        self.asked = None;
+        self.pending_snapshot = None;
         if index <= self.journal.base_index() {
             return;
         }
@@ -494,7 +493,7 @@
         self.rewrite(out);
     }
 
-    /// Replaces the files by what is in memory.
+    /// Rewrites snapshot and log file from memory.
     fn rewrite(&mut self, out: &mut Outputs) {
         let Some(snapshot) = self.journal.base().cloned() else {
             return;
@@ -531,8 +530,8 @@
     }
 }
 
-/// Mixes the identity into the seed, so that replicas that were given the
-/// same one still stand for election at different times.
+/// Mixes the identity into the seed, so that replicas with the same configured seed still
+/// time out at different times.
 fn seed_of(settings: &Settings) -> StableHash {
     let seed = settings.raw.seed.get().to_le_bytes();
     let life = settings.id().life.get().to_le_bytes();
--- a/crates/replog/src/replica/election.rs
+++ b/crates/replog/src/replica/election.rs
@@ -1,4 +1,4 @@
-//! Votes: asking for them, giving them, counting them.
+//! Elections: requesting, granting and counting votes.
 
 use std::{collections::BTreeSet, time::Duration};
 
@@ -8,24 +8,23 @@
 use super::{Replica, Role};
 use crate::{Index, Message, Output, Outputs, Position, ReplicaId, Term, VoteKind, WriteNo};
 
-/// Part of the election timeout after which a candidacy that failed is tried
-/// again for the first time; that leaves room for a vote's two round trips and
-/// its sync.
-const FIRST_RETRY: u32 = 4;
+/// Divides the election timeout to give the delay of the first retry of a failed
+/// election. A quarter leaves room for the two round trips of a vote and its sync.
+const FIRST_RETRY_DIVISOR: u32 = 4;
 
-/// The votes that a candidate has.
+/// The votes that a candidate has received.
 #[derive(Clone, Debug)]
 pub(crate) struct Votes {
     kind: VoteKind,
     from: BTreeSet<ReplicaId>,
-    /// The write of the candidate's own vote, until it is on disk.
+    /// The write that holds the candidate's own vote, until it is durable.
     own: Option<WriteNo>,
 }
 
 impl Replica {
-    /// Stands for election, or asks whether that has a chance.
+    /// Starts an election or, with [`VoteKind::Pre`], a pre-vote.
     pub(super) fn campaign(&mut self, now: Time, kind: VoteKind, out: &mut Outputs) {
-        self.retry_later(now);
+        self.schedule_retry(now);
         self.leader = None;
         let me = self.id().clone();
         let mut votes = Votes {
@@ -35,9 +34,9 @@
         };
         let term = self.term.next();
         if kind == VoteKind::Pre {
-            // A replica that was cut off would come back with a higher term
-            // and depose a leader that serves everybody else. Asking first
-            // changes no term; a majority that hears its leader declines.
+            // A partitioned replica would return with a higher term and depose a working
+            // leader. A pre-vote changes no term, and a majority that hears its leader
+            // declines.
             base::hit!(pre_vote);
             votes.from.insert(me);
         } else {
@@ -47,21 +46,21 @@
         self.role = Role::Candidate(votes);
         let last = self.journal.last();
         self.send_voters(&Message::Vote { term, kind, last }, out);
-        self.count(now, out);
+        self.count_votes(now, out);
     }
 
-    /// Sets the time of the next candidacy, should this one fail.
+    /// Sets the time of the next election, should this one fail.
     ///
-    /// Failure: two replicas stand at nearly the same time, or one stands while
-    /// the others still keep their promise to a leader that is gone. Had they to
-    /// wait a whole election timeout again, nothing is served for up to another
-    /// second. The first tries follow soon; each further one waits twice as
-    /// long, so that votes that need a slow disk are counted in the end.
-    fn retry_later(&mut self, now: Time) {
+    /// Failure: two replicas start an election at nearly the same time, or one starts it
+    /// while the others are still bound to a leader that is gone. If they had to wait a
+    /// full election timeout again, nothing would be served for up to another second. The
+    /// first retry follows soon; the delay doubles with each further one, so that votes
+    /// on a slow disk are eventually counted.
+    fn schedule_retry(&mut self, now: Time) {
         let election = self.settings.raw.election;
-        let wait = (election / FIRST_RETRY) * 2_u32.saturating_pow(self.tries);
+        let wait = (election / FIRST_RETRY_DIVISOR) * 2_u32.saturating_pow(self.attempts);
         let wait = wait.min(election);
-        self.tries += 1;
+        self.attempts += 1;
         let jitter = self.rng.random_range(0..wait.as_micros() as u64);
         self.deadline = now + wait + Duration::from_micros(jitter);
     }
@@ -75,18 +74,17 @@
         last: Position,
         out: &mut Outputs,
     ) {
-        // A replica without a log has promised nothing yet, but an earlier
-        // life of its folder may have: only members that have been given the
-        // log vote.
+        // A replica without a log is bound to no leader, but an earlier incarnation of
+        // its folder may be: only members that have received the log vote.
         if self.journal.members().is_none() {
             base::hit!(empty_never_votes);
             return;
         }
-        if self.tell_removed(from, out) {
+        if self.notify_removed(from, out) {
             return;
         }
-        if kind != VoteKind::Transfer && self.promised(now) {
-            self.take_in(now, from, out);
+        if kind != VoteKind::Transfer && self.bound_to_leader(now) {
+            self.admit(now, from, out);
             return;
         }
         let empty = last.index == Index(0);
@@ -105,7 +103,7 @@
         let granted = term == self.term && free && last >= self.journal.last();
         if granted && self.voted.is_none() {
             self.set_term(term, Some(from.clone()));
-            self.rearm(now);
+            self.reset_election_timer(now);
         }
         let reply = Message::VoteReply {
             term: self.term,
@@ -151,11 +149,12 @@
         };
         if granted && term == asked && kind == votes.kind {
             votes.from.insert(from.clone());
-            self.count(now, out);
+            self.count_votes(now, out);
         }
     }
 
-    /// Counts the candidate's own vote, which is on disk up to `upto`.
+    /// Counts the candidate's own vote once its write is durable; `upto` is the last
+    /// durable write.
     pub(super) fn count_own_vote(&mut self, now: Time, upto: WriteNo, out: &mut Outputs) {
         let me = self.settings.id().clone();
         let Role::Candidate(votes) = &mut self.role else {
@@ -164,11 +163,11 @@
         if votes.own.is_some_and(|no| no <= upto) {
             votes.own = None;
             votes.from.insert(me);
-            self.count(now, out);
+            self.count_votes(now, out);
         }
     }
 
-    /// Stands for election at once, because the leader wishes it.
+    /// Starts an election at once, at the request of a leader that transfers leadership.
     pub(super) fn timeout_now(
         &mut self,
         now: Time,
@@ -177,12 +176,12 @@
         out: &mut Outputs,
     ) {
         let follows = matches!(self.role, Role::Follower) && self.leader.as_ref() == Some(from);
-        if term == self.term && follows && self.may_vote() {
+        if term == self.term && follows && self.is_voter() {
             self.campaign(now, VoteKind::Transfer, out);
         }
     }
 
-    fn count(&mut self, now: Time, out: &mut Outputs) {
+    fn count_votes(&mut self, now: Time, out: &mut Outputs) {
         let Role::Candidate(votes) = &self.role else {
             return;
         };
@@ -199,11 +198,11 @@
         }
     }
 
-    /// Tells whether a leader counts on this replica not to elect another.
+    /// Returns whether a leader may rely on this replica not to elect another one.
     ///
-    /// Without the promise a lease would mean nothing: a majority could elect
-    /// a second leader while the first still acts.
-    fn promised(&self, now: Time) -> bool {
+    /// Without this restriction leases would be unsafe: a majority could elect a second
+    /// leader while the first one still acts.
+    fn bound_to_leader(&self, now: Time) -> bool {
         let election = self.settings.raw.election;
         let heard = self.heard.is_some_and(|heard| now < heard + election);
         if heard {
@@ -212,8 +211,8 @@
         heard || matches!(&self.role, Role::Leader(_) if self.leads(now))
     }
 
-    /// Tells whether this replica is a voter by its own log.
-    pub(super) fn may_vote(&self) -> bool {
+    /// Returns whether this replica is a voter according to its own log.
+    pub(super) fn is_voter(&self) -> bool {
         let members = self.journal.members();
         members.is_some_and(|members| members.voters.contains(self.id()))
     }
--- a/crates/replog/src/replica/follow.rs
+++ b/crates/replog/src/replica/follow.rs
@@ -1,4 +1,4 @@
-//! A follower: takes entries and snapshots from the leader.
+//! Follower: receives entries and snapshots from the leader.
 
 use base::{Bytes, Time};
 
@@ -11,22 +11,22 @@
     Term, message::Outcome,
 };
 
-/// The largest snapshot that a follower collects in memory, in bytes. The
-/// size to design for needs a few MB; a larger total is a malformed message.
-const SNAPSHOT_MAX: u64 = 64 << 20;
+/// The largest snapshot that a follower collects in memory, in bytes. Snapshots at the
+/// intended scale take a few MB; a larger total is treated as a malformed message.
+const SNAPSHOT_MAX_BYTES: u64 = 64 << 20;
 
-/// What a follower knows of its leader's log in the present term.
+/// A follower's view of the leader's log in the current term.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Follow {
     /// The last entry known to agree with the leader's.
-    agree: Index,
-    /// The newest round heard of.
+    matched: Index,
+    /// The newest heartbeat round received.
     round: u64,
-    /// Whether the leader's log begins where this one does.
-    based: bool,
-    /// The snapshot that is arriving.
+    /// Whether this log starts from a snapshot of the current leader.
+    has_base: bool,
+    /// The snapshot being received.
     incoming: Option<Incoming>,
-    /// The large entry that is arriving.
+    /// The large entry being received.
     pub(super) partial: Option<Partial>,
 }
 
@@ -37,7 +37,7 @@
     data: Vec<u8>,
 }
 
-/// One part of a snapshot as it arrives.
+/// A received part of a snapshot.
 struct Chunk {
     at: Position,
     members: Members,
@@ -48,8 +48,8 @@
 }
 
 impl Replica {
-    /// Takes `from` as the leader of `term`; returns whether it is.
-    pub(super) fn obey(
+    /// Accepts `from` as the leader of `term`; returns whether it was accepted.
+    pub(super) fn accept_leader(
         &mut self,
         now: Time,
         from: &ReplicaId,
@@ -65,11 +65,11 @@
         }
         self.become_follower(now, term, Some(from.clone()), out);
         self.heard = Some(now);
-        self.rearm(now);
+        self.reset_election_timer(now);
         true
     }
 
-    /// Takes entries or a part of a snapshot from the leader.
+    /// Handles entries or a part of a snapshot or of a large entry from the leader.
     pub(super) fn follow(&mut self, from: &ReplicaId, message: Message, out: &mut Outputs) {
         match message {
             Message::Append {
@@ -129,12 +129,12 @@
         }
     }
 
-    /// Tells the leader how far its log is on this disk, after a sync.
+    /// Reports to the leader how far its log is durable here, after a sync.
     pub(super) fn report_durable(&mut self, out: &mut Outputs) {
         let Some(leader) = self.leader.clone() else {
             return;
         };
-        if self.follow.agree > Index(0) {
+        if self.follow.matched > Index(0) {
             let outcome = self.matched();
             self.reply_append(&leader, self.follow.round, outcome, out);
         }
@@ -147,14 +147,14 @@
         commit: Index,
         out: &mut Outputs,
     ) -> Outcome {
-        // The founding members of a log that came to nothing would let this
-        // replica vote before it has caught up; the leader's replace them.
-        if self.unstarted() && !self.follow.based {
+        // The initial membership of a log that was never started would let this replica
+        // vote before it has caught up; the leader's snapshot replaces it.
+        if self.log_is_empty() && !self.follow.has_base {
             base::hit!(base_from_leader);
             return Outcome::Empty;
         }
-        // What is committed here is the same everywhere, also where it was
-        // compacted away and its term is no longer known.
+        // Committed entries are identical on all replicas, also where they have been
+        // compacted and their term is no longer known.
         let known = prev.index <= self.commit;
         if !known && self.journal.term_at(prev.index) != Some(prev.term) {
             return self.conflict(prev);
@@ -163,8 +163,8 @@
         for entry in entries {
             self.take_entry(entry);
         }
-        self.follow.agree = self.follow.agree.max(end);
-        self.commit = self.commit.max(commit.min(self.follow.agree));
+        self.follow.matched = self.follow.matched.max(end);
+        self.commit = self.commit.max(commit.min(self.follow.matched));
         self.apply(out);
         self.matched()
     }
@@ -183,8 +183,8 @@
         self.journal.append(entry);
     }
 
-    /// Says where to look next: before all entries of the term that doesn't
-    /// fit, so that one message skips a whole term.
+    /// Returns a conflict with a hint where to probe next: before all entries of the
+    /// conflicting term, so that one message skips a whole term.
     fn conflict(&self, prev: Position) -> Outcome {
         let last = self.journal.last().index;
         let hint = if last < prev.index {
@@ -198,11 +198,11 @@
         }
     }
 
-    /// Entries count only once they are on disk: an acknowledgement that a
-    /// crash makes untrue would let an accepted change vanish.
+    /// Reports only entries that are on disk: an acknowledgement that a crash makes
+    /// untrue could lose a committed change.
     fn matched(&self) -> Outcome {
         Outcome::Matched {
-            upto: self.follow.agree.min(self.writes.durable()),
+            upto: self.follow.matched.min(self.writes.durable()),
         }
     }
 
@@ -226,13 +226,13 @@
 
     fn chunk(&mut self, from: &ReplicaId, round: u64, chunk: Chunk, out: &mut Outputs) {
         if self.has(&chunk) {
-            self.follow.based = true;
-            self.follow.agree = self.follow.agree.max(chunk.at.index);
+            self.follow.has_base = true;
+            self.follow.matched = self.follow.matched.max(chunk.at.index);
             let outcome = self.matched();
             self.reply_append(from, round, outcome, out);
             return;
         }
-        if chunk.total > SNAPSHOT_MAX {
+        if chunk.total > SNAPSHOT_MAX_BYTES {
             return;
         }
         let at = chunk.at;
@@ -251,13 +251,13 @@
         });
     }
 
-    /// Tells whether the log holds all that the snapshot does.
+    /// Returns whether the log already holds everything that the snapshot covers.
     fn has(&self, chunk: &Chunk) -> bool {
         let same = self.journal.members() == Some(&chunk.members);
-        chunk.at.index <= self.commit && (!self.unstarted() || same)
+        chunk.at.index <= self.commit && (!self.log_is_empty() || same)
     }
 
-    /// Adds a part to the snapshot that is arriving; returns its length.
+    /// Appends a part to the snapshot being received; returns the bytes received so far.
     fn collect(&mut self, chunk: &Chunk) -> u64 {
         let fresh = || Incoming {
             at: chunk.at,
@@ -292,12 +292,12 @@
         if !kept {
             self.writes.truncate(self.commit.next());
         }
-        self.follow.based = true;
-        self.asked = None;
-        self.grown = Bytes(0);
+        self.follow.has_base = true;
+        self.pending_snapshot = None;
+        self.applied_bytes = Bytes(0);
         self.commit = index;
         self.applied = index;
-        self.follow.agree = self.follow.agree.max(index);
+        self.follow.matched = self.follow.matched.max(index);
         self.rewrite(out);
         if index > Index(0) {
             out.push(Output::Restore { index, data });
--- a/crates/replog/src/replica/found.rs
+++ b/crates/replog/src/replica/found.rs
@@ -1,9 +1,9 @@
-//! The start of a log that nobody has yet.
+//! Founding of a new log.
 //!
-//! The first instance by name founds the log when every configured instance
-//! has told it that it is unstarted. While one of them holds a log, or can't
-//! be asked, nothing is founded: an emptied folder can't make a second log
-//! beside the one that the others hold.
+//! The first instance by name founds the log once every configured instance has reported
+//! that it has no log. While one of them holds a log or is unreachable, nothing is
+//! founded, so a replica with an emptied folder can't create a second log beside the one
+//! that the others hold.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,80 +12,82 @@
 use super::{Replica, Role};
 use crate::{Index, Members, Message, Output, Outputs, Position, Record, ReplicaId, Snapshot};
 
-/// What an unstarted replica knows of the others.
+/// State of founding at a replica that has no log yet.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Founding {
-    /// The unstarted replicas that have called out.
-    seen: BTreeMap<InstanceName, Incarnation>,
-    /// Instances that a member named as members.
-    pub(crate) called: BTreeSet<InstanceName>,
-    /// Those that have the founding members on disk.
+    /// The replicas that have sent a join request, by instance with the newest
+    /// incarnation.
+    joining: BTreeMap<InstanceName, Incarnation>,
+    /// Instances that a member has named in [`Message::Ask`].
+    pub(crate) named: BTreeSet<InstanceName>,
+    /// Replicas that have the initial membership on disk.
     ready: BTreeSet<ReplicaId>,
 }
 
 impl Replica {
-    /// Tells whether this replica has no entry of any log yet. Founding
-    /// members alone don't count: no leader has been elected by them.
-    pub(super) fn unstarted(&self) -> bool {
+    /// Returns whether this replica has no log entry yet. An initial membership alone
+    /// doesn't count: no leader has been elected with it.
+    pub(super) fn log_is_empty(&self) -> bool {
         self.journal.last().index == Index(0)
     }
 
-    /// Tells whether `id` may be elected without an entry in its log.
+    /// Returns whether `id` may be elected without an entry in its log.
     ///
-    /// Were replicas without entries free to elect each other, emptied folders
-    /// could make a majority and found a second log beside one that holds
-    /// accepted changes.
+    /// If replicas without entries could elect each other, replicas with emptied folders
+    /// could form a majority and found a second log beside one that holds committed
+    /// changes.
     pub(super) fn is_founder(&self, id: &ReplicaId) -> bool {
         let members = self.journal.members();
         members.is_some_and(|members| members.voters.first() == Some(id))
     }
 
-    /// Asks all other instances to be taken in, again and again.
+    /// Sends a join request to all other instances and sets the timer to repeat it.
     ///
-    /// A replica that no leader sends to may have been removed, or the entry
-    /// that took it in was lost with its leader's term. Either way a member
-    /// answers: by its removal, or by taking it in.
-    pub(super) fn call_out(&mut self, now: Time, out: &mut Outputs) {
+    /// A replica that hears no leader may have been removed, or the entry that added it
+    /// was lost with its leader's term. In both cases a member answers: with the removal,
+    /// or by adding it again.
+    pub(super) fn request_join(&mut self, now: Time, out: &mut Outputs) {
         self.deadline = now + self.settings.raw.election;
-        for to in self.to_call() {
+        for to in self.join_contacts() {
             out.push(Output::Send {
                 to,
                 message: Message::Join,
             });
         }
-        if self.unstarted() {
+        if self.log_is_empty() {
             self.try_found(now, out);
         }
     }
 
-    /// Another replica is unstarted.
+    /// Handles a join request of another replica.
     pub(super) fn join(&mut self, now: Time, from: &ReplicaId, out: &mut Outputs) {
-        if self.tell_removed(from, out) {
+        if self.notify_removed(from, out) {
             return;
         }
         if matches!(self.role, Role::Leader(_)) {
-            self.take_in(now, from, out);
+            self.admit(now, from, out);
             return;
         }
-        if !self.unstarted() {
-            self.point_out_members(from, out);
+        if !self.log_is_empty() {
+            self.send_members(from, out);
             return;
         }
-        let seen = self.founding.seen.entry(from.instance.clone());
-        let life = seen.or_insert(from.life);
+        let joining = self.founding.joining.entry(from.instance.clone());
+        let life = joining.or_insert(from.life);
         *life = (*life).max(from.life);
         self.try_found(now, out);
     }
 
-    /// The founder names the founding members.
+    /// Handles the initial membership sent by the founder.
     pub(super) fn found(&mut self, from: &ReplicaId, members: Members, out: &mut Outputs) {
-        if !self.settings.raw.founds || !self.unstarted() || !members.voters.contains(self.id()) {
+        if !self.settings.raw.founds || !self.log_is_empty() || !members.voters.contains(self.id())
+        {
             return;
         }
         if self
             .journal
             .members()
-            .is_some_and(|old| !renews(old, &members))
+            .is_some_and(|old| !updates(old, &members))
         {
             base::hit!(founded_once);
             return;
@@ -95,9 +97,9 @@
         self.writes.send_after(from.instance.clone(), reply, out);
     }
 
-    /// Another replica has the founding members on disk.
+    /// Records that another replica has the initial membership on disk.
     pub(super) fn founded(&mut self, now: Time, from: &ReplicaId, members: &Members) {
-        if !self.unstarted() || self.journal.members() != Some(members) {
+        if !self.log_is_empty() || self.journal.members() != Some(members) {
             return;
         }
         self.founding.ready.insert(from.clone());
@@ -106,16 +108,17 @@
         }
     }
 
-    /// Tells whether all founding members have them on disk.
+    /// Returns whether all founding members have the initial membership on disk.
     ///
-    /// If the founder stood for election earlier and lost its folder then, its
-    /// next life could found the log anew with those that know nothing yet.
+    /// Without this check, a founder that starts an election and then loses its folder
+    /// could, as a new incarnation, found the log a second time with replicas that don't
+    /// know the first membership yet.
     fn all_ready(&self) -> bool {
         let Some(members) = self.journal.members() else {
             return false;
         };
         let mut others = members.voters.iter().filter(|id| *id != self.id());
-        others.all(|id| self.founding.ready.contains(id)) && self.writes.clean()
+        others.all(|id| self.founding.ready.contains(id)) && self.writes.all_durable()
     }
 
     fn try_found(&mut self, now: Time, out: &mut Outputs) {
@@ -128,7 +131,7 @@
         if first != Some(&me.instance) {
             return;
         }
-        let Some(members) = self.founders() else {
+        let Some(members) = self.initial_members() else {
             return;
         };
         if self.journal.members() != Some(&members) {
@@ -148,11 +151,11 @@
         }
     }
 
-    /// Returns the founding members once all have called out.
-    fn founders(&self) -> Option<Members> {
+    /// Returns the initial membership once all peers have sent a join request.
+    fn initial_members(&self) -> Option<Members> {
         let mut ids = vec![self.id().clone()];
         for instance in self.others() {
-            let life = *self.founding.seen.get(&instance)?;
+            let life = *self.founding.joining.get(&instance)?;
             ids.push(ReplicaId { instance, life });
         }
         Some(Members::founding(ids))
@@ -170,11 +173,11 @@
         self.writes.push(Record::Found(members.clone()));
     }
 
-    /// Names the members to a replica that asks to be taken in.
+    /// Names the members to a replica that has sent a join request.
     ///
-    /// Failure: the settings of a new instance name only members that don't
-    /// lead. They can't take it in, and it would call them for ever.
-    fn point_out_members(&self, from: &ReplicaId, out: &mut Outputs) {
+    /// Failure: the settings of a new instance list only members that don't lead. They
+    /// can't add it, and without this answer it would ask only them forever.
+    fn send_members(&self, from: &ReplicaId, out: &mut Outputs) {
         let Some(members) = self.journal.members() else {
             return;
         };
@@ -186,13 +189,13 @@
         });
     }
 
-    /// Returns the instances to ask to be taken in: the peers that are set, and
-    /// the members that the log or another member names. Peers may have been
-    /// replaced since they were set.
-    fn to_call(&self) -> BTreeSet<InstanceName> {
+    /// Returns the instances to send a join request to: the configured peers and the
+    /// members named by the log or by another member. Members may have been replaced
+    /// since the peers were configured.
+    fn join_contacts(&self) -> BTreeSet<InstanceName> {
         let mut all: BTreeSet<_> = self.others().into_iter().collect();
-        all.extend(self.founding.called.iter().cloned());
-        if !self.unstarted()
+        all.extend(self.founding.named.iter().cloned());
+        if !self.log_is_empty()
             && let Some(members) = self.journal.members()
         {
             all.extend(members.all().map(|id| id.instance.clone()));
@@ -208,11 +211,12 @@
     }
 }
 
-/// Tells whether the founder of `old` has brought it up to date as `new`.
+/// Returns whether `new` updates `old`: it comes from the same incarnation of the founder
+/// and names no older incarnation of any instance.
 ///
-/// Another life of the founder may have led already; what it says then must
-/// not replace members that a majority may have elected it by.
-fn renews(old: &Members, new: &Members) -> bool {
+/// The founder may have been elected with `old`; a membership from another incarnation of
+/// it must not replace `old`.
+fn updates(old: &Members, new: &Members) -> bool {
     let later = |(instance, life): (&InstanceName, &Incarnation)| {
         let other = new.lives.get(instance);
         other.is_some_and(|other| other >= life)
--- a/crates/replog/src/replica/grace.rs
+++ b/crates/replog/src/replica/grace.rs
@@ -1,10 +1,10 @@
-//! The wait after a restart, and when it may end early.
+//! The grace period after a restart, and when it may end early.
 //!
-//! A restarted replica gives no vote for an election timeout, because it may
-//! have promised that to a leader before. Where all processes were killed
-//! together nobody leads any more, and the whole deployment would wait for
-//! nothing. So the replica asks all voters. A lease ends with the leader that
-//! holds it: if none of them leads after the restart, no earlier promise binds.
+//! A restarted replica grants no vote for an election timeout, because it may have been
+//! bound to a leader before. If all processes were killed together, no leader is left,
+//! and the whole deployment would wait for nothing. So the replica asks all voters. A
+//! lease ends with the process of the leader that holds it: if none of the voters leads
+//! after the restart, no earlier lease is valid.
 
 use std::{collections::BTreeSet, time::Duration};
 
@@ -14,55 +14,55 @@
 use super::{Replica, Role};
 use crate::{Message, Output, Outputs, ReplicaId};
 
-/// Pause between two rounds of questions; the other processes start within
-/// some hundred milliseconds.
-const ASK_EVERY: Duration = Duration::from_millis(20);
+/// Interval between two rounds of queries; the other processes start within some hundred
+/// milliseconds.
+const QUERY_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Time between the voters' candidacies once the wait has ended. A vote takes
-/// two messages and a sync, which is less; two candidates at once would split
-/// it.
-const STAGGER: Duration = Duration::from_millis(25);
+/// Delay between the elections of consecutive voters once the grace period has ended. A
+/// vote takes two messages and a sync, which is less; two candidates at once would split
+/// the vote.
+const ELECTION_STAGGER: Duration = Duration::from_millis(25);
 
-/// The wait of a restarted replica.
+/// The grace period of a restarted replica.
 #[derive(Clone, Debug)]
 pub(crate) struct Grace {
-    /// Tells this life's questions from those of an earlier one, whose answers
-    /// may still be under way.
+    /// Distinguishes the queries of this process from those before a restart, whose
+    /// answers may still arrive.
     number: u64,
-    ask_at: Time,
-    /// When the wait ends by itself.
+    next_query: Time,
+    /// When the grace period ends without answers.
     until: Time,
     idle: BTreeSet<ReplicaId>,
 }
 
 impl Replica {
-    /// Begins the wait.
+    /// Starts the grace period.
     ///
-    /// Failure: before its restart this replica answered a leader's round and
-    /// thereby promised not to vote for a while. The promise was only in memory;
-    /// were it forgotten, a new leader could be elected while the old one's
-    /// lease still runs.
+    /// Failure: before its restart this replica answered a heartbeat round and thereby
+    /// committed itself not to vote for an election timeout. That commitment was only in
+    /// memory. If it were lost, a new leader could be elected while the old one's lease
+    /// is still valid.
     pub(super) fn begin_grace(&mut self, now: Time) {
         base::hit!(restart_grace);
         self.heard = Some(now);
-        if !self.may_vote() {
+        if !self.is_voter() {
             return;
         }
         self.grace = Some(Grace {
             number: self.rng.random(),
-            ask_at: now,
+            next_query: now,
             until: now + self.settings.raw.election,
             idle: BTreeSet::new(),
         });
     }
 
-    /// Returns when the voters have to be asked again.
+    /// Returns when to query the voters again.
     pub(super) fn grace_wake(&self) -> Option<Time> {
-        self.grace.as_ref().map(|grace| grace.ask_at)
+        self.grace.as_ref().map(|grace| grace.next_query)
     }
 
-    /// Asks the voters that haven't answered yet.
-    pub(super) fn ask_voters(&mut self, now: Time, out: &mut Outputs) {
+    /// Queries the voters that haven't answered yet.
+    pub(super) fn query_voters(&mut self, now: Time, out: &mut Outputs) {
         let Some(grace) = &mut self.grace else {
             return;
         };
@@ -70,10 +70,10 @@
             self.grace = None;
             return;
         }
-        if now < grace.ask_at {
+        if now < grace.next_query {
             return;
         }
-        grace.ask_at = now + ASK_EVERY;
+        grace.next_query = now + QUERY_INTERVAL;
         let number = grace.number;
         let Some(members) = self.journal.members() else {
             return;
@@ -88,8 +88,8 @@
         }
     }
 
-    /// Answers a restarted replica, unless this one may hold a lease.
-    pub(super) fn leading(&self, from: &ReplicaId, number: u64, out: &mut Outputs) {
+    /// Answers the query of a restarted replica, unless this one may hold a lease.
+    pub(super) fn answer_leading(&self, from: &ReplicaId, number: u64, out: &mut Outputs) {
         if matches!(self.role, Role::Leader(_)) {
             return;
         }
@@ -99,12 +99,12 @@
         });
     }
 
-    /// Ends the wait once every voter has said that it doesn't lead.
+    /// Ends the grace period once every voter has answered that it doesn't lead.
     ///
-    /// Failure: a change of members hides a leader: it isn't a voter by this
-    /// replica's log, so nobody asks it. Whoever elected it has its vote on
-    /// disk and keeps waiting; the others are no majority.
-    pub(super) fn idle(&mut self, now: Time, from: &ReplicaId, number: u64) {
+    /// Failure: a membership change hides a leader, which isn't a voter by this replica's
+    /// log and so is not queried. A replica that elected it has its vote on disk and
+    /// keeps waiting; the others are no majority.
+    pub(super) fn record_idle(&mut self, now: Time, from: &ReplicaId, number: u64) {
         let (Some(grace), Some(members)) = (&mut self.grace, self.journal.members()) else {
             return;
         };
@@ -124,6 +124,6 @@
         let rank = u32::try_from(rank).unwrap_or(u32::MAX);
         self.grace = None;
         self.heard = None;
-        self.deadline = now + STAGGER * (rank + 1);
+        self.deadline = now + ELECTION_STAGGER * (rank + 1);
     }
 }
--- a/crates/replog/src/replica/lead.rs
+++ b/crates/replog/src/replica/lead.rs
@@ -1,4 +1,4 @@
-//! A leader: takes proposals, counts acknowledgements, hands over.
+//! Leader: accepts proposals, counts acknowledgements and transfers leadership.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -10,31 +10,32 @@
     journal::entry_size,
 };
 
-/// Election timeouts that a write of the leader may take before it hands over
+/// Election timeouts that a write of the leader may take before leadership is transferred
 /// to a replica whose disk answers.
-const STALL_MAX: u32 = 4;
+const STALL_TIMEOUTS: u32 = 4;
 
-/// Election timeouts that a handover waits for a follower to catch up.
-const HANDOVER_MAX: u32 = 4;
+/// Election timeouts that a leadership transfer waits for a follower to catch up.
+const TRANSFER_TIMEOUTS: u32 = 4;
 
-/// What a leader knows in its term.
+/// State of a leader in its term.
 #[derive(Clone, Debug)]
 pub(crate) struct Leader {
     pub(super) progress: BTreeMap<ReplicaId, Progress>,
     /// The number of the newest heartbeat round.
     pub(super) round: u64,
-    /// When the latest rounds began.
+    /// Numbers and start times of the latest heartbeat rounds.
     rounds: VecDeque<(u64, Time)>,
-    next_beat: Time,
+    next_heartbeat: Time,
     /// When it was elected.
     since: Time,
-    /// The entry that began its term.
+    /// The no-op entry appended at the start of its term.
     pub(super) noop: Index,
-    /// Proposals without an answer: ticket if any, and size.
+    /// Unanswered entries: the proposal's ticket, if there is one, and the entry's size
+    /// in bytes.
     waiting: BTreeMap<Index, (Option<u64>, u64)>,
-    /// When a handover gives up, if one is under way.
-    handover: Option<Time>,
-    /// Since when the disk owes an acknowledgement.
+    /// Deadline of the leadership transfer, if one is in progress.
+    transfer_deadline: Option<Time>,
+    /// Since when a write has been unacknowledged by the disk.
     stalled: Option<Time>,
 }
 
@@ -48,32 +49,32 @@
     }
 
     pub(super) fn next_wake(&self) -> Time {
-        self.next_beat
+        self.next_heartbeat
     }
 
-    /// Forgets a replica that was removed.
+    /// Drops the progress of a removed replica.
     pub(super) fn forget(&mut self, id: &ReplicaId) {
         self.progress.remove(id);
     }
 
-    /// Returns the replicas that entries go to.
+    /// Returns the replicas that this leader replicates to.
     pub(super) fn followers(&self) -> Vec<ReplicaId> {
         self.progress.keys().cloned().collect()
     }
 
-    /// Returns how far a follower's log agrees.
+    /// Returns the last matching entry of a follower.
     pub(super) fn matched(&self, id: &ReplicaId) -> Option<Index> {
         self.progress.get(id).map(|progress| progress.matched)
     }
 
-    /// Returns when a follower was heard last; the beginning of the term, or
-    /// of sending to it, if it never was.
+    /// Returns when a follower was last heard from; if it never was, when replication to
+    /// it or the term began.
     pub(super) fn last_heard(&self, id: &ReplicaId) -> Time {
         let progress = self.progress.get(id);
         progress.map_or(self.since, |p| p.acked.unwrap_or(p.since))
     }
 
-    /// Returns since when the leader sends to a follower.
+    /// Returns when the leader began to replicate to a follower.
     pub(super) fn tracked_since(&self, id: &ReplicaId) -> Option<Time> {
         self.progress.get(id).map(|progress| progress.since)
     }
@@ -82,7 +83,7 @@
         self.waiting.values().map(|(_, size)| size).sum()
     }
 
-    /// Returns when a round began, if that is not long ago.
+    /// Returns the start of a heartbeat round, if it is recent enough to be recorded.
     pub(super) fn round_start(&self, round: u64) -> Option<Time> {
         let found = self.rounds.iter().find(|(no, _)| *no == round);
         found.map(|(_, start)| *start)
@@ -96,24 +97,24 @@
             progress: BTreeMap::new(),
             round: 0,
             rounds: VecDeque::new(),
-            next_beat: now,
+            next_heartbeat: now,
             since: now,
             noop: last.next(),
             waiting: BTreeMap::new(),
-            handover: None,
+            transfer_deadline: None,
             stalled: None,
         }));
         self.leader = Some(self.id().clone());
         self.heard = None;
-        self.tries = 0;
+        self.attempts = 0;
         self.track_members(now, last);
-        // Entries of earlier terms are committed only together with one of
-        // this term, so there has to be one.
+        // Entries of earlier terms are committed only through an entry of the current
+        // term, so a new leader appends one.
         self.push_entry(None, Payload::Noop);
-        self.beat(now, out);
+        self.heartbeat(now, out);
     }
 
-    /// Puts a proposal into the log, or says why not.
+    /// Appends a proposal to the log, or rejects it with a reason.
     pub(super) fn propose(&mut self, ticket: u64, payload: Payload, out: &mut Outputs) {
         let Err(why) = self.may_propose(&payload) else {
             self.push_entry(Some(ticket), payload);
@@ -126,12 +127,12 @@
         let Role::Leader(leader) = &self.role else {
             return Err(WhyNot::NotLeader);
         };
-        if leader.handover.is_some() {
+        if leader.transfer_deadline.is_some() {
             return Err(WhyNot::NotLeader);
         }
         if self.full {
-            // With the rest of the disk used up by proposals, not even a vote
-            // could be written, and the log would stop for good.
+            // If proposals used up the remaining space, not even a vote could be written,
+            // and the log would stop permanently.
             base::hit!(refused_when_full);
             return Err(WhyNot::DiskFull);
         }
@@ -145,7 +146,7 @@
         Ok(())
     }
 
-    /// Appends an entry of this term.
+    /// Appends an entry in the current term.
     pub(super) fn push_entry(&mut self, ticket: Option<u64>, payload: Payload) {
         let index = self.journal.last().index.next();
         let term = self.term;
@@ -160,7 +161,7 @@
         self.journal.append(entry);
     }
 
-    /// Follows the replicas that the log names from here on.
+    /// Starts replicating to members that were added.
     pub(super) fn track_members(&mut self, now: Time, last: Index) {
         let me = self.settings.id();
         let (Role::Leader(leader), Some(members)) = (&mut self.role, self.journal.members()) else {
@@ -174,15 +175,14 @@
 
     /// Steps down when no majority has answered for an election timeout.
     ///
-    /// A leader that is cut off alone would keep proposals waiting for ever,
-    /// and callers would not look for the new leader. This is done before any
-    /// input is looked at: after a freeze, the first thing that happens is
-    /// that the old leader stops being one.
+    /// A partitioned leader would keep proposals waiting indefinitely, and callers would
+    /// not look for the new leader. This check runs before any input is handled: after a
+    /// process was suspended, an outdated leader steps down first.
     pub(super) fn check_quorum(&mut self, now: Time, out: &mut Outputs) {
         let Role::Leader(leader) = &self.role else {
             return;
         };
-        let contact = self.contact(leader, now);
+        let contact = self.quorum_contact(leader, now);
         let contact = contact.unwrap_or(leader.since).max(leader.since);
         if now >= contact + self.settings.raw.election {
             base::hit!(quorum_lost);
@@ -190,9 +190,9 @@
         }
     }
 
-    /// Returns the moment until which a majority of voters has answered: the
-    /// beginning of the newest round that so many have answered.
-    pub(super) fn contact(&self, leader: &Leader, now: Time) -> Option<Time> {
+    /// Returns the start of the newest heartbeat round that a majority of voters has
+    /// answered.
+    pub(super) fn quorum_contact(&self, leader: &Leader, now: Time) -> Option<Time> {
         let members = self.journal.members()?;
         let heard = |id| match leader.progress.get(id) {
             _ if id == self.id() => Some(now),
@@ -204,17 +204,17 @@
         times.get(members.majority() - 1).copied().flatten()
     }
 
-    /// Begins a heartbeat round when one is due.
-    pub(super) fn beat(&mut self, now: Time, out: &mut Outputs) {
+    /// Starts a heartbeat round when one is due.
+    pub(super) fn heartbeat(&mut self, now: Time, out: &mut Outputs) {
         let settings = &self.settings.raw;
-        let clean = self.writes.clean();
+        let clean = self.writes.all_durable();
         let Role::Leader(leader) = &mut self.role else {
             return;
         };
-        if now < leader.next_beat {
+        if now < leader.next_heartbeat {
             return;
         }
-        leader.next_beat = now + settings.heartbeat;
+        leader.next_heartbeat = now + settings.heartbeat;
         leader.round += 1;
         leader.rounds.push_back((leader.round, now));
         while let Some((_, start)) = leader.rounds.front()
@@ -228,16 +228,16 @@
             since => since,
         };
         for id in leader.followers() {
-            self.beat_one(&id, out);
+            self.send_heartbeat(&id, out);
         }
-        self.pass_on_trouble(now);
-        self.retire_silent(now);
+        self.transfer_from_failing_disk(now);
+        self.remove_unresponsive(now);
     }
 
-    /// Hands over when this replica's disk is full or doesn't answer, and
-    /// another one's may.
-    fn pass_on_trouble(&mut self, now: Time) {
-        let limit = self.settings.raw.election * STALL_MAX;
+    /// Starts a leadership transfer when this replica's disk is full or doesn't answer,
+    /// and another replica has caught up and reports space.
+    fn transfer_from_failing_disk(&mut self, now: Time) {
+        let limit = self.settings.raw.election * STALL_TIMEOUTS;
         let Role::Leader(leader) = &self.role else {
             return;
         };
@@ -246,50 +246,51 @@
         let other = leader.progress.values().any(better);
         if (stuck || self.full) && other {
             base::hit!(trouble_passed_on);
-            self.hand_over(now);
+            self.transfer_leadership(now);
         }
     }
 
-    /// Begins to hand leadership over.
-    pub(super) fn hand_over(&mut self, now: Time) {
-        let limit = self.settings.raw.election * HANDOVER_MAX;
+    /// Starts a leadership transfer.
+    pub(super) fn transfer_leadership(&mut self, now: Time) {
+        let limit = self.settings.raw.election * TRANSFER_TIMEOUTS;
         if let Role::Leader(leader) = &mut self.role
             && !leader.progress.is_empty()
         {
-            leader.handover.get_or_insert(now + limit);
+            leader.transfer_deadline.get_or_insert(now + limit);
         }
     }
 
-    /// Hands over once a follower has everything and every proposal is
-    /// answered; gives up leadership in any case when that takes too long.
-    pub(super) fn finish_handover(&mut self, now: Time, out: &mut Outputs) {
+    /// Completes a leadership transfer once a follower has caught up and every proposal
+    /// is answered; steps down in any case at the deadline.
+    pub(super) fn finish_transfer(&mut self, now: Time, out: &mut Outputs) {
         let Role::Leader(leader) = &self.role else {
             return;
         };
-        let Some(deadline) = leader.handover else {
+        let Some(deadline) = leader.transfer_deadline else {
             return;
         };
         let last = self.journal.last().index;
         let ready = leader.waiting.is_empty();
-        let heir = ready.then(|| self.heir(leader, last)).flatten();
-        if heir.is_none() && now < deadline {
+        let successor = ready.then(|| self.successor(leader, last)).flatten();
+        if successor.is_none() && now < deadline {
             return;
         }
-        if let Some(heir) = heir {
+        if let Some(successor) = successor {
             base::hit!(handed_over);
             out.push(Output::Send {
-                to: heir.instance,
+                to: successor.instance,
                 message: Message::TimeoutNow { term: self.term },
             });
         }
-        // From here on the follower may be elected without waiting for the
-        // lease, so this replica stops being leader first.
+        // From here on the follower may be elected without waiting for the lease to
+        // expire, so this replica steps down first.
         self.step_down(now, self.term, out);
         self.deadline = self.deadline + self.settings.raw.election;
     }
 
-    /// Returns the voter that has the whole log and answered last.
-    fn heir(&self, leader: &Leader, last: Index) -> Option<ReplicaId> {
+    /// Returns the most recently heard voter that has the full log, preferring one whose
+    /// disk isn't full.
+    fn successor(&self, leader: &Leader, last: Index) -> Option<ReplicaId> {
         let members = self.journal.members()?;
         let fit = |(id, progress): &(&ReplicaId, &Progress)| {
             members.voters.contains(id) && progress.matched == last
@@ -299,7 +300,7 @@
         Some(best.0.clone())
     }
 
-    /// Commits what a majority has on disk.
+    /// Commits entries that a majority has on disk.
     pub(super) fn advance_commit(&mut self, out: &mut Outputs) {
         let (Role::Leader(leader), Some(members)) = (&self.role, self.journal.members()) else {
             return;
@@ -317,9 +318,9 @@
         if upto <= self.commit {
             return;
         }
-        // An entry of an earlier term on a majority can still be replaced by a
-        // leader that never saw it; only an entry of this term in front of it
-        // keeps such a leader from being elected.
+        // An entry of an earlier term on a majority can still be replaced by a leader
+        // that never received it. Only an entry of the current term after it prevents the
+        // election of such a leader.
         if self.journal.term_at(upto) != Some(self.term) {
             base::hit!(commit_own_term);
             return;
--- a/crates/replog/src/replica/members.rs
+++ b/crates/replog/src/replica/members.rs
@@ -1,20 +1,20 @@
-//! Changes of the replicas themselves, one at a time.
+//! Membership changes, one at a time.
 //!
-//! Two majorities of member sets that differ by one voter always share a
-//! replica. So a change begins only after the last one is committed, and
-//! never moves more than one voter.
+//! Majorities of two memberships that differ by one voter always overlap. So a change
+//! begins only after the previous one is committed, and changes at most one voter.
 
 use base::Time;
 
 use super::{Replica, Role, not_accepted};
 use crate::{HaltReason, Index, Members, Message, Output, Outputs, Payload, ReplicaId, WhyNot};
 
-/// Voters that remain at least when a silent one is removed: fewer could not
-/// lose another and go on.
+/// Voters that have to remain when an unresponsive one is removed: with fewer, the loss
+/// of another one would leave no quorum.
 const VOTERS_MIN: usize = 3;
 
-/// How many times sooner a silent voter goes that has been replaced already.
-const REPLACED: u32 = 4;
+/// Divides the time until an unresponsive voter is removed if a replacement has joined
+/// already.
+const REPLACED_DIVISOR: u32 = 4;
 
 impl Replica {
     /// Adds a replica as a learner.
@@ -25,7 +25,7 @@
         id: ReplicaId,
         out: &mut Outputs,
     ) {
-        let result = self.idle_members(now).and_then(|members| {
+        let result = self.changeable_members(now).and_then(|members| {
             let newest = members.lives.get(&id.instance);
             let older = newest.is_some_and(|life| *life >= id.life);
             let next = members.with_learner(id);
@@ -45,7 +45,7 @@
         id: &ReplicaId,
         out: &mut Outputs,
     ) {
-        let result = self.idle_members(now).and_then(|members| {
+        let result = self.changeable_members(now).and_then(|members| {
             let next = members.without(&id.instance);
             if !members.contains(id) || next.voters.is_empty() {
                 return Err(WhyNot::BadChange);
@@ -55,9 +55,9 @@
         self.change(now, Some(ticket), result, out);
     }
 
-    /// Takes in an unstarted replica that has called out, if its instance is
-    /// meant to have one.
-    pub(super) fn take_in(&mut self, now: Time, from: &ReplicaId, out: &mut Outputs) {
+    /// Adds a replica that has sent a join request, if its instance should have a
+    /// replica.
+    pub(super) fn admit(&mut self, now: Time, from: &ReplicaId, out: &mut Outputs) {
         let meant = self.settings.raw.open || self.settings.raw.peers.contains(&from.instance);
         let known = self.journal.members();
         let known = known.is_some_and(|members| members.contains(from));
@@ -66,13 +66,13 @@
         }
     }
 
-    /// Makes voters of learners that have caught up.
+    /// Promotes a learner that has caught up to a voter.
     ///
-    /// A new replica that voted at once would count towards a majority with
-    /// an empty log: an entry that one of two others holds could be lost with
-    /// that one alone.
+    /// A new replica that voted at once would count towards a majority with an empty log:
+    /// a committed entry held by only one of two other voters would be lost with that
+    /// one.
     pub(super) fn promote(&mut self, now: Time) {
-        let Ok(members) = self.idle_members(now) else {
+        let Ok(members) = self.changeable_members(now) else {
             return;
         };
         let Role::Leader(leader) = &self.role else {
@@ -87,18 +87,18 @@
         self.push_members(now, None, next);
     }
 
-    /// Removes a voter that has been silent for too long.
+    /// Removes a voter that has been unresponsive for too long.
     ///
-    /// Failure: an instance is replaced for good by an empty one under another
-    /// name. The dead voter stays in the count, so a majority of four is three
-    /// and the next loss stops the log although two of three would do. Only a
-    /// voter is removed whose absence leaves [`VOTERS_MIN`] that all answer; one
-    /// that has been replaced by a voter taken in since goes much sooner.
-    pub(super) fn retire_silent(&mut self, now: Time) {
+    /// Failure: an instance is replaced permanently by an empty one under another name.
+    /// The dead voter still counts, so a majority of four is three, and the next loss
+    /// stops the log although two of three would suffice. A voter is only removed if at
+    /// least [`VOTERS_MIN`] voters remain and all of them answer; one whose replacement
+    /// has become a voter since is removed much sooner.
+    pub(super) fn remove_unresponsive(&mut self, now: Time) {
         let Some(limit) = self.settings.raw.retire else {
             return;
         };
-        let Ok(members) = self.idle_members(now) else {
+        let Ok(members) = self.changeable_members(now) else {
             return;
         };
         let Role::Leader(leader) = &self.role else {
@@ -120,7 +120,11 @@
             .voters
             .iter()
             .any(|other| leader.tracked_since(other) > Some(last));
-        let limit = if replaced { limit / REPLACED } else { limit };
+        let limit = if replaced {
+            limit / REPLACED_DIVISOR
+        } else {
+            limit
+        };
         if now.since(last) < limit {
             return;
         }
@@ -129,7 +133,7 @@
         self.push_members(now, None, next);
     }
 
-    /// A change of members is committed: takes leave of those removed.
+    /// Handles a committed membership change: notifies removed replicas.
     pub(super) fn members_committed(&mut self, members: &Members, out: &mut Outputs) {
         if members.removed(self.id()) {
             self.halt(HaltReason::Removed, out);
@@ -147,32 +151,31 @@
                 continue;
             }
             leader.forget(&id);
-            out.push(removal(id));
+            out.push(removed_message(id));
         }
     }
 
-    /// Tells a removed replica that stands for election that it is none;
-    /// returns whether it was one.
+    /// Notifies `id` if it is a removed replica; returns whether it is one.
     ///
-    /// A committed removal is final, so any member may say so. The removed
-    /// one may know no member that leads by now.
-    pub(super) fn tell_removed(&self, id: &ReplicaId, out: &mut Outputs) -> bool {
+    /// A committed removal is final, so any member may report it. The removed replica may
+    /// not know any member that still leads.
+    pub(super) fn notify_removed(&self, id: &ReplicaId, out: &mut Outputs) -> bool {
         let members = self.journal.members();
         let gone = self.members_settled() && members.is_some_and(|members| members.removed(id));
         if gone {
             base::hit!(removed_never_elected);
-            out.push(removal(id.clone()));
+            out.push(removed_message(id.clone()));
         }
         gone
     }
 
-    /// Returns the members if a change may begin now.
-    fn idle_members(&self, now: Time) -> Result<Members, WhyNot> {
+    /// Returns the membership if a change may begin now.
+    fn changeable_members(&self, now: Time) -> Result<Members, WhyNot> {
         let Role::Leader(leader) = &self.role else {
             return Err(WhyNot::NotLeader);
         };
-        // Before an entry of its own term is committed, a leader can't know
-        // whether an earlier change of members holds.
+        // Before an entry of its own term is committed, a leader can't know whether an
+        // earlier membership change is committed.
         if !self.leads(now) || self.commit < leader.noop {
             return Err(WhyNot::NotLeader);
         }
@@ -205,7 +208,7 @@
     }
 }
 
-fn removal(id: ReplicaId) -> Output {
+fn removed_message(id: ReplicaId) -> Output {
     Output::Send {
         to: id.instance.clone(),
         message: Message::Removed { id },
--- a/crates/replog/src/replica/piece.rs
+++ b/crates/replog/src/replica/piece.rs
@@ -1,9 +1,9 @@
-//! An entry that is too large for one message: cut by the leader, joined by the
-//! follower.
+//! Transfer of entries that are too large for one message: split by the leader, joined by
+//! the follower.
 //!
-//! A message may take half a second on its way. An entry of megabytes on a link that
-//! is slower than usual takes longer, and was sent anew without end. In parts it
-//! takes as long as it needs, while heartbeats pass between them.
+//! A message is dropped if its delivery takes longer than half a second. An entry of
+//! megabytes on a slow link takes longer and would be resent forever. Sent in parts, it
+//! may take as long as the link needs, and heartbeats pass between the parts.
 
 use super::{
     Replica,
@@ -15,22 +15,22 @@
     message::Outcome,
 };
 
-/// Heartbeats after which a part without an answer is sent again; a message that
-/// takes longer than an election timeout is lost.
-const RESEND_BEATS: u32 = 5;
+/// Heartbeats after which an unanswered part is resent; a message that takes longer than
+/// an election timeout counts as lost.
+const RESEND_HEARTBEATS: u32 = 5;
 
 /// The largest command that a follower collects in memory, in bytes.
-const COMMAND_MAX: u64 = 64 << 20;
+const COMMAND_MAX_BYTES: u64 = 64 << 20;
 
-/// An entry on its way to a follower, part by part.
+/// A transfer of an entry to a follower, part by part.
 #[derive(Clone, Debug)]
-pub(crate) struct Cut {
-    /// The entry.
+pub(crate) struct EntryTransfer {
+    /// The position of the entry.
     pub(crate) at: Position,
-    /// Bytes of its command that the follower has.
+    /// Bytes of its command that the follower has received.
     offset: u64,
-    /// Heartbeats since the part at `offset` was sent; nothing while it wasn't.
-    beats: Option<u32>,
+    /// Heartbeats since the part at `offset` was sent; `None` if it is not sent yet.
+    heartbeats: Option<u32>,
 }
 
 /// A part of a command.
@@ -39,14 +39,14 @@
     pub(super) data: Blob,
 }
 
-/// A large entry as it arrives at a follower.
+/// A large entry being received by a follower.
 #[derive(Clone, Debug)]
 pub(super) struct Partial {
     at: Position,
     data: Vec<u8>,
 }
 
-/// One part of a large entry as it arrives.
+/// A received part of a large entry.
 pub(super) struct Piece {
     pub(super) prev: Position,
     pub(super) at: Position,
@@ -56,7 +56,7 @@
     pub(super) commit: Index,
 }
 
-/// Returns the command of an entry that doesn't fit a message of `limit` bytes.
+/// Returns position and command of an entry that doesn't fit a message of `limit` bytes.
 pub(super) fn command(entry: &Entry, limit: u64) -> Option<(Position, &Blob)> {
     match &entry.payload {
         Payload::Command(command) if entry_size(entry) > limit => Some((entry.at, command)),
@@ -64,22 +64,22 @@
     }
 }
 
-impl Cut {
+impl EntryTransfer {
     pub(super) fn new(at: Position) -> Self {
-        Cut {
+        EntryTransfer {
             at,
             offset: 0,
-            beats: None,
+            heartbeats: None,
         }
     }
 
-    /// Returns the next part of at most `limit` bytes; nothing while an answer to the
-    /// one before is awaited.
+    /// Returns the next part of at most `limit` bytes; `None` while the previous one is
+    /// unanswered.
     pub(super) fn next_part(&mut self, command: &Blob, limit: u64) -> Option<Part> {
-        if self.beats.is_some() {
+        if self.heartbeats.is_some() {
             return None;
         }
-        self.beats = Some(0);
+        self.heartbeats = Some(0);
         let end = (self.offset + limit).min(command.len() as u64);
         Some(Part {
             offset: self.offset,
@@ -87,29 +87,31 @@
         })
     }
 
-    /// Counts a heartbeat; a part that was not answered for long goes again.
-    pub(super) fn beat(&mut self) {
-        self.beats = match self.beats {
-            Some(beats) if beats >= RESEND_BEATS => {
+    /// Counts a heartbeat, and schedules a resend of a part that has been unanswered for
+    /// too long.
+    pub(super) fn count_heartbeat(&mut self) {
+        self.heartbeats = match self.heartbeats {
+            Some(heartbeats) if heartbeats >= RESEND_HEARTBEATS => {
                 base::hit!(piece_sent_again);
                 None
             }
-            Some(beats) => Some(beats + 1),
+            Some(heartbeats) => Some(heartbeats + 1),
             None => None,
         };
     }
 }
 
 impl Progress {
-    /// Takes the word that the first `received` bytes of a large entry have arrived.
+    /// Handles the acknowledgement of the first `received` bytes of a large entry.
     ///
-    /// A doubled answer sends nothing, and one that says less than another before is
-    /// followed only if the part isn't answered at all: it may just be late.
+    /// A duplicate answer triggers no send. An answer with fewer bytes than an earlier
+    /// one may just be delayed: it sets the offset, but a resend only follows if the
+    /// outstanding part stays unanswered.
     pub(super) fn piece_received(&mut self, from: Position, received: u64, journal: &Journal) {
-        let Mode::Stream { cut, .. } = &mut self.mode else {
+        let Mode::Stream { transfer, .. } = &mut self.mode else {
             return;
         };
-        let Some(cut) = cut.as_mut().filter(|cut| cut.at == from) else {
+        let Some(transfer) = transfer.as_mut().filter(|transfer| transfer.at == from) else {
             return;
         };
         let entry = journal.get(from.index).filter(|entry| entry.at == from);
@@ -123,10 +125,10 @@
         if received > total {
             return;
         }
-        if received > cut.offset {
-            cut.beats = None;
+        if received > transfer.offset {
+            transfer.heartbeats = None;
         }
-        cut.offset = received;
+        transfer.offset = received;
         if received == total {
             self.sent(std::slice::from_ref(entry));
         }
@@ -134,11 +136,11 @@
 }
 
 impl Replica {
-    /// Takes a part of a large entry from the leader.
+    /// Handles a part of a large entry from the leader.
     pub(super) fn piece(&mut self, from: &ReplicaId, round: u64, piece: Piece, out: &mut Outputs) {
         let known = self.journal.term_at(piece.at.index) == Some(piece.at.term);
         let outcome = self.append(piece.prev, Vec::new(), piece.commit, out);
-        if !matches!(outcome, Outcome::Matched { .. }) || piece.total > COMMAND_MAX {
+        if !matches!(outcome, Outcome::Matched { .. }) || piece.total > COMMAND_MAX_BYTES {
             self.reply_append(from, round, outcome, out);
             return;
         }
@@ -168,7 +170,7 @@
         self.reply_append(from, round, outcome, out);
     }
 
-    /// Adds a part to the entry that is arriving; returns how much of it has come.
+    /// Appends a part to the entry being received; returns the bytes received so far.
     fn collect_piece(&mut self, piece: &Piece) -> u64 {
         let partial = &mut self.follow.partial;
         if partial.as_ref().is_some_and(|other| other.at != piece.at) {
@@ -185,7 +187,7 @@
         partial.data.len() as u64
     }
 
-    /// Returns the entry that is whole now.
+    /// Returns the entry once all of its parts have been received.
     fn joined(&mut self, piece: &Piece) -> Option<Entry> {
         let partial = self.follow.partial.take()?;
         (partial.at == piece.at).then(|| Entry {
--- a/crates/replog/src/replica/progress.rs
+++ b/crates/replog/src/replica/progress.rs
@@ -1,56 +1,56 @@
-//! What a leader knows of one follower.
+//! A leader's view of one follower's replication progress.
 
 use std::collections::VecDeque;
 
 use base::Time;
 
-use super::piece::Cut;
+use super::piece::EntryTransfer;
 use crate::{Entry, Index, Position, Snapshot, journal::entry_size};
 
-/// How a leader sends to one follower.
+/// How a leader replicates to one follower.
 #[derive(Clone, Debug)]
 pub(crate) enum Mode {
-    /// It looks for the place where the logs agree, one message at a time.
+    /// Searches the index up to which the logs agree, one message at a time.
     Probe {
-        /// Whether a message went out since the last heartbeat.
+        /// Whether a message was sent since the last heartbeat.
         sent: bool,
     },
-    /// It sends ahead of the acknowledgements, within a window.
+    /// Sends entries ahead of acknowledgements, within a window.
     Stream {
-        /// The last entry of each message on its way, and its bytes.
-        flying: VecDeque<(Index, u64)>,
-        /// The next entry, while it goes in parts.
-        cut: Option<Cut>,
+        /// For each message in flight, its last entry and its size in bytes.
+        in_flight: VecDeque<(Index, u64)>,
+        /// The transfer of the next entry, if that is sent in parts.
+        transfer: Option<EntryTransfer>,
     },
-    /// It sends a snapshot, chunk by chunk.
+    /// Sends a snapshot, chunk by chunk.
     Snapshot {
         /// The snapshot.
         snapshot: Snapshot,
-        /// Its checksum.
+        /// CRC-32 of the snapshot.
         crc: u32,
-        /// How much the follower has.
+        /// Bytes that the follower has received.
         offset: u64,
     },
 }
 
-/// What a leader knows of one follower.
+/// A leader's view of one follower's replication progress.
 #[derive(Clone, Debug)]
 pub(crate) struct Progress {
-    /// The last entry on the follower's disk that agrees.
+    /// The last matching entry on the follower's disk.
     pub(crate) matched: Index,
     /// The next entry to send.
     pub(crate) next: Index,
     pub(crate) mode: Mode,
-    /// When the newest round that it has answered began.
+    /// Start of the newest heartbeat round that the follower has answered.
     pub(crate) acked: Option<Time>,
     /// Whether its disk is full.
     pub(crate) full: bool,
-    /// Since when the leader sends to it.
+    /// When the leader began to replicate to it.
     pub(crate) since: Time,
 }
 
 impl Progress {
-    /// Starts with the guess that the follower has all up to `last`.
+    /// Starts from the assumption that the follower has all entries up to `last`.
     pub(crate) fn new(last: Index, since: Time) -> Self {
         Progress {
             matched: Index(0),
@@ -62,37 +62,43 @@
         }
     }
 
-    /// The bytes on their way.
-    pub(crate) fn flying(&self) -> u64 {
+    /// Returns the bytes in flight.
+    pub(crate) fn bytes_in_flight(&self) -> u64 {
         match &self.mode {
-            Mode::Stream { flying, .. } => flying.iter().map(|(_, size)| size).sum(),
+            Mode::Stream { in_flight, .. } => in_flight.iter().map(|(_, size)| size).sum(),
             _ => 0,
         }
     }
 
-    /// Notes a message with `entries` as sent.
+    /// Records that a message with `entries` was sent.
     pub(crate) fn sent(&mut self, entries: &[Entry]) {
         match &mut self.mode {
             Mode::Probe { sent } => *sent = true,
-            Mode::Stream { flying, cut } => {
-                *cut = None;
+            Mode::Stream {
+                in_flight,
+                transfer,
+            } => {
+                *transfer = None;
                 let size = entries.iter().map(entry_size).sum();
                 self.next = Index(self.next.get() + entries.len() as u64);
-                flying.push_back((self.next.prev(), size));
+                in_flight.push_back((self.next.prev(), size));
             }
             Mode::Snapshot { .. } => {}
         }
     }
 
-    /// Takes the acknowledgement of all entries up to `upto`.
-    pub(crate) fn agree(&mut self, upto: Index) {
+    /// Handles the acknowledgement of all entries up to `upto`.
+    pub(crate) fn acknowledge(&mut self, upto: Index) {
         self.matched = self.matched.max(upto);
         self.next = self.next.max(self.matched.next());
         let reached = |snapshot: &Snapshot| self.matched >= snapshot.at.index;
         match &mut self.mode {
-            Mode::Stream { flying, cut } => {
-                flying.retain(|(last, _)| *last > upto);
-                cut.take_if(|cut| cut.at.index <= upto);
+            Mode::Stream {
+                in_flight,
+                transfer,
+            } => {
+                in_flight.retain(|(last, _)| *last > upto);
+                transfer.take_if(|transfer| transfer.at.index <= upto);
             }
             Mode::Probe { .. } => self.stream(),
             Mode::Snapshot { snapshot, .. } if reached(snapshot) => self.stream(),
@@ -100,7 +106,7 @@
         }
     }
 
-    /// Takes the word that the entry at `prev` is not there.
+    /// Handles a conflict: the entry at `prev` is not in the follower's log.
     pub(crate) fn conflict(&mut self, prev: Index, hint: Index) {
         let stale = prev <= self.matched || prev >= self.next;
         if stale || matches!(self.mode, Mode::Snapshot { .. }) {
@@ -110,9 +116,9 @@
         self.mode = Mode::Probe { sent: false };
     }
 
-    /// Sends `snapshot` from now on, unless one is on its way or the follower
-    /// has a log; returns whether it does.
-    pub(crate) fn give(&mut self, snapshot: Snapshot) -> bool {
+    /// Switches to sending `snapshot`, unless a snapshot is already being sent or the
+    /// follower's log reaches beyond it; returns whether it switched.
+    pub(crate) fn start_snapshot(&mut self, snapshot: Snapshot) -> bool {
         let under_way = matches!(self.mode, Mode::Snapshot { .. });
         if under_way || self.matched > snapshot.at.index {
             return false;
@@ -125,10 +131,11 @@
         true
     }
 
-    /// Takes the word that the first `received` bytes of a snapshot have
-    /// arrived; returns whether the next part may follow at once.
+    /// Handles the acknowledgement of the first `received` bytes of a snapshot; returns
+    /// whether to send the next part at once.
     ///
-    /// A doubled answer sends nothing: each would begin another row of parts.
+    /// A duplicate answer triggers no send: each one would start another sequence of
+    /// parts.
     pub(crate) fn received(&mut self, from: Position, received: u64) -> bool {
         let Mode::Snapshot {
             snapshot, offset, ..
@@ -148,8 +155,8 @@
     fn stream(&mut self) {
         self.next = self.matched.next();
         self.mode = Mode::Stream {
-            flying: VecDeque::new(),
-            cut: None,
+            in_flight: VecDeque::new(),
+            transfer: None,
         };
     }
 }
--- a/crates/replog/src/replica/restored.rs
+++ b/crates/replog/src/replica/restored.rs
@@ -1,23 +1,23 @@
-//! What a replica finds on its disk.
+//! The state that a replica restores from its disk.
 
 use crate::{Entry, Index, Position, Record, ReplicaId, Snapshot, Term};
 
-/// What a replica finds on its disk; empty for a new one.
+/// State restored from disk; empty for a new replica.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Restored {
-    /// The newest term that it has taken part in.
+    /// The newest term seen.
     pub term: Term,
-    /// Who got its vote in that term.
+    /// The candidate that got this replica's vote in that term.
     pub voted: Option<ReplicaId>,
-    /// The newest snapshot, or the founding members at index 0.
+    /// The newest snapshot, or the initial membership at index 0.
     pub base: Option<Snapshot>,
-    /// The entries after it.
+    /// The entries after the snapshot.
     pub entries: Vec<Entry>,
 }
 
 impl Restored {
-    /// Replays the records of a log file on top of a snapshot; returns nothing
-    /// when they contradict each other, as after the loss of a frame.
+    /// Replays the records of a log file on top of a snapshot; returns `None` if they are
+    /// inconsistent, as after the loss of a frame.
     #[must_use]
     pub fn replay(base: Option<Snapshot>, records: Vec<Record>) -> Option<Self> {
         let mut restored = Restored {
--- a/crates/replog/src/replica/send.rs
+++ b/crates/replog/src/replica/send.rs
@@ -1,16 +1,16 @@
-//! A leader's messages to its followers, and their answers.
+//! A leader's messages to its followers, and the handling of their answers.
 
 use base::Time;
 
 use super::{
     Replica, Role,
-    piece::{Cut, command},
+    piece::{EntryTransfer, command},
     progress::{Mode, Progress},
 };
 use crate::{Message, Output, Outputs, Position, ReplicaId, Snapshot, message::Outcome};
 
 impl Replica {
-    /// Takes a follower's answer.
+    /// Handles a follower's answer.
     pub(super) fn follower_replied(
         &mut self,
         now: Time,
@@ -35,7 +35,7 @@
         let more = match message {
             Message::AppendReply { outcome, full, .. } => {
                 progress.full = full;
-                take_outcome(progress, outcome, self.journal.base())
+                handle_outcome(progress, outcome, self.journal.base())
             }
             Message::PieceReply { at, received, .. } => {
                 progress.piece_received(at, received, &self.journal);
@@ -51,7 +51,7 @@
         self.promote(now);
     }
 
-    /// Sends each follower what it lacks, within its window.
+    /// Sends each follower the entries it lacks, within its window.
     pub(super) fn replicate(&mut self, out: &mut Outputs) {
         let Role::Leader(leader) = &self.role else {
             return;
@@ -63,8 +63,8 @@
         }
     }
 
-    /// Returns the next message with entries for a follower, if it lacks any
-    /// that are written here and its window has room.
+    /// Returns the next message for a follower, if it lacks entries that are written or
+    /// being written here and its window has room.
     fn next_append(&mut self, id: &ReplicaId) -> Option<Message> {
         let (term, commit) = (self.term, self.commit);
         let last = self.writes.issued_index();
@@ -76,15 +76,15 @@
         let progress = leader.progress.get_mut(id)?;
         let prev = progress.next.prev();
         let Some(prev_term) = self.journal.term_at(prev) else {
-            self.give_snapshot(id);
+            self.start_snapshot(id);
             return None;
         };
         let prev = Position {
             term: prev_term,
             index: prev,
         };
-        let room = progress.flying() < self.settings.raw.window.get();
-        if let Mode::Stream { cut, .. } = &mut progress.mode
+        let room = progress.bytes_in_flight() < self.settings.raw.window.get();
+        if let Mode::Stream { transfer, .. } = &mut progress.mode
             && room
             && prev.index < last
             && let Some(large) = self
@@ -93,8 +93,8 @@
                 .and_then(|e| command(e, limit))
         {
             let (at, command) = large;
-            let part = cut
-                .get_or_insert_with(|| Cut::new(at))
+            let part = transfer
+                .get_or_insert_with(|| EntryTransfer::new(at))
                 .next_part(command, limit)?;
             return Some(Message::Piece {
                 term,
@@ -126,18 +126,18 @@
         })
     }
 
-    fn give_snapshot(&mut self, id: &ReplicaId) {
+    fn start_snapshot(&mut self, id: &ReplicaId) {
         let Role::Leader(leader) = &mut self.role else {
             return;
         };
         let progress = leader.progress.get_mut(id);
         if let (Some(progress), Some(base)) = (progress, self.journal.base()) {
-            progress.give(base.clone());
+            progress.start_snapshot(base.clone());
         }
     }
 
-    /// Sends a heartbeat, which also finds out about lost messages.
-    pub(super) fn beat_one(&mut self, id: &ReplicaId, out: &mut Outputs) {
+    /// Sends a heartbeat, which also detects lost messages.
+    pub(super) fn send_heartbeat(&mut self, id: &ReplicaId, out: &mut Outputs) {
         let (term, commit) = (self.term, self.commit);
         let Role::Leader(leader) = &mut self.role else {
             return;
@@ -148,7 +148,10 @@
         };
         match &mut progress.mode {
             Mode::Probe { sent } => *sent = true,
-            Mode::Stream { cut: Some(cut), .. } => cut.beat(),
+            Mode::Stream {
+                transfer: Some(transfer),
+                ..
+            } => transfer.count_heartbeat(),
             Mode::Stream { .. } | Mode::Snapshot { .. } => {}
         }
         let prev = progress.next.prev();
@@ -170,7 +173,7 @@
             send(id, message, out);
             return;
         }
-        self.give_snapshot(id);
+        self.start_snapshot(id);
         self.push_chunk(id, out);
     }
 
@@ -209,13 +212,13 @@
     }
 }
 
-/// Takes a follower's answer to entries; returns whether it now needs the
+/// Handles a follower's answer to entries; returns whether the follower now needs the
 /// first part of a snapshot.
-fn take_outcome(progress: &mut Progress, outcome: Outcome, base: Option<&Snapshot>) -> bool {
+fn handle_outcome(progress: &mut Progress, outcome: Outcome, base: Option<&Snapshot>) -> bool {
     match (outcome, base) {
-        (Outcome::Matched { upto }, _) => progress.agree(upto),
+        (Outcome::Matched { upto }, _) => progress.acknowledge(upto),
         (Outcome::Conflict { prev, hint }, _) => progress.conflict(prev, hint),
-        (Outcome::Empty, Some(base)) => return progress.give(base.clone()),
+        (Outcome::Empty, Some(base)) => return progress.start_snapshot(base.clone()),
         (Outcome::Empty, None) => {}
     }
     false
--- a/crates/replog/src/replica/writes.rs
+++ b/crates/replog/src/replica/writes.rs
@@ -1,4 +1,4 @@
-//! What is on its way to the disk, and what waits for it.
+//! Writes in flight to the disk, and messages that wait for them.
 
 use std::collections::VecDeque;
 
@@ -6,28 +6,29 @@
 
 use crate::{Index, Message, Output, Outputs, Record, Snapshot, WriteNo};
 
-/// Numbers the writes of one replica and holds back what they have to
-/// precede.
+/// Numbers the writes of one replica and holds back messages until the writes they depend
+/// on are durable.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Writes {
-    /// Records of the write that is being put together.
+    /// Records of the next write.
     pending: Vec<Record>,
-    /// Whether `pending` holds more than proposed entries.
+    /// Whether `pending` holds records that must not wait, that is, others than proposed
+    /// entries.
     urgent: bool,
-    /// The last write handed out.
+    /// The last write issued.
     issued: WriteNo,
-    /// The last entry handed out for writing.
+    /// The last entry issued for writing.
     issued_index: Index,
-    /// Writes without an acknowledgement, with the last entry after each.
-    flying: VecDeque<(WriteNo, Index)>,
+    /// Unacknowledged writes, each with the last entry of the log after it.
+    in_flight: VecDeque<(WriteNo, Index)>,
     /// The last entry on disk.
     durable: Index,
-    /// Messages that may leave only after a write.
+    /// Messages that are sent once a write is durable.
     held: VecDeque<(WriteNo, InstanceName, Message)>,
 }
 
 impl Writes {
-    /// Starts with all up to `durable` on disk.
+    /// Creates the state of a replica whose entries up to `durable` are on disk.
     pub(crate) fn new(durable: Index) -> Self {
         Writes {
             durable,
@@ -41,45 +42,45 @@
         self.durable
     }
 
-    /// The last entry on disk or on its way there.
+    /// Returns the last entry that is on disk or in flight to it.
     pub(crate) fn issued_index(&self) -> Index {
         self.issued_index
     }
 
-    /// Tells whether all that was decided so far is on disk.
-    pub(crate) fn clean(&self) -> bool {
-        self.pending.is_empty() && self.flying.is_empty()
+    /// Returns whether nothing is pending or in flight.
+    pub(crate) fn all_durable(&self) -> bool {
+        self.pending.is_empty() && self.in_flight.is_empty()
     }
 
-    /// Tells whether proposals had better wait, to share the next write.
-    pub(crate) fn busy(&self) -> bool {
-        !self.urgent && !self.flying.is_empty()
+    /// Returns whether proposals should wait to share the next write.
+    pub(crate) fn should_batch(&self) -> bool {
+        !self.urgent && !self.in_flight.is_empty()
     }
 
-    /// Adds a record that has to be written at once.
+    /// Adds a record that is written without delay.
     pub(crate) fn push(&mut self, record: Record) {
         self.pending.push(record);
         self.urgent = true;
     }
 
-    /// Adds a proposed entry, which may wait for others.
+    /// Adds a proposed entry, which may wait to be written with others.
     pub(crate) fn propose(&mut self, record: Record) {
         self.pending.push(record);
     }
 
-    /// The entries at and after `index` are gone from memory.
+    /// Accounts for the removal of the entries from `index` on from memory.
     pub(crate) fn truncate(&mut self, index: Index) {
         let left = index.prev();
         self.durable = self.durable.min(left);
         self.issued_index = self.issued_index.min(left);
-        for (_, last) in &mut self.flying {
+        for (_, last) in &mut self.in_flight {
             *last = (*last).min(left);
         }
     }
 
-    /// Sends `message` once all that was decided so far is on disk.
+    /// Sends `message` once all records added so far are on disk.
     pub(crate) fn send_after(&mut self, to: InstanceName, message: Message, out: &mut Outputs) {
-        if self.clean() {
+        if self.all_durable() {
             out.push(Output::Send { to, message });
             return;
         }
@@ -87,7 +88,7 @@
         self.held.push_back((self.current(), to, message));
     }
 
-    /// The number that covers all that was decided so far.
+    /// Returns the number of the write that covers all records added so far.
     pub(crate) fn current(&self) -> WriteNo {
         if self.pending.is_empty() {
             return self.issued;
@@ -95,7 +96,7 @@
         self.issued.next()
     }
 
-    /// Hands out what is pending; `last` is the end of the log after it.
+    /// Issues the pending records as a write; `last` is the end of the log after it.
     pub(crate) fn flush(&mut self, last: Index, out: &mut Outputs) {
         if self.pending.is_empty() {
             return;
@@ -105,7 +106,7 @@
         out.push(Output::Write { no, records });
     }
 
-    /// Hands out a write that replaces all files; it covers what is pending.
+    /// Issues a write that replaces all files; it includes what is pending.
     pub(crate) fn rewrite(
         &mut self,
         last: Index,
@@ -122,14 +123,14 @@
         });
     }
 
-    /// Takes the acknowledgement of all writes up to `upto`, and sends what
-    /// waited for them.
+    /// Handles the acknowledgement of all writes up to `upto`, and sends the messages
+    /// that waited for them.
     pub(crate) fn synced(&mut self, upto: WriteNo, out: &mut Outputs) {
-        while let Some((no, last)) = self.flying.front().copied()
+        while let Some((no, last)) = self.in_flight.front().copied()
             && no <= upto
         {
             self.durable = last;
-            self.flying.pop_front();
+            self.in_flight.pop_front();
         }
         while let Some((no, ..)) = self.held.front()
             && *no <= upto
@@ -144,7 +145,7 @@
         self.issued = self.issued.next();
         self.issued_index = last;
         self.urgent = false;
-        self.flying.push_back((self.issued, last));
+        self.in_flight.push_back((self.issued, last));
         self.issued
     }
 }
--- a/crates/replog/src/settings.rs
+++ b/crates/replog/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a replica, checked against each other.
+//! Settings of a replica and their validation.
 
 use std::time::Duration;
 
@@ -7,68 +7,67 @@
 
 use crate::ReplicaId;
 
-/// Says why settings can't work.
+/// Why settings are invalid.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum BadSettings {
-    /// A leader needs several heartbeats within an election timeout.
+    /// The election timeout is shorter than three heartbeat intervals.
     #[error("the election timeout has to be at least three heartbeats")]
     ElectionTooShort,
-    /// A duration or size of zero.
+    /// A duration or size is zero.
     #[error("`{0}` may not be zero")]
     Zero(&'static str),
-    /// One message couldn't carry what the window allows.
+    /// The window is smaller than one message.
     #[error("the window has to hold at least one message")]
     WindowTooSmall,
 }
 
-/// Settings as given by whoever starts the replica.
+/// Unvalidated settings.
 #[derive(Clone, Debug)]
 pub struct RawSettings {
-    /// This replica; the life comes from its data folder.
+    /// This replica's identity; the incarnation is read from its data folder.
     pub id: ReplicaId,
-    /// All instances that are meant to have a replica. The first one by name
-    /// founds the log once all of them have reported that they are unstarted.
+    /// All instances that should have a replica. The first one by name founds the log
+    /// once all of them have reported that they have no log.
     pub peers: Vec<InstanceName>,
-    /// Whether an instance that is none of the peers is taken in as well when
-    /// it calls out.
+    /// Whether an instance that is not among the peers is added as well when it sends a
+    /// join request.
     pub open: bool,
-    /// Whether this replica may take part in founding a log. Cleared where the
-    /// deployment has run before: an emptied folder then only joins.
+    /// Whether this replica may take part in founding a log. Cleared if the deployment
+    /// has run before: a replica with an emptied folder then only joins.
     pub founds: bool,
-    /// How long a voter may be silent before the leader removes it, provided
-    /// that enough others answer; never if absent.
+    /// How long a voter may be unresponsive before the leader removes it, provided that
+    /// enough others answer; never removed if `None`.
     pub retire: Option<Duration>,
-    /// Seed of the election timeouts; differs between replicas and lives.
+    /// Seed of the randomised election timeouts; differs between replicas and
+    /// incarnations.
     pub seed: Seed,
-    /// How often a leader reports to its followers.
+    /// Interval between heartbeats of a leader.
     pub heartbeat: Duration,
-    /// How long a follower waits at least before it stands for election, and
-    /// how long a leader without a majority goes on.
+    /// Minimum time without a leader before a follower starts an election, and time
+    /// without a quorum after which a leader steps down.
     pub election: Duration,
-    /// How far two clocks may run apart.
+    /// Maximum rate difference between two clocks.
     pub drift: DriftMargin,
-    /// Applied entries between two snapshots.
+    /// Applied entries after which a snapshot is taken.
     pub compact: u64,
-    /// Bytes of applied entries after which a snapshot is asked for as well. A
-    /// disk holds the old snapshot with entries of this size, the last entry
-    /// and those of the backlog, and while the files are replaced also the new
-    /// snapshot with what came after it.
+    /// Bytes of applied entries after which a snapshot is taken as well. A disk holds the
+    /// old snapshot, entries of this size, the last entry and the backlog; while the
+    /// files are replaced it also holds the new snapshot and the entries after it.
     pub compact_bytes: Bytes,
-    /// Entries that stay in memory behind a snapshot, for followers that lag.
+    /// Entries covered by the snapshot that stay in memory for lagging followers.
     pub keep: u64,
-    /// The most that these entries take; a follower that lags by more gets the
-    /// snapshot.
+    /// Maximum size of these entries; a follower that lags further is sent the snapshot.
     pub keep_bytes: Bytes,
-    /// The most that a message carries in entries or parts of a snapshot.
+    /// Maximum bytes of entries or snapshot data per message.
     pub message: Bytes,
-    /// The most that is on its way to one follower unacknowledged.
+    /// Maximum unacknowledged bytes in flight to one follower.
     pub window: Bytes,
-    /// The most that may wait for a majority before proposals are refused.
+    /// Maximum bytes of uncommitted proposals before further ones are rejected.
     pub backlog: Bytes,
 }
 
 impl RawSettings {
-    /// Makes settings with the usual times and sizes.
+    /// Returns settings with the default times and sizes.
     #[must_use]
     pub fn usual(id: ReplicaId, peers: Vec<InstanceName>, seed: Seed) -> Self {
         RawSettings {
@@ -96,7 +95,8 @@
 #[derive(Clone, Debug)]
 pub struct Settings {
     pub(crate) raw: RawSettings,
-    /// How long a leader may act on one round of acknowledgements.
+    /// How long a quorum's acknowledgement of a heartbeat round keeps the leader's lease
+    /// valid.
     pub(crate) lease: Duration,
 }
 
@@ -134,8 +134,8 @@
         &self.raw.id
     }
 
-    /// Returns how long a leader may act on one round of acknowledgements:
-    /// less than followers wait before they elect another, by the drift
+    /// Returns the lease duration, counted from the start of a heartbeat round that a
+    /// quorum has acknowledged. It is shorter than the election timeout by the drift
     /// margin.
     #[must_use]
     pub fn lease(&self) -> Duration {
@@ -143,7 +143,8 @@
     }
 }
 
-/// Returns the longest duration that, stretched by `drift`, is at most `d`.
+/// Returns the longest duration that is at most `d` when measured by a clock that runs
+/// off by `drift`.
 fn shrink(d: Duration, drift: DriftMargin) -> Duration {
     d * 1_000 / (1_000 + drift.0)
 }
