--- a/crates/replog/tests/codec.rs
+++ b/crates/replog/tests/codec.rs
@@ -1,4 +1,4 @@
-//! Any bytes may come from a disk or the network; none may do harm.
+//! Decoding of bytes from disk or network, including malformed ones.
 
 use base::{Incarnation, InstanceName};
 use proptest::{collection::vec, prelude::*};
@@ -48,7 +48,7 @@
     ]
 }
 
-/// A log file as its frames.
+/// Generates a log file as its frames, together with the records of each.
 fn frames() -> impl Strategy<Value = (Vec<Vec<u8>>, Vec<Vec<Record>>)> {
     (replica(), vec(vec(record(), 0..4), 1..6)).prop_map(|(id, batches)| {
         let header = Header {
@@ -73,8 +73,8 @@
         prop_assert_eq!(found.records, batches.concat());
     }
 
-    /// A crash may stop a write at any byte: what was synced before is there,
-    /// and nothing of the write is.
+    /// A crash may interrupt a write at any byte: everything synced before is recovered,
+    /// and nothing of the torn write is.
     #[test]
     fn a_torn_frame_is_cut((frames, batches) in frames(), at in any::<prop::sample::Index>()) {
         let (last, before) = frames.split_last().expect("a header at least");
@@ -88,7 +88,7 @@
         prop_assert_eq!(found.records, batches[..batches.len() - 1].concat());
     }
 
-    /// A changed byte before the last frame is damage, whichever it is.
+    /// A changed byte anywhere before the last frame is detected as corruption.
     #[test]
     fn a_changed_byte_is_damage(
         (frames, _) in frames(),
@@ -102,7 +102,7 @@
         prop_assert_eq!(recover(&raw).tail, Tail::Damaged);
     }
 
-    /// A missing frame in the middle is damage too.
+    /// A missing frame before the last one is detected as corruption.
     #[test]
     fn a_missing_frame_is_damage((mut frames, _) in frames(), at in any::<prop::sample::Index>()) {
         prop_assume!(frames.len() > 2);
@@ -135,8 +135,8 @@
     }
 }
 
-/// A file that was put in place with a frame has lost it. However it looks, no
-/// crash can have torn what was synced before the rename.
+/// A frame that was synced before the file was renamed into place is unreadable. No crash
+/// can have torn it, so this is corruption and not a torn write.
 #[test]
 fn a_sealed_frame_is_never_torn() {
     base::covers!(damaged_sealed);
@@ -156,9 +156,9 @@
     assert_eq!(recover(&raw).tail, Tail::Damaged);
 }
 
-/// A control instance may spend 2 KB a second on what it tells others. With
-/// seven replicas a leader sends thirty heartbeats a second, so each has to
-/// stay well below 60 bytes, also after years of entries.
+/// A control instance may send 2 KB a second to others. With seven replicas a leader
+/// sends thirty heartbeats a second, so each has to stay well below 60 bytes, also with
+/// the indexes and terms of a log that has run for years.
 #[test]
 fn a_heartbeat_is_small() {
     let at = Position {
--- a/crates/replog/tests/explore.rs
+++ b/crates/replog/tests/explore.rs
@@ -1,5 +1,5 @@
-//! A bounded model check: every order of messages, syncs, timeouts and one
-//! crash among three replicas, from a few places where much is undecided.
+//! Bounded model checking: every order of messages, syncs, timeouts and one crash among
+//! three replicas, starting from a few states with undecided elections or entries.
 
 use std::{
     collections::{HashSet, VecDeque},
@@ -18,13 +18,13 @@
 
 #[derive(Clone, Copy, Debug)]
 enum Step {
-    /// Delivers the message at this place.
+    /// Delivers the message at this position of the list.
     Deliver(usize),
     Sync(usize),
     Timeout(usize),
     Crash(usize),
     Propose(usize),
-    /// Delivers the oldest message from one to another.
+    /// Delivers the oldest message from the first replica to the second.
     Carry(usize, usize),
 }
 
@@ -53,7 +53,7 @@
 fn replica(disk: &mut FakeDisk, id: &ReplicaId) -> Replica {
     let peers = ids().into_iter().map(|id| id.instance).collect();
     let raw = RawSettings {
-        // One entry a message, so that each can be held back alone.
+        // One entry per message, so that each can be delayed separately.
         message: Bytes(1),
         window: Bytes(1),
         ..RawSettings::usual(id.clone(), peers, Seed(1))
@@ -63,7 +63,7 @@
 }
 
 impl World {
-    /// Three replicas that share one entry of term 1.
+    /// Creates three replicas that share one entry of term 1.
     fn new(timeouts: u32, crashes: u32) -> Self {
         let at = Position {
             term: Term(1),
@@ -101,7 +101,7 @@
         };
         (0..3).for_each(|at| world.input(at, Input::Wake));
         (0..3).for_each(|at| world.clocks[at] = Time::ZERO + LONG);
-        // They started long ago: what they asked then is over.
+        // The replicas started long ago: their queries of the grace period are dropped.
         world.messages.clear();
         world
     }
@@ -185,7 +185,8 @@
         }
     }
 
-    /// Loses what was not synced and starts again, long after.
+    /// Drops unsynced writes and restarts the replica, with its clock advanced past any
+    /// election timeout.
     fn crash(&mut self, at: usize) {
         self.crashes = self.crashes.saturating_sub(1);
         self.disks[at].crash(0);
@@ -196,10 +197,10 @@
         self.clocks[at] = self.clocks[at] + LONG;
     }
 
-    /// Elects `at` by the vote of `by`, and loses all other messages.
+    /// Elects `at` with the vote of `by`, and drops all other messages.
     fn elect(&mut self, at: usize, by: usize) {
         self.messages.clear();
-        // The first request may only bring the candidate up to the term.
+        // The first election may only bring the candidate up to the current term.
         for _ in 0..3 {
             if self.leads(at) {
                 return;
@@ -215,7 +216,8 @@
         replica.leader() == Some(replica.id())
     }
 
-    /// Lets two replicas exchange messages until `enough`.
+    /// Delivers messages and completes syncs between two replicas until `enough`, or
+    /// until none are left.
     fn talk(&mut self, a: usize, b: usize, enough: impl Fn(&World) -> bool) {
         while !enough(self) {
             let between = |(from, to, _): &(usize, usize, Message)| {
@@ -232,7 +234,7 @@
         }
     }
 
-    /// Tells whether an entry of `index` is on its way from `at`.
+    /// Returns whether a message with the entry at `index` is in flight from `at`.
     fn sends(&self, at: usize, index: u64) -> bool {
         let has = |message: &Message| match message {
             Message::Append { entries, .. } => {
@@ -267,7 +269,7 @@
     }
 }
 
-/// Takes every order of steps up to `depth` and checks each state.
+/// Takes every sequence of up to `depth` steps and checks each state reached.
 fn explore((prefix, timeouts, crashes, depth): (&[Step], u32, u32, u32)) {
     let mut start = World::new(timeouts, crashes);
     for step in prefix {
@@ -292,7 +294,7 @@
     assert!(seen.len() > 1_000, "only {} states", seen.len());
 }
 
-/// `a` and `b` both have the word of `c` that they may stand for term 2.
+/// `a` and `b` have both received a pre-vote of `c` for term 2.
 const TWO_CANDIDATES: &[Step] = &[
     Step::Timeout(0),
     Step::Carry(0, 2),
@@ -302,7 +304,7 @@
     Step::Carry(2, 1),
 ];
 
-/// `a` leads term 2 by the vote of `b` and has a proposal.
+/// `a` leads term 2 with the vote of `b` and has an open proposal.
 const LEADER_AT_WORK: &[Step] = &[
     Step::Timeout(0),
     Step::Carry(0, 1),
@@ -315,7 +317,7 @@
 ];
 
 base::cases! {
-    /// One leader a term, and one command an index, in every state.
+    /// At most one leader per term and one command per index, in every state.
     all_orders: explore => {
         two_candidates: (TWO_CANDIDATES, 0, 1, 6),
         leader_at_work: (LEADER_AT_WORK, 1, 1, 4),
@@ -323,10 +325,10 @@
     }
 }
 
-/// A change reaches a majority under a leader of a later term than its own, and
-/// that leader dies before anything of its own term does. Another replica, with
-/// a newer entry in that place, may still be elected and replace it. An operator
-/// who had been told "accepted" would find the change gone.
+/// An entry reaches a majority only under a leader of a later term, which dies before any
+/// entry of its own term does. A replica with a newer entry at the same index may still
+/// be elected and overwrite it, so the entry must not count as committed: an operator's
+/// accepted change would be lost.
 #[test]
 fn an_old_entry_on_a_majority_is_not_committed() {
     base::covers!(commit_own_term);
@@ -341,7 +343,8 @@
     world.elect(0, 1);
     world.talk(0, 1, |world| world.sends(0, 4));
     world.crash(0);
-    // What the voter has promised to the last leader is over.
+    // Lets the voter's last contact with the leader expire, so that it grants votes
+    // again.
     world.clocks[1] = world.clocks[1] + LONG;
     world.elect(2, 1);
     world.talk(2, 1, |_| false);
@@ -349,10 +352,10 @@
     assert!(!world.applied.is_empty(), "nothing was committed");
 }
 
-/// An operator asks for changes of members at the wrong time: before the leader
-/// knows what its predecessors committed, for a life that was a member before,
-/// and while another change is under way. Each is refused, as two majorities
-/// without a common replica could come of it.
+/// Membership changes are requested before the leader knows what its predecessors
+/// committed, for an incarnation that was a member before, and while another change is in
+/// progress. Each is rejected, as it could lead to two majorities without a common
+/// replica.
 #[test]
 fn members_change_only_from_settled_ground() {
     base::covers!(one_change_at_a_time);
@@ -382,8 +385,8 @@
     assert_eq!(ask(&mut world, &id(3)), Some(WhyNot::Changing));
 }
 
-/// A leader is asked to stop. The moment its successor may be elected, which
-/// need not wait for any lease, it must not act as leader any more.
+/// A leader transfers leadership. Its successor may be elected without waiting for the
+/// lease to expire, so the leader must stop acting as one before it sends the request.
 #[test]
 fn a_leader_that_hands_over_has_stopped() {
     base::covers!(handed_over);
@@ -398,10 +401,10 @@
     assert!(!world.replicas[0].leads(world.clocks[0]));
 }
 
-/// The founder's folder is lost while the log is being founded, and its next
-/// life founds again; another replica without entries asks for votes. Neither
-/// gets an answer from one that knows the first founding members: those may
-/// have elected a leader already, whose log would get a rival.
+/// The founder loses its folder while the log is being founded, and its next incarnation
+/// founds again; another replica without entries requests votes. A replica that knows the
+/// first initial membership answers neither: those members may have elected a leader
+/// already, and a second log would be created beside the first.
 #[test]
 fn a_log_is_founded_once() {
     base::covers!(founded_once);
--- a/crates/replog/tests/open.rs
+++ b/crates/replog/tests/open.rs
@@ -1,5 +1,5 @@
-//! A log whose instances know each other by address only: who founds it, who is
-//! taken in, and when a silent voter goes.
+//! Membership of a log with `open` set, where instances know each other by address only:
+//! who founds it, who is added, and when an unresponsive voter is removed.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -11,7 +11,7 @@
 
 const RETIRE: Duration = Duration::from_secs(8);
 
-/// Replicas whose messages arrive at once and whose disks never wait.
+/// Replicas whose messages are delivered at once and whose writes are durable at once.
 struct Cluster {
     now: Time,
     replicas: BTreeMap<InstanceName, Replica>,
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Returns the voters by the leader, if one leads.
+    /// Returns the voters according to the leader, if there is one.
     fn voters(&self) -> Option<Vec<String>> {
         let mut all = self.replicas.values();
         let leader = all.find(|replica| replica.leads(self.now))?;
@@ -110,9 +110,9 @@
     assert_that!(cluster.voters(), eq(&names(&["k1", "k2", "k3", "k9"])));
 }
 
-/// All instances lose their disks at once. The deployment has run before, so
-/// something that was acknowledged may still be somewhere. They must not found
-/// a second log, in which it never was.
+/// All instances lose their disks at once in a deployment that has run before.
+/// Acknowledged entries may still exist elsewhere, so the instances must not found a
+/// second log without them.
 #[gtest]
 fn emptied_instances_found_nothing() {
     let _mark = base::ExpectedMark::new("emptied_never_founds");
@@ -124,10 +124,10 @@
     assert_that!(cluster.voters(), none());
 }
 
-/// An instance is gone for good and an empty one comes at another address. The
-/// dead voter makes a majority of four three, so the next loss would stop the
-/// log. It goes within seconds of its successor's coming, and the log survives
-/// that loss.
+/// An instance is lost permanently and an empty one joins under another address. The dead
+/// voter raises the majority of four to three, so the next loss would stop the log. It is
+/// removed within seconds after its replacement has joined, and the log survives the next
+/// loss.
 #[gtest]
 fn a_replaced_voter_goes_before_the_next_loss() {
     let _mark = base::ExpectedMark::new("silent_voter_removed");
@@ -143,8 +143,8 @@
     assert_that!(cluster.voters(), some(anything()));
 }
 
-/// One of three is silent for a minute. Two voters could not lose another and
-/// go on, so it stays one.
+/// One of three voters is unresponsive for a minute. Two voters could not tolerate
+/// another loss, so it remains a voter.
 #[gtest]
 fn three_voters_are_never_made_two() {
     let mut cluster = Cluster::new(&["k1", "k2", "k3"]);
@@ -154,8 +154,9 @@
     assert_that!(cluster.voters(), eq(&names(&["k1", "k2", "k3"])));
 }
 
-/// The settings name other peers than at the start, and the old ones are gone.
-/// An instance that comes new is told of the members by those.
+/// The peers of a new instance are unreachable, and it joins nothing. Once the settings
+/// name a peer that is a member, that peer names the other members, and the instance is
+/// added.
 #[gtest]
 fn other_peers_are_called_once_they_are_set() {
     let mut cluster = Cluster::new(&["k1", "k2", "k3"]);
@@ -170,8 +171,8 @@
 }
 
 /// An instance loses its disk while its wall clock is stepped back, so its new
-/// life is older than its last one. It called out for ever and nobody took it
-/// in. It is told that its life is over, and a later one is taken in.
+/// incarnation is older than its last one. Without an answer it would send join requests
+/// forever. It is told that it was removed, and a later incarnation is added.
 #[gtest]
 fn an_older_life_is_told_that_it_is_over() {
     let mut cluster = Cluster::new(&["k1", "k2", "k3"]);
--- a/crates/replog/tests/random.rs
+++ b/crates/replog/tests/random.rs
@@ -1,14 +1,13 @@
-//! Random faults from fixed seeds; `cargo xtask soak` runs many more.
+//! Random faults from fixed seeds; `cargo xtask soak` runs many more seeds.
 
 use faults::random;
 
-/// Seeds of one case; few enough for a development build.
+/// Seeds of one case; few enough for a debug build.
 const SEEDS: u64 = 60;
 
-/// An operator's change is accepted, then processes die, folders vanish, links
-/// are cut and clocks stand still, several at once and in any order. Whatever
-/// was accepted is still there, in the same order everywhere, and the log takes
-/// changes again once the faults are over.
+/// Processes die, folders are lost, links are cut and clocks stop, several at once and in
+/// any order. Every accepted change is still there afterwards, in the same order on all
+/// replicas, and the log accepts changes again once the faults are over.
 fn check(first: u64) {
     let mut accepted = 0;
     for seed in first..first + SEEDS {
@@ -21,7 +20,7 @@
 }
 
 base::cases! {
-    /// Each case runs in a thread of its own.
+    /// Separate cases, so that they run in parallel threads.
     survives_random_faults: check => {
         first: 1,
         second: 1_001,
--- a/crates/replog/tests/scenarios.rs
+++ b/crates/replog/tests/scenarios.rs
@@ -1,4 +1,5 @@
-//! The scripted scenarios; each file under `scenarios` opens with its story.
+//! Scripted scenarios; each file under `scenarios` starts with a description of the
+//! failure.
 
 use faults::script;
 
@@ -9,7 +10,7 @@
 }
 
 base::cases! {
-    /// One case a file.
+    /// One case for each script.
     scenario: check => {
         change_under_cut: include_str!("scenarios/change_under_cut.rhai"),
         cut_leader: include_str!("scenarios/cut_leader.rhai"),
--- a/crates/replog/tests/scenarios/change_under_cut.rhai
+++ b/crates/replog/tests/scenarios/change_under_cut.rhai
@@ -1,6 +1,6 @@
-// A change of members is proposed at a leader without a majority, and a second
-// one right after it. Neither takes effect there: the other side elects a
-// leader that has never seen them, and all agree when the cut heals.
+// Two membership changes are proposed in a row at a leader without a quorum. Neither
+// takes effect: the other side of the partition elects a leader that has never received
+// them, and all replicas agree once the partition heals.
 covers("quorum_lost"); covers("one_change_at_a_time");
 cluster(5, 14); run(3000);
 let old = leader(); let lost = follower();
--- a/crates/replog/tests/scenarios/cut_leader.rhai
+++ b/crates/replog/tests/scenarios/cut_leader.rhai
@@ -1,7 +1,7 @@
-// An operator's change at a leader that a cut has just isolated stays without
-// an answer for a moment and then ends as "may have been accepted". The old
-// leader stops acting before the others elect a new one; after the cut heals,
-// everybody follows the new one.
+// A change proposed at a leader that has just been partitioned stays unanswered for a
+// moment and then ends with an unknown outcome ("may have been accepted"). The old leader
+// stops acting before the others elect a new one; once the partition heals, all replicas
+// follow the new leader.
 covers("quorum_lost"); covers("lease_lapsed"); covers("unknown_on_lost_term");
 cluster(3, 1); run(3000);
 let old = leader();
--- a/crates/replog/tests/scenarios/failed_sync.rhai
+++ b/crates/replog/tests/scenarios/failed_sync.rhai
@@ -1,6 +1,6 @@
-// The leader's disk fails a sync. The leader stops for good instead of trying
-// again, what it had open ends as unknown, and the others go on. With the disk
-// replaced it starts from what is really there.
+// The leader's disk fails a sync. The leader halts without a retry, its open proposals
+// end with an unknown outcome, and the others continue. With the disk replaced, it
+// restarts from what is actually on disk.
 covers("halted_by_write"); covers("unknown_on_lost_term");
 cluster(3, 10); run(3000);
 let x = leader();
--- a/crates/replog/tests/scenarios/fault_in_repair.rhai
+++ b/crates/replog/tests/scenarios/fault_in_repair.rhai
@@ -1,7 +1,7 @@
-// An instance loses its folder and, before it is repaired, the leader dies. The
-// emptied life doesn't vote, so nothing is decided until the leader is back.
-// While it is being repaired it loses its folder once more; its third life
-// still ends as a voter, and nothing accepted is lost.
+// An instance loses its folder, and the leader dies before the instance has caught up.
+// The incarnation with the empty folder doesn't vote, so nothing is decided until the
+// leader is back. While catching up, the instance loses its folder again; its third
+// incarnation still becomes a voter, and no accepted change is lost.
 covers("empty_never_votes"); covers("learner_caught_up");
 cluster(3, 7); run(3000);
 for n in 0..8 { propose(leader(), 5); run(200); }
--- a/crates/replog/tests/scenarios/flapping.rhai
+++ b/crates/replog/tests/scenarios/flapping.rhai
@@ -1,6 +1,6 @@
-// All links of the leader come and go every few hundred milliseconds and some
-// messages get lost. Changes go slowly and some end as unknown, but none that
-// was accepted is lost, and all agree once the links are quiet.
+// All links of the leader fail and recover every few hundred milliseconds, and some
+// messages are lost. Changes are slow and some have an unknown outcome, but no accepted
+// one is lost, and all replicas agree once the links are stable.
 cluster(3, 5); run(3000);
 for round in 0..20 {
     let x = leader();
--- a/crates/replog/tests/scenarios/founding.rhai
+++ b/crates/replog/tests/scenarios/founding.rhai
@@ -1,6 +1,6 @@
-// Three new instances start while one can't be reached. Nothing is founded by
-// two of them: the third might hold an older log. Later the power fails for
-// all three, and everything accepted is there when they come back.
+// Three new instances start while one is unreachable. Two of them must not found a log:
+// the third might hold an older one. Later all three lose power, and every accepted
+// change is restored when they restart.
 covers("restart_grace");
 cluster(3, 15);
 isolate("c"); run(5000);
--- a/crates/replog/tests/scenarios/frozen_leader.rhai
+++ b/crates/replog/tests/scenarios/frozen_leader.rhai
@@ -1,7 +1,6 @@
-// A leader's process is frozen for seconds while it has proposals on their way
-// and then goes on as if nothing had been. The others have elected a new one
-// meanwhile. The first thing it finds is that its lease is over, so nothing is
-// answered or ordered under the old term.
+// A leader's process is suspended for seconds with proposals in flight and then resumes.
+// Meanwhile the others have elected a new leader. The resumed one first finds that its
+// lease has expired, so it answers and orders nothing under the old term.
 covers("lease_lapsed");
 cluster(3, 2); run(3000);
 let old = leader();
--- a/crates/replog/tests/scenarios/full_disk.rhai
+++ b/crates/replog/tests/scenarios/full_disk.rhai
@@ -1,6 +1,6 @@
-// The leader's disk fills up. It refuses changes, hands leadership to an
-// instance with space, and goes on following. With all disks full, changes are
-// refused everywhere and the leader stays; with space, they are taken again.
+// The leader's disk fills up. It rejects changes, transfers leadership to an instance
+// with space, and continues as a follower. With all disks full, changes are rejected
+// everywhere and the leader stays; with space, they are accepted again.
 covers("refused_when_full"); covers("handed_over");
 cluster(3, 11); run(3000);
 let x = leader();
--- a/crates/replog/tests/scenarios/hand_over.rhai
+++ b/crates/replog/tests/scenarios/hand_over.rhai
@@ -1,6 +1,6 @@
-// An instance is stopped as planned while changes keep coming. Every change
-// that it has taken is answered before it hands over; no answer is left open,
-// and the next leader acts at once.
+// An instance is shut down while changes keep arriving. It answers every change that it
+// has accepted before it transfers leadership; no outcome is unknown, and the next leader
+// acts at once.
 covers("handed_over");
 cluster(5, 12); run(3000);
 for round in 0..10 {
--- a/crates/replog/tests/scenarios/killed_together.rhai
+++ b/crates/replog/tests/scenarios/killed_together.rhai
@@ -1,6 +1,6 @@
-// All processes are killed at the same moment and are back within half a second.
-// Each waited out a promise to a leader that is gone, and all callers with them:
-// three quarters of a second without a leader, where a tenth is enough.
+// All processes are killed at the same time and are back within half a second. If each
+// waited out the lease of a leader that is gone, callers would see three quarters of a
+// second without a leader, where a tenth is enough.
 covers("restart_grace_ended");
 cluster(4, 6); run(3000);
 propose(leader(), 5); run(300);
--- a/crates/replog/tests/scenarios/lonely_follower.rhai
+++ b/crates/replog/tests/scenarios/lonely_follower.rhai
@@ -1,7 +1,6 @@
-// A follower is cut off for a long time and comes back, sending before it
-// hears anything. Nobody notices: it has
-// asked for votes in vain without raising its term, so the leader that serves
-// everybody else stays.
+// A follower is partitioned for a long time and then reconnects, sending before it
+// receives anything. Its pre-votes have failed without raising its term, so the working
+// leader stays.
 covers("pre_vote"); covers("vote_promised_away");
 cluster(3, 3); run(3000);
 let old = leader(); let term = term(old); let lost = follower();
--- a/crates/replog/tests/scenarios/lost_twice.rhai
+++ b/crates/replog/tests/scenarios/lost_twice.rhai
@@ -1,6 +1,6 @@
-// An instance's folder is emptied; it comes back as a new replica and catches
-// up. Right after that repair a second instance loses its folder. Everything
-// accepted is still there, because the first one voted only with a whole log.
+// An instance's folder is emptied; it restarts as a new replica and catches up. Right
+// after that a second instance loses its folder. Every accepted change is still there,
+// because the first one voted only once it had the full log.
 covers("learner_caught_up"); covers("base_from_leader");
 cluster(3, 6); run(3000);
 for n in 0..8 { propose(leader(), 5); run(200); }
--- a/crates/replog/tests/scenarios/one_way.rhai
+++ b/crates/replog/tests/scenarios/one_way.rhai
@@ -1,6 +1,6 @@
-// A link carries one direction only. A leader that still sends but hears
-// nobody steps down within an election timeout instead of holding the others
-// back; a follower that hears nobody but can send deposes nobody.
+// Links fail in one direction only. A leader that can send but receives nothing steps
+// down within an election timeout instead of holding the others back; a follower that can
+// send but receives nothing deposes no leader.
 covers("quorum_lost"); covers("pre_vote");
 cluster(3, 4); run(3000);
 let old = leader();
--- a/crates/replog/tests/scenarios/removed_behind_cut.rhai
+++ b/crates/replog/tests/scenarios/removed_behind_cut.rhai
@@ -1,6 +1,6 @@
-// An operator removes an instance while it is cut off. It doesn't know, and
-// stands for election when the cut heals: nobody is disturbed, it is told, and
-// it stops. Its next life joins as a new replica.
+// An instance is removed while it is partitioned. Unaware of it, the instance starts an
+// election once the partition heals: the leader is not disturbed, the instance is
+// notified, and it halts. Its next incarnation joins as a new replica.
 covers("removed_never_elected"); covers("removed_halts");
 cluster(5, 13); run(3000);
 let x = follower(); isolate(x); run(1000);
--- a/crates/replog/tests/scenarios/restart_beside_leader.rhai
+++ b/crates/replog/tests/scenarios/restart_beside_leader.rhai
@@ -1,7 +1,7 @@
-// The leader is frozen while it holds its lease, and all others are killed and
-// restarted at once. They hear from each other that none of them leads, but not
-// from the frozen one: until its lease is over they have to wait, or two leaders
-// would act at the same time.
+// The leader is suspended while it holds its lease, and all others are killed and
+// restarted at once. They learn from each other that none of them leads, but the
+// suspended leader doesn't answer: they have to wait until its lease has expired, or two
+// leaders would act at the same time.
 covers("restart_grace");
 cluster(3, 4); run(3000);
 let old = leader();
--- a/crates/replog/tests/scenarios/stalled_disk.rhai
+++ b/crates/replog/tests/scenarios/stalled_disk.rhai
@@ -1,6 +1,6 @@
-// The leader's disk stops answering without an error. Its heartbeats go on, so
-// nobody else would stand for election; it hands over by itself, and changes
-// are accepted again by the others.
+// The leader's disk stops answering without an error. Its heartbeats continue, so no
+// other replica starts an election; it transfers leadership by itself, and the others
+// accept changes again.
 covers("trouble_passed_on"); covers("handed_over");
 cluster(3, 16); run(3000);
 let x = leader();
--- a/crates/replog/tests/scenarios/torn_tail.rhai
+++ b/crates/replog/tests/scenarios/torn_tail.rhai
@@ -1,5 +1,5 @@
-// The power fails at the leader while a record is half written. It starts with
-// all that it had acknowledged, drops the half record and goes on.
+// The leader loses power while a record is half written. It restarts with everything it
+// had acknowledged, truncates the torn record and continues.
 covers("torn_tail");
 cluster(3, 8); run(3000);
 propose(leader(), 10); run(300);
--- a/crates/replog/tests/size.rs
+++ b/crates/replog/tests/size.rs
@@ -1,8 +1,8 @@
-//! After some dozens of large configurations no change is acknowledged any
-//! more, and the disks of all control instances are full at once. Order: each
-//! change is an entry of megabytes, and the log is rewritten only after hundreds.
-//! Cause: entries are counted, not weighed; nothing bounds the bytes of a log
-//! between two snapshots, nor of the entries kept behind one.
+//! Bounds on the size of the log with large entries. If only the number of entries limits
+//! the log, some dozens of configurations of megabytes each fill the disks of all control
+//! instances at once, since the log is rewritten only after hundreds of entries, and no
+//! change is acknowledged any more. The limits in bytes, of the log between two snapshots
+//! and of the entries retained behind one, prevent this.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -13,34 +13,35 @@
     Restored, Settings,
 };
 
-/// What the applied entries of a log may take beside the last one.
+/// Maximum bytes of applied entries in a log file, beside the last one.
 const LOG: Bytes = Bytes(16 << 20);
 
-/// What entries behind a snapshot may take.
+/// Maximum bytes of entries retained behind a snapshot.
 const BEHIND: Bytes = Bytes(8 << 20);
 
 const CHANGES: u64 = 300;
 
-/// Three replicas whose messages arrive at once, whose disks never wait, and
-/// whose state is the command applied last.
+/// Three replicas whose messages are delivered at once, whose writes are durable at once,
+/// and whose state is the command applied last.
 struct Cluster {
     now: Time,
     replicas: BTreeMap<InstanceName, Replica>,
     state: BTreeMap<InstanceName, Blob>,
-    /// Bytes of commands in the log file of each.
+    /// Bytes of commands in the log file of each replica.
     files: BTreeMap<InstanceName, u64>,
-    /// The most that any file has held.
+    /// Bytes of commands in the largest log file so far.
     largest: u64,
     /// Bytes of commands in the largest message.
     heaviest: u64,
-    /// How often files were replaced.
+    /// Number of log files replaced.
     replaced: u64,
-    /// Who hears nothing.
+    /// The replica that receives no input.
     deaf: Option<InstanceName>,
     accepted: u64,
-    /// Bytes of commands sent, and snapshots begun, by receiver.
+    /// Bytes of commands sent and number of snapshots started, by receiver.
     sent: BTreeMap<InstanceName, (u64, u64)>,
-    /// How many parts of entries were sent, and each how many of them is lost.
+    /// Number of parts of entries sent. If `lost` is set to `n`, every n-th part is
+    /// dropped.
     parts: u64,
     lost: Option<u64>,
 }
@@ -103,7 +104,7 @@
         others.next().expect("several instances").clone()
     }
 
-    /// Proposes a command, and lets everybody hear that it is committed.
+    /// Proposes a command, and runs until all replicas know that it is committed.
     fn change(&mut self, command: &Blob) {
         let leader = self.leader();
         let command = command.clone();
@@ -219,21 +220,20 @@
             cluster.change(&command);
         }
         expect_that!(cluster.accepted, eq(CHANGES));
-        // The last applied entry, and one that a follower holds before it
-        // hears that it is committed.
+        // The last applied entry, and one that a follower holds before it knows that it
+        // is committed.
         let entry = command.len() as u64;
         let most = LOG.get() + 2 * entry;
         expect_that!(cluster.largest, le(most), "with entries of {kib} KiB");
-        // Each replica replaces them when it is founded, and then once for
-        // that many bytes.
+        // Each replica replaces its file once at founding, and then once per `LOG` bytes.
         let most = 3 * (1 + CHANGES * entry / LOG.get() + 1);
         expect_that!(cluster.replaced, le(most), "with entries of {kib} KiB");
     }
 }
 
-/// An operator sends a configuration of four megabytes to control instances whose links
-/// are slower than usual. Nobody acknowledges it, nor anything after it: the entry
-/// travels whole, takes longer than a message may be on its way, and is sent anew.
+/// A configuration of four megabytes is sent to control instances over slow links. Sent
+/// in one message, the entry would exceed the maximum delivery time and be resent
+/// forever, and neither it nor any later entry would be acknowledged.
 #[gtest]
 fn a_large_entry_is_sent_in_parts() {
     let mut cluster = Cluster::new();
@@ -262,8 +262,8 @@
     expect_that!(sent, some(le(size as u64 * 2)));
 }
 
-/// The leader dies while a large entry is on its way. The next leader has none of it or
-/// all of it, and takes changes of its own.
+/// The leader dies while a large entry is in transfer. The next leader has either none or
+/// all of it, and accepts changes of its own.
 #[gtest]
 fn a_new_leader_sends_large_entries_of_its_own() {
     let mut cluster = Cluster::new();
@@ -304,7 +304,7 @@
     expect_that!(cluster.state.get(&lags), some(eq(&command)));
     let (entries, snapshots) = cluster.sent[&lags];
     expect_that!(snapshots, ge(1));
-    // What lies behind the snapshot, and what came after it.
+    // The entries retained behind the snapshot, and those after it.
     let most = BEHIND.get() + LOG.get() + command.len() as u64;
     expect_that!(entries, le(most));
 }
