--- a/crates/control/tests/control.rs
+++ b/crates/control/tests/control.rs
@@ -25,8 +25,11 @@
 impl Alone {
     fn new(disk: Vec<Record>, backlog: u64) -> Self {
         let instance = "k1".parse().unwrap();
-        let life = Incarnation(1);
-        let id = ReplicaId { instance, life };
+        let incarnation = Incarnation(1);
+        let id = ReplicaId {
+            instance,
+            incarnation,
+        };
         let mut raw = RawSettings::usual(id.clone(), vec![id.instance], Seed(1));
         raw.backlog = Bytes(backlog);
         let restored = Restored::replay(None, disk.clone()).unwrap();
--- a/crates/disk/src/open.rs
+++ b/crates/disk/src/open.rs
@@ -56,12 +56,12 @@
 ///
 /// Fails when another process uses the folder, when the folder was written by another
 /// release, or on an I/O error.
-pub fn open(dir: &Path, instance: &InstanceName, life: Incarnation) -> Result<Opened> {
+pub fn open(dir: &Path, instance: &InstanceName, incarnation: Incarnation) -> Result<Opened> {
     fs::create_dir_all(dir).with_context(|| format!("can't create {}", dir.display()))?;
     let lock = take_lock(dir)?;
     let generations = generations(dir)?;
     let Some(&generation) = generations.last() else {
-        return start_new(dir, lock, instance, life, Fate::New);
+        return start_new(dir, lock, instance, incarnation, Fate::New);
     };
     let raw = fs::read(log_path(dir, generation)).context("can't read the log")?;
     let found = recover(&raw);
@@ -94,11 +94,13 @@
             // continued under its old identity could vote twice in a term, or form a
             // majority with an instance that lacks the entries it had acknowledged.
             base::hit!(never_trust_damage);
-            let kept = move_aside(dir, life)?;
-            let old = found.header.map_or(Incarnation(0), |header| header.id.life);
-            let life = life.max(old.next());
+            let kept = move_aside(dir, incarnation)?;
+            let old = found
+                .header
+                .map_or(Incarnation(0), |header| header.id.incarnation);
+            let incarnation = incarnation.max(old.next());
             let fate = Fate::Replaced { reason, kept };
-            start_new(dir, lock, instance, life, fate)
+            start_new(dir, lock, instance, incarnation, fate)
         }
     }
 }
@@ -182,12 +184,12 @@
     dir: &Path,
     lock: File,
     instance: &InstanceName,
-    life: Incarnation,
+    incarnation: Incarnation,
     fate: Fate,
 ) -> Result<Opened> {
     let id = ReplicaId {
         instance: instance.clone(),
-        life,
+        incarnation,
     };
     let (log, len) = new_log(dir, &id).context("can't create the log file")?;
     let folder = Folder {
@@ -214,8 +216,8 @@
 }
 
 /// Moves all files except lock and reserve into a subfolder.
-fn move_aside(dir: &Path, life: Incarnation) -> Result<PathBuf> {
-    let aside = dir.join(format!("damaged.{life}"));
+fn move_aside(dir: &Path, incarnation: Incarnation) -> Result<PathBuf> {
+    let aside = dir.join(format!("damaged.{incarnation}"));
     fs::create_dir_all(&aside)?;
     for entry in fs::read_dir(dir)? {
         let entry = entry?;
--- a/crates/disk/tests/folder.rs
+++ b/crates/disk/tests/folder.rs
@@ -44,8 +44,8 @@
     "ctl-1".parse().expect("a name")
 }
 
-fn start(dir: &Path, life: u64) -> Opened {
-    open(dir, &instance(), Incarnation(life)).expect("the folder opens")
+fn start(dir: &Path, incarnation: u64) -> Opened {
+    open(dir, &instance(), Incarnation(incarnation)).expect("the folder opens")
 }
 
 fn writer(folder: Folder) -> (Writer, Receiver<Done>) {
@@ -70,8 +70,8 @@
 }
 
 /// Writes the initial membership and entries up to `last`, each with its own sync.
-fn fill(dir: &Path, life: u64, last: u64) {
-    let (writer, reports) = writer(start(dir, life).folder);
+fn fill(dir: &Path, incarnation: u64, last: u64) {
+    let (writer, reports) = writer(start(dir, incarnation).folder);
     let found = Record::Found(Members::default());
     assert_that!(writer.take(write(1, vec![found])), none());
     wait(&reports, 1);
@@ -98,7 +98,7 @@
     fill(&dir.0, 5, 1_200);
     let opened = start(&dir.0, 6);
     assert_that!(opened.fate, eq(&Fate::Whole));
-    assert_that!(opened.folder.id().life, eq(Incarnation(5)));
+    assert_that!(opened.folder.id().incarnation, eq(Incarnation(5)));
     assert_that!(opened.restored.last(), eq(Index(1_200)));
     let snapshot = Snapshot {
         at: Position {
@@ -166,7 +166,7 @@
     raw[200] ^= 1;
     fs::write(log(&dir.0), raw).expect("a changed log");
     let opened = start(&dir.0, 2);
-    assert_that!(opened.folder.id().life, eq(Incarnation(6)));
+    assert_that!(opened.folder.id().incarnation, eq(Incarnation(6)));
     assert_that!(opened.restored, eq(&replog::Restored::default()));
     let Fate::Replaced { kept, .. } = &opened.fate else {
         panic!("{:?}", opened.fate);
@@ -188,7 +188,7 @@
     let first = start(&dir.0, 5);
     assert_that!(open(&dir.0, &instance(), Incarnation(6)), err(anything()));
     drop(first);
-    assert_that!(start(&dir.0, 6).folder.id().life, eq(Incarnation(5)));
+    assert_that!(start(&dir.0, 6).folder.id().incarnation, eq(Incarnation(5)));
 }
 
 /// A sync fails, and the next one would succeed because the kernel has dropped the dirty
--- a/crates/faults/src/cluster/host.rs
+++ b/crates/faults/src/cluster/host.rs
@@ -49,9 +49,9 @@
     }
 }
 
-pub(super) fn replica_id(name: &InstanceName, life: Incarnation) -> ReplicaId {
+pub(super) fn replica_id(name: &InstanceName, incarnation: Incarnation) -> ReplicaId {
     ReplicaId {
         instance: name.clone(),
-        life,
+        incarnation,
     }
 }
--- a/crates/replog/src/entry.rs
+++ b/crates/replog/src/entry.rs
@@ -35,7 +35,7 @@
         pub learners: BTreeSet<ReplicaId>,
         /// The newest incarnation of each instance that was ever a member, so that a
         /// delayed message can't bring back a removed incarnation.
-        pub lives: BTreeMap<InstanceName, Incarnation>,
+        pub incarnations: BTreeMap<InstanceName, Incarnation>,
     }
 
     /// The state machine's state after one entry, with the log metadata needed to
@@ -83,7 +83,7 @@
 
     /// Returns the member that is an incarnation of `instance`.
     #[must_use]
-    pub fn life_of(&self, instance: &InstanceName) -> Option<&ReplicaId> {
+    pub fn member_of(&self, instance: &InstanceName) -> Option<&ReplicaId> {
         self.all().find(|id| id.instance == *instance)
     }
 
@@ -97,7 +97,7 @@
         Members {
             voters: keep(&self.voters),
             learners: keep(&self.learners),
-            lives: self.lives.clone(),
+            incarnations: self.incarnations.clone(),
         }
     }
 
@@ -105,9 +105,11 @@
     #[must_use]
     pub fn founding(ids: impl IntoIterator<Item = ReplicaId>) -> Members {
         let voters: BTreeSet<_> = ids.into_iter().collect();
-        let lives = voters.iter().map(|id| (id.instance.clone(), id.life));
+        let incarnations = voters
+            .iter()
+            .map(|id| (id.instance.clone(), id.incarnation));
         Members {
-            lives: lives.collect(),
+            incarnations: incarnations.collect(),
             learners: BTreeSet::new(),
             voters,
         }
@@ -118,7 +120,9 @@
     #[must_use]
     pub fn with_learner(&self, id: ReplicaId) -> Members {
         let mut members = self.without(&id.instance);
-        members.lives.insert(id.instance.clone(), id.life);
+        members
+            .incarnations
+            .insert(id.instance.clone(), id.incarnation);
         members.learners.insert(id);
         members
     }
@@ -136,7 +140,7 @@
     /// Returns whether `id` was a member and no longer is.
     #[must_use]
     pub fn removed(&self, id: &ReplicaId) -> bool {
-        let newest = self.lives.get(&id.instance);
-        newest.is_some_and(|life| id.life <= *life) && !self.contains(id)
+        let newest = self.incarnations.get(&id.instance);
+        newest.is_some_and(|incarnation| id.incarnation <= *incarnation) && !self.contains(id)
     }
 }
--- a/crates/replog/src/id.rs
+++ b/crates/replog/src/id.rs
@@ -14,13 +14,13 @@
         /// The instance that owns the data folder.
         pub instance: InstanceName,
         /// The incarnation of the data folder; later incarnations have greater numbers.
-        pub life: Incarnation,
+        pub incarnation: Incarnation,
     }
 }
 
 impl fmt::Display for ReplicaId {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}.{}", self.instance, self.life)
+        write!(f, "{}.{}", self.instance, self.incarnation)
     }
 }
 
--- a/crates/replog/src/message.rs
+++ b/crates/replog/src/message.rs
@@ -67,7 +67,7 @@
             /// The leader's term.
             term: Term,
             /// The receiver's incarnation; any other incarnation ignores the message.
-            life: Incarnation,
+            incarnation: Incarnation,
             /// The heartbeat round, echoed in the reply.
             round: u64,
             /// The entry before the first one.
@@ -82,7 +82,7 @@
             /// The leader's term.
             term: Term,
             /// The receiver's incarnation; any other incarnation ignores the message.
-            life: Incarnation,
+            incarnation: Incarnation,
             /// The heartbeat round, echoed in the reply.
             round: u64,
             /// The entry before it.
@@ -125,7 +125,7 @@
             /// The leader's term.
             term: Term,
             /// The receiver's incarnation; any other incarnation ignores the message.
-            life: Incarnation,
+            incarnation: Incarnation,
             /// The heartbeat round, echoed in the reply.
             round: u64,
             /// The last entry covered.
--- a/crates/replog/src/replica.rs
+++ b/crates/replog/src/replica.rs
@@ -249,12 +249,19 @@
                 kind,
                 granted,
             } => self.vote_reply(now, from, (term, kind), granted, out),
-            Message::Append { term, life, .. }
-            | Message::Piece { term, life, .. }
-            | Message::Chunk { term, life, .. } => {
+            Message::Append {
+                term, incarnation, ..
+            }
+            | Message::Piece {
+                term, incarnation, ..
+            }
+            | Message::Chunk {
+                term, incarnation, ..
+            } => {
                 // A message for another incarnation shows that the leader doesn't know
                 // this one yet.
-                if life == self.id().life && self.accept_leader(now, from, term, out) {
+                if incarnation == self.id().incarnation && self.accept_leader(now, from, term, out)
+                {
                     self.follow(from, message, out);
                 }
             }
@@ -534,6 +541,10 @@
 /// time out at different times.
 fn seed_of(settings: &Settings) -> StableHash {
     let seed = settings.raw.seed.get().to_le_bytes();
-    let life = settings.id().life.get().to_le_bytes();
-    stable_hash(&[&seed, settings.id().instance.as_str().as_bytes(), &life])
+    let incarnation = settings.id().incarnation.get().to_le_bytes();
+    stable_hash(&[
+        &seed,
+        settings.id().instance.as_str().as_bytes(),
+        &incarnation,
+    ])
 }
--- a/crates/replog/src/replica/found.rs
+++ b/crates/replog/src/replica/found.rs
@@ -73,8 +73,8 @@
             return;
         }
         let joining = self.founding.joining.entry(from.instance.clone());
-        let life = joining.or_insert(from.life);
-        *life = (*life).max(from.life);
+        let incarnation = joining.or_insert(from.incarnation);
+        *incarnation = (*incarnation).max(from.incarnation);
         self.try_found(now, out);
     }
 
@@ -155,8 +155,11 @@
     fn initial_members(&self) -> Option<Members> {
         let mut ids = vec![self.id().clone()];
         for instance in self.others() {
-            let life = *self.founding.joining.get(&instance)?;
-            ids.push(ReplicaId { instance, life });
+            let incarnation = *self.founding.joining.get(&instance)?;
+            ids.push(ReplicaId {
+                instance,
+                incarnation,
+            });
         }
         Some(Members::founding(ids))
     }
@@ -217,9 +220,9 @@
 /// The founder may have been elected with `old`; a membership from another incarnation of
 /// it must not replace `old`.
 fn updates(old: &Members, new: &Members) -> bool {
-    let later = |(instance, life): (&InstanceName, &Incarnation)| {
-        let other = new.lives.get(instance);
-        other.is_some_and(|other| other >= life)
+    let later = |(instance, incarnation): (&InstanceName, &Incarnation)| {
+        let other = new.incarnations.get(instance);
+        other.is_some_and(|other| other >= incarnation)
     };
-    old.voters.first() == new.voters.first() && old.lives.iter().all(later)
+    old.voters.first() == new.voters.first() && old.incarnations.iter().all(later)
 }
--- a/crates/replog/src/replica/members.rs
+++ b/crates/replog/src/replica/members.rs
@@ -26,8 +26,8 @@
         out: &mut Outputs,
     ) {
         let result = self.changeable_members(now).and_then(|members| {
-            let newest = members.lives.get(&id.instance);
-            let older = newest.is_some_and(|life| *life >= id.life);
+            let newest = members.incarnations.get(&id.instance);
+            let older = newest.is_some_and(|incarnation| *incarnation >= id.incarnation);
             let next = members.with_learner(id);
             if older || next.voters.is_empty() {
                 return Err(WhyNot::BadChange);
--- a/crates/replog/src/replica/send.rs
+++ b/crates/replog/src/replica/send.rs
@@ -98,7 +98,7 @@
                 .next_part(command, limit)?;
             return Some(Message::Piece {
                 term,
-                life: id.life,
+                incarnation: id.incarnation,
                 round,
                 prev,
                 at,
@@ -118,7 +118,7 @@
         progress.sent(&entries);
         Some(Message::Append {
             term,
-            life: id.life,
+            incarnation: id.incarnation,
             round,
             prev,
             entries,
@@ -164,7 +164,7 @@
             };
             let message = Message::Append {
                 term,
-                life: id.life,
+                incarnation: id.incarnation,
                 round,
                 prev,
                 entries: Vec::new(),
@@ -199,7 +199,7 @@
         let part = &snapshot.data[*offset as usize..end as usize];
         let message = Message::Chunk {
             term: self.term,
-            life: id.life,
+            incarnation: id.incarnation,
             round: leader.round,
             at: snapshot.at,
             members: snapshot.members.clone(),
--- a/crates/replog/tests/codec.rs
+++ b/crates/replog/tests/codec.rs
@@ -9,9 +9,9 @@
 };
 
 fn replica() -> impl Strategy<Value = ReplicaId> {
-    ("[a-z]{1,4}", 0..5_u64).prop_map(|(name, life)| ReplicaId {
+    ("[a-z]{1,4}", 0..5_u64).prop_map(|(name, incarnation)| ReplicaId {
         instance: name.parse::<InstanceName>().expect("a name"),
-        life: Incarnation(life),
+        incarnation: Incarnation(incarnation),
     })
 }
 
@@ -144,7 +144,7 @@
         format: FORMAT,
         id: ReplicaId {
             instance: "a".parse().expect("a name"),
-            life: Incarnation(1),
+            incarnation: Incarnation(1),
         },
         base: None,
         sealed: 1,
@@ -167,7 +167,7 @@
     };
     let beat = Message::Append {
         term: at.term,
-        life: Incarnation(u64::MAX),
+        incarnation: Incarnation(u64::MAX),
         round: 10_000_000,
         prev: at,
         entries: Vec::new(),
--- a/crates/replog/tests/explore.rs
+++ b/crates/replog/tests/explore.rs
@@ -45,7 +45,7 @@
 fn ids() -> Vec<ReplicaId> {
     let id = |name: &&str| ReplicaId {
         instance: name.parse::<InstanceName>().expect("a name"),
-        life: Incarnation(1),
+        incarnation: Incarnation(1),
     };
     ["a", "b", "c"].iter().map(id).collect()
 }
@@ -374,8 +374,8 @@
             _ => None,
         })
     };
-    let id = |life| ReplicaId {
-        life: Incarnation(life),
+    let id = |incarnation| ReplicaId {
+        incarnation: Incarnation(incarnation),
         ..ids()[2].clone()
     };
     assert_eq!(ask(&mut world, &id(2)), Some(WhyNot::NotLeader));
@@ -411,7 +411,7 @@
     base::covers!(fresh_elects_founder);
     let [a, b, c] = ids().try_into().expect("three");
     let again = ReplicaId {
-        life: Incarnation(2),
+        incarnation: Incarnation(2),
         ..a.clone()
     };
     let mut disk = FakeDisk::new(b.clone());
--- a/crates/replog/tests/open.rs
+++ b/crates/replog/tests/open.rs
@@ -34,16 +34,19 @@
     }
 
     /// Starts an instance with an empty disk.
-    fn start(&mut self, raw: &str, life: u64, peers: &[&str], founds: bool) {
+    fn start(&mut self, raw: &str, incarnation: u64, peers: &[&str], founds: bool) {
         let instance = name(raw);
-        let life = Incarnation(life);
-        let id = ReplicaId { instance, life };
+        let incarnation = Incarnation(incarnation);
+        let id = ReplicaId {
+            instance,
+            incarnation,
+        };
         let peers = peers.iter().map(|peer| name(peer)).collect();
         let raw = RawSettings {
             open: true,
             founds,
             retire: Some(RETIRE),
-            ..RawSettings::usual(id.clone(), peers, Seed(id.life.get()))
+            ..RawSettings::usual(id.clone(), peers, Seed(id.incarnation.get()))
         };
         let settings = Settings::try_from(raw).unwrap();
         let replica = Replica::new(settings, Restored::default());
@@ -177,8 +180,8 @@
 fn an_older_life_is_told_that_it_is_over() {
     let mut cluster = Cluster::new(&["k1", "k2", "k3"]);
     cluster.pass(5_000);
-    for life in [5, 3] {
-        cluster.start("k3", life, &["k1", "k2", "k3"], false);
+    for incarnation in [5, 3] {
+        cluster.start("k3", incarnation, &["k1", "k2", "k3"], false);
         cluster.pass(5_000);
     }
     let halted = cluster.replicas[&name("k3")].halted();
@@ -188,6 +191,6 @@
     assert_that!(cluster.voters(), eq(&names(&["k1", "k2", "k3"])));
     let leader = cluster.replicas.values().find(|r| r.leads(cluster.now));
     let members = leader.and_then(|leader| leader.members()).unwrap();
-    let life = members.life_of(&name("k3")).map(|id| id.life);
-    assert_that!(life, eq(Some(Incarnation(6))));
+    let incarnation = members.member_of(&name("k3")).map(|id| id.incarnation);
+    assert_that!(incarnation, eq(Some(Incarnation(6))));
 }
--- a/crates/replog/tests/size.rs
+++ b/crates/replog/tests/size.rs
@@ -54,10 +54,10 @@
     fn new() -> Self {
         let names = ["k1", "k2", "k3"].map(name);
         let make = |instance: &InstanceName| {
-            let life = Incarnation(1);
+            let incarnation = Incarnation(1);
             let id = ReplicaId {
                 instance: instance.clone(),
-                life,
+                incarnation,
             };
             let raw = RawSettings::usual(id, names.to_vec(), Seed(1));
             let settings = Settings::try_from(raw).unwrap();
@@ -241,7 +241,7 @@
     expect_that!(cluster.accepted, eq(1));
     let id = ReplicaId {
         instance: name("k1"),
-        life: Incarnation(1),
+        incarnation: Incarnation(1),
     };
     let usual = RawSettings::usual(id, vec![name("k1")], Seed(1));
     expect_that!(cluster.heaviest, le(usual.message.get()));
@@ -332,7 +332,7 @@
 fn a_log_of_no_bytes_is_refused() {
     let id = ReplicaId {
         instance: name("k1"),
-        life: Incarnation(1),
+        incarnation: Incarnation(1),
     };
     let raw = RawSettings {
         compact_bytes: Bytes(0),
--- a/crates/scenarios/src/keeper.rs
+++ b/crates/scenarios/src/keeper.rs
@@ -34,7 +34,7 @@
     pub(crate) fn new(name: &str, peers: &[String], disk: Disk, seed: u64) -> Self {
         let id = ReplicaId {
             instance: name.parse().unwrap(),
-            life: Incarnation(1),
+            incarnation: Incarnation(1),
         };
         let peers = peers.iter().map(|peer| peer.parse().unwrap()).collect();
         let mut raw = replog::RawSettings::usual(id, peers, Seed(seed));
--- a/xtask/src/capacity/control.rs
+++ b/xtask/src/capacity/control.rs
@@ -87,7 +87,7 @@
         let instance: base::InstanceName = "control-1".parse()?;
         let id = ReplicaId {
             instance: instance.clone(),
-            life: Incarnation(1),
+            incarnation: Incarnation(1),
         };
         let raw = RawSettings::usual(id, vec![instance], Seed(life));
         let restored = Restored::replay(snapshot.clone(), disk.clone()).context("damaged log")?;
