--- a/crates/controld/src/shell.rs
+++ b/crates/controld/src/shell.rs
@@ -91,7 +91,7 @@
     let seed = settings.seed.unwrap_or_else(|| Seed(rand::random()));
     let life = Incarnation(u64::try_from(daemon::wall_clock()?.as_micros())?);
     let opened = disk::open(&settings.data, &settings.identity.name, life)?;
-    daemon::report_fate(&opened.fate);
+    daemon::report_fate(&opened.outcome);
     let raw = RawSettings::usual(opened.folder.id().clone(), names, seed);
     let replica = Replica::new(raw.try_into()?, opened.restored);
     let control = Control::new(control::Config::default(), replica, Box::new(check));
--- a/crates/daemon/src/folder.rs
+++ b/crates/daemon/src/folder.rs
@@ -4,7 +4,7 @@
 
 use anyhow::{Context, Result};
 use control::Input;
-use disk::{Done, Fate, Folder, Writer};
+use disk::{Folder, OpenOutcome, Report, Writer};
 use telemetry::event;
 
 /// Starts the thread that writes; each end of a write is handed to `give`.
@@ -15,22 +15,22 @@
 pub fn start_writer(folder: Folder, give: impl Fn(Input) + Send + 'static) -> Result<Writer> {
     Writer::start(folder, move |done| {
         give(match done {
-            Done::Synced { upto } => Input::Synced { upto },
-            Done::Failed { no } => {
+            Report::Synced { upto } => Input::Synced { upto },
+            Report::Failed { no } => {
                 event!(telemetry::Event::DiskFailed, write = no);
                 Input::WriteFailed { no }
             }
-            Done::Space { full } => Input::Space { full },
+            Report::Space { full } => Input::Space { full },
         });
     })
 }
 
 /// Logs what was found in a folder that isn't whole.
-pub fn report_fate(fate: &Fate) {
-    match fate {
-        Fate::New | Fate::Whole => {}
-        Fate::CutOff { bytes } => event!(telemetry::Event::DiskTorn, bytes = bytes),
-        Fate::Replaced { reason, kept } => {
+pub fn report_fate(outcome: &OpenOutcome) {
+    match outcome {
+        OpenOutcome::New | OpenOutcome::Intact => {}
+        OpenOutcome::Truncated { bytes } => event!(telemetry::Event::DiskTorn, bytes = bytes),
+        OpenOutcome::Replaced { reason, kept } => {
             let kept = kept.display().to_string();
             event!(telemetry::Event::DiskCorrupt, why = reason, kept = kept);
         }
--- a/crates/disk/benches/restart.rs
+++ b/crates/disk/benches/restart.rs
@@ -5,7 +5,7 @@
 
 use base::{Incarnation, InstanceName, Seed};
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
-use disk::{Done, Writer, open};
+use disk::{Report, Writer, open};
 use replog::{
     Blob, Entry, Index, Members, Output, Payload, Position, RawSettings, Record, Replica, Settings,
     Term, WriteNo,
@@ -40,7 +40,7 @@
         };
         assert!(writer.take(write).is_none());
         let done = reports.recv().expect("a report");
-        assert_eq!(done, Done::Synced { upto: WriteNo(no) });
+        assert_eq!(done, Report::Synced { upto: WriteNo(no) });
     }
 }
 
--- a/crates/disk/src/folder.rs
+++ b/crates/disk/src/folder.rs
@@ -11,7 +11,7 @@
 };
 use thiserror::Error;
 
-use crate::Calls;
+use crate::SystemCalls;
 
 /// Size of the reserve file, which is deleted when the disk is full: room for thousands
 /// of votes and for the entries that begin a term.
@@ -41,7 +41,7 @@
     pub(crate) len: u64,
     /// The number of the next frame.
     pub(crate) next: u64,
-    pub(crate) calls: Calls,
+    pub(crate) calls: SystemCalls,
 }
 
 impl Folder {
@@ -53,7 +53,7 @@
 
     /// Replaces the system calls, for tests.
     #[must_use]
-    pub fn with_calls(self, calls: Calls) -> Self {
+    pub fn with_calls(self, calls: SystemCalls) -> Self {
         Folder { calls, ..self }
     }
 
--- a/crates/disk/src/lib.rs
+++ b/crates/disk/src/lib.rs
@@ -17,8 +17,8 @@
 mod writer;
 
 pub use crate::{
-    calls::Calls,
+    calls::SystemCalls,
     folder::Folder,
-    open::{Fate, Opened, open},
-    writer::{Done, Writer},
+    open::{OpenOutcome, Opened, open},
+    writer::{Report, Writer},
 };
--- a/crates/disk/src/open.rs
+++ b/crates/disk/src/open.rs
@@ -11,19 +11,19 @@
 use replog::{Header, Recovered, ReplicaId, Restored, Snapshot, Tail, recover, recover_snapshot};
 
 use crate::{
-    Calls, Folder,
+    Folder, SystemCalls,
     folder::{create_reserve, log_path, new_log, snapshot_path, sync_dir},
 };
 
 /// What was found in a data folder and done about it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Fate {
+pub enum OpenOutcome {
     /// The folder was empty; the replica is new.
     New,
     /// The content is intact.
-    Whole,
+    Intact,
     /// A torn write at the end of the log was truncated.
-    CutOff {
+    Truncated {
         /// The number of bytes truncated.
         bytes: u64,
     },
@@ -45,7 +45,7 @@
     /// The state that the replica starts from.
     pub restored: Restored,
     /// What was found in the folder.
-    pub fate: Fate,
+    pub outcome: OpenOutcome,
 }
 
 /// Opens the data folder of `instance`, or creates it. A new replica gets the incarnation
@@ -61,7 +61,7 @@
     let lock = take_lock(dir)?;
     let generations = generations(dir)?;
     let Some(&generation) = generations.last() else {
-        return start_new(dir, lock, instance, incarnation, Fate::New);
+        return start_new(dir, lock, instance, incarnation, OpenOutcome::New);
     };
     let raw = fs::read(log_path(dir, generation)).context("can't read the log")?;
     let found = recover(&raw);
@@ -80,14 +80,14 @@
                 generation,
                 len: found.len,
                 next: found.next,
-                calls: Calls::default(),
+                calls: SystemCalls::default(),
             };
-            let fate = if cut == 0 {
-                Fate::Whole
+            let outcome = if cut == 0 {
+                OpenOutcome::Intact
             } else {
-                Fate::CutOff { bytes: cut }
+                OpenOutcome::Truncated { bytes: cut }
             };
-            finish(folder, restored, fate)
+            finish(folder, restored, outcome)
         }
         Err(reason) => {
             // Votes and acknowledgements are lost with the records. A replica that
@@ -99,8 +99,8 @@
                 .header
                 .map_or(Incarnation(0), |header| header.id.incarnation);
             let incarnation = incarnation.max(old.next());
-            let fate = Fate::Replaced { reason, kept };
-            start_new(dir, lock, instance, incarnation, fate)
+            let outcome = OpenOutcome::Replaced { reason, kept };
+            start_new(dir, lock, instance, incarnation, outcome)
         }
     }
 }
@@ -185,7 +185,7 @@
     lock: File,
     instance: &InstanceName,
     incarnation: Incarnation,
-    fate: Fate,
+    outcome: OpenOutcome,
 ) -> Result<Opened> {
     let id = ReplicaId {
         instance: instance.clone(),
@@ -200,18 +200,18 @@
         generation: 1,
         len,
         next: 1,
-        calls: Calls::default(),
+        calls: SystemCalls::default(),
     };
-    finish(folder, Restored::default(), fate)
+    finish(folder, Restored::default(), outcome)
 }
 
-fn finish(folder: Folder, restored: Restored, fate: Fate) -> Result<Opened> {
+fn finish(folder: Folder, restored: Restored, outcome: OpenOutcome) -> Result<Opened> {
     // Without a reserve the replica still works, but it can't vote once the disk is full.
     let _ = create_reserve(&folder.dir);
     Ok(Opened {
         folder,
         restored,
-        fate,
+        outcome,
     })
 }
 
--- a/crates/disk/src/writer.rs
+++ b/crates/disk/src/writer.rs
@@ -23,7 +23,7 @@
 
 /// The result of a write, or a change of the free space.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Done {
+pub enum Report {
     /// All writes up to this one are durable.
     Synced {
         /// The last of them.
@@ -60,7 +60,7 @@
     /// # Errors
     ///
     /// Fails when no thread can be started.
-    pub fn start(folder: Folder, report: impl FnMut(Done) + Send + 'static) -> Result<Self> {
+    pub fn start(folder: Folder, report: impl FnMut(Report) + Send + 'static) -> Result<Self> {
         let (jobs, queue) = channel();
         let thread = thread::Builder::new().name("disk".to_owned());
         let stop = Arc::new(AtomicBool::new(false));
@@ -116,7 +116,7 @@
     stop: Arc<AtomicBool>,
 }
 
-impl<R: FnMut(Done)> Worker<R> {
+impl<R: FnMut(Report)> Worker<R> {
     fn work(&mut self, queue: &Receiver<(WriteNo, Job)>) {
         loop {
             let first = match queue.recv_timeout(self.pause()) {
@@ -152,7 +152,7 @@
             };
             match result {
                 Ok(()) => {
-                    (self.report)(Done::Synced { upto: no });
+                    (self.report)(Report::Synced { upto: no });
                     self.check_space();
                     return true;
                 }
@@ -161,7 +161,7 @@
                     // could succeed without it. So the failure is final and isn't
                     // retried.
                     base::hit!(failed_sync_is_final);
-                    (self.report)(Done::Failed { no });
+                    (self.report)(Report::Failed { no });
                     return false;
                 }
                 Err(WriteError::Full) if self.stop.load(Ordering::Relaxed) => return false,
@@ -169,7 +169,7 @@
                 Err(WriteError::Full) => {
                     self.full = true;
                     base::hit!(full_disk_waits);
-                    (self.report)(Done::Space { full: true });
+                    (self.report)(Report::Space { full: true });
                     self.folder.delete_reserve();
                 }
             }
@@ -180,7 +180,7 @@
     fn check_space(&mut self) {
         if self.full && self.folder.create_reserve() {
             self.full = false;
-            (self.report)(Done::Space { full: false });
+            (self.report)(Report::Space { full: false });
         }
     }
 }
--- a/crates/disk/tests/folder.rs
+++ b/crates/disk/tests/folder.rs
@@ -13,7 +13,7 @@
 };
 
 use base::{Incarnation, InstanceName};
-use disk::{Calls, Done, Fate, Folder, Opened, Writer, open};
+use disk::{Folder, OpenOutcome, Opened, Report, SystemCalls, Writer, open};
 use googletest::prelude::*;
 use replog::{
     Blob, Entry, Index, Members, Output, Payload, Position, Record, Snapshot, Term, WriteNo,
@@ -48,7 +48,7 @@
     open(dir, &instance(), Incarnation(incarnation)).expect("the folder opens")
 }
 
-fn writer(folder: Folder) -> (Writer, Receiver<Done>) {
+fn writer(folder: Folder) -> (Writer, Receiver<Report>) {
     let (report, reports) = channel();
     let report = move |done| report.send(done).expect("the test listens");
     (Writer::start(folder, report).expect("a thread"), reports)
@@ -81,9 +81,9 @@
     }
 }
 
-fn wait(reports: &Receiver<Done>, no: u64) {
+fn wait(reports: &Receiver<Report>, no: u64) {
     let done = reports.recv_timeout(CEILING).expect("a report");
-    assert_that!(done, eq(Done::Synced { upto: WriteNo(no) }));
+    assert_that!(done, eq(Report::Synced { upto: WriteNo(no) }));
 }
 
 fn log(dir: &Path) -> PathBuf {
@@ -97,7 +97,7 @@
     let dir = Dir::new("restart");
     fill(&dir.0, 5, 1_200);
     let opened = start(&dir.0, 6);
-    assert_that!(opened.fate, eq(&Fate::Whole));
+    assert_that!(opened.outcome, eq(&OpenOutcome::Intact));
     assert_that!(opened.folder.id().incarnation, eq(Incarnation(5)));
     assert_that!(opened.restored.last(), eq(Index(1_200)));
     let snapshot = Snapshot {
@@ -136,8 +136,8 @@
     fs::write(log(&dir.0), &raw[..raw.len() - 100]).expect("a shorter log");
     let opened = start(&dir.0, 6);
     assert_that!(
-        opened.fate,
-        matches_pattern!(Fate::CutOff { bytes: gt(&0) })
+        opened.outcome,
+        matches_pattern!(OpenOutcome::Truncated { bytes: gt(&0) })
     );
     assert_that!(opened.restored.last(), eq(Index(2)));
     let (writer, reports) = writer(opened.folder);
@@ -150,7 +150,7 @@
     wait(&reports, 1);
     drop(writer);
     let opened = start(&dir.0, 6);
-    assert_that!(opened.fate, eq(&Fate::Whole));
+    assert_that!(opened.outcome, eq(&OpenOutcome::Intact));
     assert_that!(opened.restored.term, eq(Term(2)));
 }
 
@@ -168,14 +168,17 @@
     let opened = start(&dir.0, 2);
     assert_that!(opened.folder.id().incarnation, eq(Incarnation(6)));
     assert_that!(opened.restored, eq(&replog::Restored::default()));
-    let Fate::Replaced { kept, .. } = &opened.fate else {
-        panic!("{:?}", opened.fate);
+    let OpenOutcome::Replaced { kept, .. } = &opened.outcome else {
+        panic!("{:?}", opened.outcome);
     };
     assert_that!(kept.join("log.1").exists(), eq(true));
     drop(opened);
     let other: InstanceName = "ctl-2".parse().expect("a name");
     let opened = open(&dir.0, &other, Incarnation(9)).expect("the folder opens");
-    assert_that!(opened.fate, matches_pattern!(Fate::Replaced { .. }));
+    assert_that!(
+        opened.outcome,
+        matches_pattern!(OpenOutcome::Replaced { .. })
+    );
     assert_that!(opened.folder.id().instance, eq(&other));
 }
 
@@ -198,17 +201,17 @@
     let dir = Dir::new("sync");
     let syncs = Arc::new(AtomicU32::new(0));
     let seen = Arc::clone(&syncs);
-    let calls = Calls {
+    let calls = SystemCalls {
         sync: Box::new(move |_| match seen.fetch_add(1, Ordering::SeqCst) {
             0 => Err(io::Error::other("no")),
             _ => Ok(()),
         }),
-        ..Calls::default()
+        ..SystemCalls::default()
     };
     let (writer, reports) = writer(start(&dir.0, 5).folder.with_calls(calls));
     assert_that!(writer.take(write(1, Vec::new())), none());
     let done = reports.recv_timeout(CEILING);
-    assert_that!(done, ok(eq(Done::Failed { no: WriteNo(1) })));
+    assert_that!(done, ok(eq(Report::Failed { no: WriteNo(1) })));
     assert_that!(writer.take(write(2, Vec::new())), none());
     assert_that!(reports.recv_timeout(CEILING), err(anything()));
     assert_that!(syncs.load(Ordering::SeqCst), eq(1));
@@ -221,7 +224,7 @@
     let dir = Dir::new("full");
     let full = Arc::new(AtomicBool::new(true));
     let seen = Arc::clone(&full);
-    let calls = Calls {
+    let calls = SystemCalls {
         write: Box::new(move |file, raw| {
             if seen.load(Ordering::SeqCst) {
                 file.write_all(&raw[..raw.len() / 2])?;
@@ -229,18 +232,18 @@
             }
             file.write_all(raw)
         }),
-        ..Calls::default()
+        ..SystemCalls::default()
     };
     let (writer, reports) = writer(start(&dir.0, 5).folder.with_calls(calls));
     let found = Record::Found(Members::default());
     assert_that!(writer.take(write(1, vec![found, entry(1)])), none());
     let next = || reports.recv_timeout(CEILING).expect("a report");
-    assert_that!(next(), eq(Done::Space { full: true }));
+    assert_that!(next(), eq(Report::Space { full: true }));
     full.store(false, Ordering::SeqCst);
-    assert_that!(next(), eq(Done::Synced { upto: WriteNo(1) }));
-    assert_that!(next(), eq(Done::Space { full: false }));
+    assert_that!(next(), eq(Report::Synced { upto: WriteNo(1) }));
+    assert_that!(next(), eq(Report::Space { full: false }));
     drop(writer);
     let opened = start(&dir.0, 6);
-    assert_that!(opened.fate, eq(&Fate::Whole));
+    assert_that!(opened.outcome, eq(&OpenOutcome::Intact));
     assert_that!(opened.restored.last(), eq(Index(1)));
 }
--- a/crates/frontd/src/control.rs
+++ b/crates/frontd/src/control.rs
@@ -161,7 +161,7 @@
 ) -> Result<Shell> {
     let name = names::instance(setup.ip);
     let opened = disk::open(&setup.data, &name, life)?;
-    daemon::report_fate(&opened.fate);
+    daemon::report_fate(&opened.outcome);
     let seeds = (outside.seeds)().unwrap_or_default();
     let peers = seeds.into_iter().map(names::instance).collect();
     let raw = RawSettings {
