--- a/crates/control/src/control.rs
+++ b/crates/control/src/control.rs
@@ -177,7 +177,7 @@
                 let ticket = self.wait(Waiting::Members(ticket));
                 self.drive(now, replog::Input::RemoveReplica { ticket, id }, out);
             }
-            Input::HandOver => self.drive(now, replog::Input::HandOver, out),
+            Input::HandOver => self.drive(now, replog::Input::TransferLeadership, out),
             Input::Wake => self.drive(now, replog::Input::Wake, out),
         }
     }
--- a/crates/control/src/control/answer.rs
+++ b/crates/control/src/control/answer.rs
@@ -1,7 +1,7 @@
 //! Who waits for a proposal, and what each of them is told.
 
 use base::Ticket;
-use replog::{Index, Rejected, WhyNot};
+use replog::{Index, RejectReason, Rejected};
 use wire::{
     call::Reply,
     operator::{Applied, Why},
@@ -132,7 +132,7 @@
     match rejected {
         Rejected::Unknown { .. } => Unnamed::Unknown,
         Rejected::NotAccepted { why, .. } => match why {
-            WhyNot::NotLeader => Unnamed::Elsewhere { leader },
+            RejectReason::NotLeader => Unnamed::Elsewhere { leader },
             _ => Unnamed::Busy,
         },
     }
@@ -151,7 +151,7 @@
         Rejected::NotAccepted { why, .. } => why,
     };
     let why = match why {
-        WhyNot::DiskFull => Why::NoDisk,
+        RejectReason::DiskFull => Why::NoDisk,
         _ => Why::NoQuorum { retry_ms: RETRY_MS },
     };
     Applied::Refused { why }
--- a/crates/control/tests/control.rs
+++ b/crates/control/tests/control.rs
@@ -30,7 +30,7 @@
             instance,
             incarnation,
         };
-        let mut raw = RawSettings::usual(id.clone(), vec![id.instance], Seed(1));
+        let mut raw = RawSettings::with_defaults(id.clone(), vec![id.instance], Seed(1));
         raw.backlog = Bytes(backlog);
         let restored = Restored::replay(None, disk.clone()).unwrap();
         let replica = Replica::new(Settings::try_from(raw).unwrap(), restored);
--- a/crates/controld/src/shell.rs
+++ b/crates/controld/src/shell.rs
@@ -92,7 +92,7 @@
     let life = Incarnation(u64::try_from(daemon::wall_clock()?.as_micros())?);
     let opened = disk::open(&settings.data, &settings.identity.name, life)?;
     daemon::report_fate(&opened.outcome);
-    let raw = RawSettings::usual(opened.folder.id().clone(), names, seed);
+    let raw = RawSettings::with_defaults(opened.folder.id().clone(), names, seed);
     let replica = Replica::new(raw.try_into()?, opened.restored);
     let control = Control::new(control::Config::default(), replica, Box::new(check));
     let writer = daemon::start_writer(opened.folder, move |input| {
--- a/crates/disk/benches/restart.rs
+++ b/crates/disk/benches/restart.rs
@@ -47,7 +47,7 @@
 fn restart(dir: &Path, instance: &InstanceName) -> Replica {
     let opened = open(dir, instance, Incarnation(2)).expect("opens");
     let id = opened.folder.id().clone();
-    let raw = RawSettings::usual(id, vec![instance.clone()], Seed(1));
+    let raw = RawSettings::with_defaults(id, vec![instance.clone()], Seed(1));
     let settings = Settings::try_from(raw).expect("usual settings");
     Replica::new(settings, opened.restored)
 }
--- a/crates/faults/src/cluster.rs
+++ b/crates/faults/src/cluster.rs
@@ -163,7 +163,7 @@
             keep_bytes: self.plan.keep_bytes,
             message: Bytes(64),
             window: Bytes(512),
-            ..RawSettings::usual(replica_id(name, host.life), peers, seed)
+            ..RawSettings::with_defaults(replica_id(name, host.life), peers, seed)
         };
         let settings = Settings::try_from(settings).expect("the plan's settings fit");
         self.sequence += 1;
--- a/crates/faults/src/cluster/check.rs
+++ b/crates/faults/src/cluster/check.rs
@@ -24,7 +24,7 @@
             let replica = self.replica(&id.instance);
             replica.is_some_and(|r| r.id() == id && r.halted().is_none())
         };
-        let settled = replica.members_settled();
+        let settled = replica.membership_committed();
         settled && members.voters.len() == self.plan.instances && members.voters.iter().all(alive)
     }
 
--- a/crates/faults/src/random.rs
+++ b/crates/faults/src/random.rs
@@ -116,7 +116,7 @@
         }
         21 if running => cluster.freeze(&name),
         22 | 23 if cluster.frozen(&name) => cluster.thaw(&name),
-        24 => cluster.input(&name, Input::HandOver),
+        24 => cluster.input(&name, Input::TransferLeadership),
         25 => {
             let full = rng.random_range(0..2) == 0;
             cluster.fill(&name, full);
--- a/crates/faults/src/script.rs
+++ b/crates/faults/src/script.rs
@@ -152,7 +152,7 @@
     one("empty", |c, x| c.empty(x));
     one("fail_sync", |c, x| c.fail_sync(x));
     one("isolate", |c, x| c.isolate(x));
-    one("hand_over", |c, x| c.input(x, Input::HandOver));
+    one("hand_over", |c, x| c.input(x, Input::TransferLeadership));
     let mut two = |function: &str, act: fn(&mut Cluster, &InstanceName, &InstanceName)| {
         let shared = Arc::clone(stage);
         engine.register_fn(function, move |x: &str, y: &str| {
--- a/crates/frontd/src/control.rs
+++ b/crates/frontd/src/control.rs
@@ -165,14 +165,14 @@
     let seeds = (outside.seeds)().unwrap_or_default();
     let peers = seeds.into_iter().map(names::instance).collect();
     let raw = RawSettings {
-        open: true,
-        founds: setup.first,
-        retire: Some(RETIRE),
+        admit_any: true,
+        may_found: setup.first,
+        remove_after: Some(RETIRE),
         heartbeat: HEARTBEAT,
         election: ELECTION,
         compact: COMPACT,
         keep: KEEP,
-        ..RawSettings::usual(opened.folder.id().clone(), peers, Seed(rand::random()))
+        ..RawSettings::with_defaults(opened.folder.id().clone(), peers, Seed(rand::random()))
     };
     let replica = Replica::new(raw.try_into()?, opened.restored);
     let control = Control::new(control::Config::default(), replica, Box::new(no_text));
--- a/crates/replog/src/io.rs
+++ b/crates/replog/src/io.rs
@@ -68,7 +68,7 @@
     },
     /// This process is about to stop: starts a leadership transfer to a voter that has
     /// caught up.
-    HandOver,
+    TransferLeadership,
 }
 
 /// An action that the embedder carries out, in the order of output.
@@ -158,7 +158,7 @@
     #[error("not accepted: {why}")]
     NotAccepted {
         /// Why not.
-        why: WhyNot,
+        why: RejectReason,
         /// The leader as far as known, which may accept the proposal.
         leader: Option<ReplicaId>,
     },
@@ -172,7 +172,7 @@
 
 /// Why a proposal was rejected before it reached the log.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
-pub enum WhyNot {
+pub enum RejectReason {
     /// This replica doesn't lead.
     #[error("this replica is not the leader")]
     NotLeader,
--- a/crates/replog/src/lib.rs
+++ b/crates/replog/src/lib.rs
@@ -21,7 +21,7 @@
     blob::Blob,
     entry::{Entry, Members, Payload, Position, Snapshot},
     id::{Index, ReplicaId, Term, WriteNo},
-    io::{HaltReason, Input, Output, Outputs, Rejected, WhyNot},
+    io::{HaltReason, Input, Output, Outputs, RejectReason, Rejected},
     message::{BadMessage, Message, Outcome, VoteKind},
     record::{
         BadSnapshot, FORMAT, Header, Record, Recovered, Tail, encode_first_log, encode_frame,
--- a/crates/replog/src/record.rs
+++ b/crates/replog/src/record.rs
@@ -55,7 +55,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Tail {
     /// Nothing follows the last valid frame.
-    Whole,
+    Intact,
     /// A torn write: interrupted by a crash and never acknowledged, so it may be
     /// truncated.
     Torn,
@@ -189,7 +189,7 @@
 /// vote or an acknowledgement, and two leaders could be elected in one term.
 fn classify_tail(rest: &[u8], next: u64) -> Tail {
     if rest.is_empty() {
-        return Tail::Whole;
+        return Tail::Intact;
     }
     let later =
         (0..rest.len()).any(|at| read_header(&rest[at..]).is_some_and(|found| found.seq != next));
--- a/crates/replog/src/replica.rs
+++ b/crates/replog/src/replica.rs
@@ -21,8 +21,8 @@
     election::Votes, follow::Follow, found::Founding, grace::Grace, lead::Leader, writes::Writes,
 };
 use crate::{
-    HaltReason, Index, Input, Message, Output, Outputs, Payload, Record, Rejected, ReplicaId,
-    Settings, Term, WhyNot,
+    HaltReason, Index, Input, Message, Output, Outputs, Payload, Record, RejectReason, Rejected,
+    ReplicaId, Settings, Term,
     journal::{Journal, entry_size},
 };
 
@@ -181,7 +181,7 @@
 
     /// Returns whether the newest membership change is known to be committed.
     #[must_use]
-    pub fn members_settled(&self) -> bool {
+    pub fn membership_committed(&self) -> bool {
         self.journal.members_index() <= self.commit
     }
 
@@ -230,7 +230,7 @@
             Input::AddReplica { ticket, id } => self.add_replica(now, Some(ticket), id, out),
             Input::RemoveReplica { ticket, id } => self.remove_replica(now, ticket, &id, out),
             Input::Peers { peers } => self.settings.raw.peers = peers,
-            Input::HandOver => self.transfer_leadership(now),
+            Input::TransferLeadership => self.transfer_leadership(now),
         }
     }
 
@@ -527,10 +527,10 @@
     else {
         return;
     };
-    out.push(not_accepted(ticket, WhyNot::NotLeader, None));
+    out.push(not_accepted(ticket, RejectReason::NotLeader, None));
 }
 
-fn not_accepted(ticket: u64, why: WhyNot, leader: Option<ReplicaId>) -> Output {
+fn not_accepted(ticket: u64, why: RejectReason, leader: Option<ReplicaId>) -> Output {
     Output::Proposed {
         ticket,
         result: Err(Rejected::NotAccepted { why, leader }),
--- a/crates/replog/src/replica/found.rs
+++ b/crates/replog/src/replica/found.rs
@@ -80,7 +80,9 @@
 
     /// Handles the initial membership sent by the founder.
     pub(super) fn found(&mut self, from: &ReplicaId, members: Members, out: &mut Outputs) {
-        if !self.settings.raw.founds || !self.log_is_empty() || !members.voters.contains(self.id())
+        if !self.settings.raw.may_found
+            || !self.log_is_empty()
+            || !members.voters.contains(self.id())
         {
             return;
         }
@@ -122,7 +124,7 @@
     }
 
     fn try_found(&mut self, now: Time, out: &mut Outputs) {
-        if !self.settings.raw.founds {
+        if !self.settings.raw.may_found {
             base::hit!(emptied_never_founds);
             return;
         }
--- a/crates/replog/src/replica/lead.rs
+++ b/crates/replog/src/replica/lead.rs
@@ -6,7 +6,7 @@
 
 use super::{Replica, Role, not_accepted, progress::Progress};
 use crate::{
-    Entry, Index, Message, Output, Outputs, Payload, Position, Record, ReplicaId, WhyNot,
+    Entry, Index, Message, Output, Outputs, Payload, Position, Record, RejectReason, ReplicaId,
     journal::entry_size,
 };
 
@@ -123,25 +123,25 @@
         out.push(not_accepted(ticket, why, self.leader.clone()));
     }
 
-    fn may_propose(&self, payload: &Payload) -> Result<(), WhyNot> {
+    fn may_propose(&self, payload: &Payload) -> Result<(), RejectReason> {
         let Role::Leader(leader) = &self.role else {
-            return Err(WhyNot::NotLeader);
+            return Err(RejectReason::NotLeader);
         };
         if leader.transfer_deadline.is_some() {
-            return Err(WhyNot::NotLeader);
+            return Err(RejectReason::NotLeader);
         }
         if self.full {
             // If proposals used up the remaining space, not even a vote could be written,
             // and the log would stop permanently.
             base::hit!(refused_when_full);
-            return Err(WhyNot::DiskFull);
+            return Err(RejectReason::DiskFull);
         }
         let size = match payload {
             Payload::Command(command) => command.len() as u64,
             _ => 0,
         };
         if leader.backlog() + size > self.settings.raw.backlog.get() {
-            return Err(WhyNot::Overloaded);
+            return Err(RejectReason::Overloaded);
         }
         Ok(())
     }
--- a/crates/replog/src/replica/members.rs
+++ b/crates/replog/src/replica/members.rs
@@ -6,7 +6,9 @@
 use base::Time;
 
 use super::{Replica, Role, not_accepted};
-use crate::{HaltReason, Index, Members, Message, Output, Outputs, Payload, ReplicaId, WhyNot};
+use crate::{
+    HaltReason, Index, Members, Message, Output, Outputs, Payload, RejectReason, ReplicaId,
+};
 
 /// Voters that have to remain when an unresponsive one is removed: with fewer, the loss
 /// of another one would leave no quorum.
@@ -30,7 +32,7 @@
             let older = newest.is_some_and(|incarnation| *incarnation >= id.incarnation);
             let next = members.with_learner(id);
             if older || next.voters.is_empty() {
-                return Err(WhyNot::BadChange);
+                return Err(RejectReason::BadChange);
             }
             Ok(next)
         });
@@ -48,7 +50,7 @@
         let result = self.changeable_members(now).and_then(|members| {
             let next = members.without(&id.instance);
             if !members.contains(id) || next.voters.is_empty() {
-                return Err(WhyNot::BadChange);
+                return Err(RejectReason::BadChange);
             }
             Ok(next)
         });
@@ -58,7 +60,7 @@
     /// Adds a replica that has sent a join request, if its instance should have a
     /// replica.
     pub(super) fn admit(&mut self, now: Time, from: &ReplicaId, out: &mut Outputs) {
-        let meant = self.settings.raw.open || self.settings.raw.peers.contains(&from.instance);
+        let meant = self.settings.raw.admit_any || self.settings.raw.peers.contains(&from.instance);
         let known = self.journal.members();
         let known = known.is_some_and(|members| members.contains(from));
         if meant && !known {
@@ -95,7 +97,7 @@
     /// least [`VOTERS_MIN`] voters remain and all of them answer; one whose replacement
     /// has become a voter since is removed much sooner.
     pub(super) fn remove_unresponsive(&mut self, now: Time) {
-        let Some(limit) = self.settings.raw.retire else {
+        let Some(limit) = self.settings.raw.remove_after else {
             return;
         };
         let Ok(members) = self.changeable_members(now) else {
@@ -161,7 +163,8 @@
     /// not know any member that still leads.
     pub(super) fn notify_removed(&self, id: &ReplicaId, out: &mut Outputs) -> bool {
         let members = self.journal.members();
-        let gone = self.members_settled() && members.is_some_and(|members| members.removed(id));
+        let gone =
+            self.membership_committed() && members.is_some_and(|members| members.removed(id));
         if gone {
             base::hit!(removed_never_elected);
             out.push(removed_message(id.clone()));
@@ -170,27 +173,30 @@
     }
 
     /// Returns the membership if a change may begin now.
-    fn changeable_members(&self, now: Time) -> Result<Members, WhyNot> {
+    fn changeable_members(&self, now: Time) -> Result<Members, RejectReason> {
         let Role::Leader(leader) = &self.role else {
-            return Err(WhyNot::NotLeader);
+            return Err(RejectReason::NotLeader);
         };
         // Before an entry of its own term is committed, a leader can't know whether an
         // earlier membership change is committed.
         if !self.leads(now) || self.commit < leader.noop {
-            return Err(WhyNot::NotLeader);
+            return Err(RejectReason::NotLeader);
         }
-        if !self.members_settled() {
+        if !self.membership_committed() {
             base::hit!(one_change_at_a_time);
-            return Err(WhyNot::Changing);
+            return Err(RejectReason::Changing);
         }
-        self.journal.members().cloned().ok_or(WhyNot::NotLeader)
+        self.journal
+            .members()
+            .cloned()
+            .ok_or(RejectReason::NotLeader)
     }
 
     fn change(
         &mut self,
         now: Time,
         ticket: Option<u64>,
-        result: Result<Members, WhyNot>,
+        result: Result<Members, RejectReason>,
         out: &mut Outputs,
     ) {
         match (result, ticket) {
--- a/crates/replog/src/settings.rs
+++ b/crates/replog/src/settings.rs
@@ -31,13 +31,13 @@
     pub peers: Vec<InstanceName>,
     /// Whether an instance that is not among the peers is added as well when it sends a
     /// join request.
-    pub open: bool,
+    pub admit_any: bool,
     /// Whether this replica may take part in founding a log. Cleared if the deployment
     /// has run before: a replica with an emptied folder then only joins.
-    pub founds: bool,
+    pub may_found: bool,
     /// How long a voter may be unresponsive before the leader removes it, provided that
     /// enough others answer; never removed if `None`.
-    pub retire: Option<Duration>,
+    pub remove_after: Option<Duration>,
     /// Seed of the randomised election timeouts; differs between replicas and
     /// incarnations.
     pub seed: Seed,
@@ -69,13 +69,13 @@
 impl RawSettings {
     /// Returns settings with the default times and sizes.
     #[must_use]
-    pub fn usual(id: ReplicaId, peers: Vec<InstanceName>, seed: Seed) -> Self {
+    pub fn with_defaults(id: ReplicaId, peers: Vec<InstanceName>, seed: Seed) -> Self {
         RawSettings {
             id,
             peers,
-            open: false,
-            founds: true,
-            retire: None,
+            admit_any: false,
+            may_found: true,
+            remove_after: None,
             seed,
             heartbeat: Duration::from_millis(200),
             election: Duration::from_millis(1_000),
--- a/crates/replog/tests/codec.rs
+++ b/crates/replog/tests/codec.rs
@@ -69,7 +69,7 @@
     #[test]
     fn records_come_back((frames, batches) in frames()) {
         let found = recover(&frames.concat());
-        prop_assert_eq!(found.tail, Tail::Whole);
+        prop_assert_eq!(found.tail, Tail::Intact);
         prop_assert_eq!(found.records, batches.concat());
     }
 
@@ -82,7 +82,7 @@
         let whole = raw.len();
         raw.extend(&last[..at.index(last.len())]);
         let found = recover(&raw);
-        let tail = if raw.len() == whole { Tail::Whole } else { Tail::Torn };
+        let tail = if raw.len() == whole { Tail::Intact } else { Tail::Torn };
         prop_assert_eq!(found.tail, tail);
         prop_assert_eq!(found.len, whole as u64);
         prop_assert_eq!(found.records, batches[..batches.len() - 1].concat());
@@ -151,7 +151,7 @@
     };
     let mut raw = encode_header(&header);
     raw.extend(encode_frame(1, &[Record::Found(Members::default())]));
-    assert_eq!(recover(&raw).tail, Tail::Whole);
+    assert_eq!(recover(&raw).tail, Tail::Intact);
     raw.pop();
     assert_eq!(recover(&raw).tail, Tail::Damaged);
 }
--- a/crates/replog/tests/explore.rs
+++ b/crates/replog/tests/explore.rs
@@ -10,7 +10,7 @@
 use faults::{FakeDisk, History};
 use replog::{
     Blob, Entry, Index, Input, Members, Message, Output, Payload, Position, RawSettings, Record,
-    Rejected, Replica, ReplicaId, Settings, Term, VoteKind, WhyNot, WriteNo,
+    RejectReason, Rejected, Replica, ReplicaId, Settings, Term, VoteKind, WriteNo,
 };
 
 /// Longer than any election timeout.
@@ -56,7 +56,7 @@
         // One entry per message, so that each can be delayed separately.
         message: Bytes(1),
         window: Bytes(1),
-        ..RawSettings::usual(id.clone(), peers, Seed(1))
+        ..RawSettings::with_defaults(id.clone(), peers, Seed(1))
     };
     let settings = Settings::try_from(raw).expect("usual settings");
     Replica::new(settings, disk.open().expect("a whole disk"))
@@ -378,11 +378,11 @@
         incarnation: Incarnation(incarnation),
         ..ids()[2].clone()
     };
-    assert_eq!(ask(&mut world, &id(2)), Some(WhyNot::NotLeader));
+    assert_eq!(ask(&mut world, &id(2)), Some(RejectReason::NotLeader));
     world.talk(0, 1, |_| false);
-    assert_eq!(ask(&mut world, &id(1)), Some(WhyNot::BadChange));
+    assert_eq!(ask(&mut world, &id(1)), Some(RejectReason::BadChange));
     assert_eq!(ask(&mut world, &id(2)), None);
-    assert_eq!(ask(&mut world, &id(3)), Some(WhyNot::Changing));
+    assert_eq!(ask(&mut world, &id(3)), Some(RejectReason::Changing));
 }
 
 /// A leader transfers leadership. Its successor may be elected without waiting for the
@@ -394,7 +394,7 @@
     world.elect(0, 1);
     world.talk(0, 1, |_| false);
     assert!(world.replicas[0].leads(world.clocks[0]));
-    world.input(0, Input::HandOver);
+    world.input(0, Input::TransferLeadership);
     let told =
         |(_, _, message): &(usize, usize, Message)| matches!(message, Message::TimeoutNow { .. });
     assert!(world.messages.iter().any(told));
--- a/crates/replog/tests/open.rs
+++ b/crates/replog/tests/open.rs
@@ -1,4 +1,4 @@
-//! Membership of a log with `open` set, where instances know each other by address only:
+//! Membership of a log with `admit_any` set, where instances know each other by address only:
 //! who founds it, who is added, and when an unresponsive voter is removed.
 
 use std::{collections::BTreeMap, time::Duration};
@@ -43,10 +43,10 @@
         };
         let peers = peers.iter().map(|peer| name(peer)).collect();
         let raw = RawSettings {
-            open: true,
-            founds,
-            retire: Some(RETIRE),
-            ..RawSettings::usual(id.clone(), peers, Seed(id.incarnation.get()))
+            admit_any: true,
+            may_found: founds,
+            remove_after: Some(RETIRE),
+            ..RawSettings::with_defaults(id.clone(), peers, Seed(id.incarnation.get()))
         };
         let settings = Settings::try_from(raw).unwrap();
         let replica = Replica::new(settings, Restored::default());
--- a/crates/replog/tests/size.rs
+++ b/crates/replog/tests/size.rs
@@ -59,7 +59,7 @@
                 instance: instance.clone(),
                 incarnation,
             };
-            let raw = RawSettings::usual(id, names.to_vec(), Seed(1));
+            let raw = RawSettings::with_defaults(id, names.to_vec(), Seed(1));
             let settings = Settings::try_from(raw).unwrap();
             Replica::new(settings, Restored::default())
         };
@@ -243,7 +243,7 @@
         instance: name("k1"),
         incarnation: Incarnation(1),
     };
-    let usual = RawSettings::usual(id, vec![name("k1")], Seed(1));
+    let usual = RawSettings::with_defaults(id, vec![name("k1")], Seed(1));
     expect_that!(cluster.heaviest, le(usual.message.get()));
 }
 
@@ -336,7 +336,7 @@
     };
     let raw = RawSettings {
         compact_bytes: Bytes(0),
-        ..RawSettings::usual(id, vec![name("k1")], Seed(1))
+        ..RawSettings::with_defaults(id, vec![name("k1")], Seed(1))
     };
     let made = Settings::try_from(raw).map(|_| ());
     expect_that!(made, err(eq(&BadSettings::Zero("compact_bytes"))));
--- a/crates/scenarios/src/keeper.rs
+++ b/crates/scenarios/src/keeper.rs
@@ -37,7 +37,7 @@
             incarnation: Incarnation(1),
         };
         let peers = peers.iter().map(|peer| peer.parse().unwrap()).collect();
-        let mut raw = replog::RawSettings::usual(id, peers, Seed(seed));
+        let mut raw = replog::RawSettings::with_defaults(id, peers, Seed(seed));
         raw.compact = 100;
         raw.keep = 20;
         let restored = Restored::replay(disk.snapshot.clone(), disk.records.clone());
--- a/xtask/src/capacity/control.rs
+++ b/xtask/src/capacity/control.rs
@@ -89,7 +89,7 @@
             instance: instance.clone(),
             incarnation: Incarnation(1),
         };
-        let raw = RawSettings::usual(id, vec![instance], Seed(life));
+        let raw = RawSettings::with_defaults(id, vec![instance], Seed(life));
         let restored = Restored::replay(snapshot.clone(), disk.clone()).context("damaged log")?;
         let replica = Replica::new(Settings::try_from(raw)?, restored);
         let check = |_: &str| Ok(Checked { rate: PerSecond(5) });
