--- a/crates/disk/src/open.rs
+++ b/crates/disk/src/open.rs
@@ -40,7 +40,7 @@
 /// An opened data folder and its content.
 #[derive(Debug)]
 pub struct Opened {
-    /// The folder, ready for writing.
+    /// The folder, open for appending.
     pub folder: Folder,
     /// The state that the replica starts from.
     pub restored: Restored,
--- a/crates/disk/src/writer.rs
+++ b/crates/disk/src/writer.rs
@@ -1,4 +1,4 @@
-//! The thread that writes to a data folder.
+//! A thread that writes to a data folder, so that slow syncs don't block the replica.
 
 use std::{
     sync::{
@@ -55,7 +55,7 @@
 }
 
 impl Writer {
-    /// Starts the thread; `report` is called on it.
+    /// Starts the thread, which calls `report` with the result of each write.
     ///
     /// # Errors
     ///
--- a/crates/disk/tests/folder.rs
+++ b/crates/disk/tests/folder.rs
@@ -20,7 +20,7 @@
 };
 
 /// Longest wait for a report of the writer.
-const CEILING: Duration = Duration::from_secs(60);
+const REPORT_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// A temporary folder, removed when dropped.
 struct Dir(PathBuf);
@@ -82,7 +82,7 @@
 }
 
 fn wait(reports: &Receiver<Report>, no: u64) {
-    let done = reports.recv_timeout(CEILING).expect("a report");
+    let done = reports.recv_timeout(REPORT_TIMEOUT).expect("a report");
     assert_that!(done, eq(Report::Synced { upto: WriteNo(no) }));
 }
 
@@ -210,10 +210,10 @@
     };
     let (writer, reports) = writer(start(&dir.0, 5).folder.with_calls(calls));
     assert_that!(writer.take(write(1, Vec::new())), none());
-    let done = reports.recv_timeout(CEILING);
+    let done = reports.recv_timeout(REPORT_TIMEOUT);
     assert_that!(done, ok(eq(Report::Failed { no: WriteNo(1) })));
     assert_that!(writer.take(write(2, Vec::new())), none());
-    assert_that!(reports.recv_timeout(CEILING), err(anything()));
+    assert_that!(reports.recv_timeout(REPORT_TIMEOUT), err(anything()));
     assert_that!(syncs.load(Ordering::SeqCst), eq(1));
 }
 
@@ -237,7 +237,7 @@
     let (writer, reports) = writer(start(&dir.0, 5).folder.with_calls(calls));
     let found = Record::Found(Members::default());
     assert_that!(writer.take(write(1, vec![found, entry(1)])), none());
-    let next = || reports.recv_timeout(CEILING).expect("a report");
+    let next = || reports.recv_timeout(REPORT_TIMEOUT).expect("a report");
     assert_that!(next(), eq(Report::Space { full: true }));
     full.store(false, Ordering::SeqCst);
     assert_that!(next(), eq(Report::Synced { upto: WriteNo(1) }));
--- a/crates/replog/src/entry.rs
+++ b/crates/replog/src/entry.rs
@@ -43,7 +43,7 @@
     pub struct Snapshot {
         /// The last entry that it covers.
         pub at: Position,
-        /// The replicas as of that entry.
+        /// The membership as of that entry.
         pub members: Members,
         /// The state, opaque to the log.
         pub data: Blob,
--- a/crates/replog/src/io.rs
+++ b/crates/replog/src/io.rs
@@ -63,7 +63,7 @@
     },
     /// Replaces the list of instances that should have a replica.
     Peers {
-        /// Their names.
+        /// The names of the instances, possibly including this one.
         peers: Vec<InstanceName>,
     },
     /// This process is about to stop: starts a leadership transfer to a voter that has
@@ -115,7 +115,7 @@
         /// The state.
         data: Blob,
     },
-    /// Answers a proposal or a change of members, once.
+    /// The result of a proposal or a membership change; output once per ticket.
     Proposed {
         /// The proposal's ticket.
         ticket: u64,
@@ -143,12 +143,12 @@
     },
     /// The replica has stopped: it ignores all inputs but proposals, which it rejects.
     Halted {
-        /// Why.
+        /// The reason for halting.
         reason: HaltReason,
     },
 }
 
-/// The list that outputs are collected in.
+/// A list of outputs, in the order in which they are carried out.
 pub type Outputs = Vec<Output>;
 
 /// Why a proposal was not committed.
@@ -157,7 +157,7 @@
     /// The command is not in the log and never will be.
     #[error("not accepted: {why}")]
     NotAccepted {
-        /// Why not.
+        /// The reason for the rejection.
         why: RejectReason,
         /// The leader as far as known, which may accept the proposal.
         leader: Option<ReplicaId>,
--- a/crates/replog/src/journal.rs
+++ b/crates/replog/src/journal.rs
@@ -1,4 +1,4 @@
-//! The part of the log that is in memory: a snapshot and entries.
+//! The in-memory part of the log: a snapshot and entries.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -79,8 +79,8 @@
         first
     }
 
-    /// Returns entries after `prev` up to `last`: at least one if there is
-    /// any, and then as many as fit `limit` bytes.
+    /// Returns the entries after `prev` up to `last`: at least one if there is any, and
+    /// as many as fit `limit` bytes.
     pub(crate) fn slice(&self, prev: Index, last: Index, limit: u64) -> Vec<Entry> {
         let mut taken = Vec::new();
         let mut size = 0;
@@ -132,7 +132,7 @@
         false
     }
 
-    /// Makes the snapshot for the state `data` after the entry at `index`.
+    /// Creates the snapshot with the state `data` after the entry at `index`.
     pub(crate) fn snapshot(&self, index: Index, data: crate::Blob) -> Option<Snapshot> {
         let term = self.term_at(index)?;
         let (_, members) = self.memberships.range(..=index).next_back()?;
--- a/crates/replog/src/message.rs
+++ b/crates/replog/src/message.rs
@@ -16,7 +16,7 @@
         /// Pre-vote: asks whether the vote would be granted; changes no state at either
         /// side.
         Pre,
-        /// A vote.
+        /// A request for a vote.
         Real,
         /// A vote in a leadership transfer: the leader has given up its lease.
         Transfer,
@@ -50,16 +50,16 @@
             term: Term,
             /// What kind of vote.
             kind: VoteKind,
-            /// The end of the candidate's log.
+            /// The position of the last entry in the candidate's log.
             last: Position,
         },
         /// The answer to a request for a vote.
         VoteReply {
-            /// The voter's term; the term asked for if granted.
+            /// The voter's term; the requested term if the vote is granted.
             term: Term,
             /// What kind of vote.
             kind: VoteKind,
-            /// Whether the vote is given.
+            /// Whether the vote is granted.
             granted: bool,
         },
         /// Entries of the leader; without entries, a heartbeat.
@@ -130,7 +130,7 @@
             round: u64,
             /// The last entry covered.
             at: Position,
-            /// The replicas as of that entry.
+            /// The membership as of that entry.
             members: Members,
             /// The length of the full snapshot in bytes.
             total: u64,
@@ -165,12 +165,12 @@
         },
         /// A restarted replica asks whether the receiver is the leader.
         Leading {
-            /// Echoed in the answer.
+            /// Identifies the query; echoed in the answer.
             number: u64,
         },
         /// Answers [`Message::Leading`]: the sender is not the leader.
         Idle {
-            /// The question's number.
+            /// The number of the query.
             number: u64,
         },
     }
@@ -209,7 +209,7 @@
     ///
     /// # Errors
     ///
-    /// Fails when the bytes are no message.
+    /// Fails when the bytes don't decode as a message.
     pub fn decode(raw: &[u8]) -> Result<Self, BadMessage> {
         Ok(rmp_serde::from_slice(raw)?)
     }
--- a/crates/replog/src/record.rs
+++ b/crates/replog/src/record.rs
@@ -24,7 +24,7 @@
 base::record! {
     /// The first frame of a log file.
     pub struct Header {
-        /// The format of what follows.
+        /// The format of the file; see [`FORMAT`].
         pub format: u32,
         /// The replica that owns the log.
         pub id: ReplicaId,
@@ -233,7 +233,7 @@
     })
 }
 
-/// Returns the payload of the frame number `seq` and the frame's length.
+/// Returns the payload of the frame `seq` and the frame's length, if the frame is valid.
 fn read_frame(raw: &[u8], seq: u64) -> Option<(&[u8], usize)> {
     let header = read_header(raw)?;
     let len = HEADER_LEN.checked_add(header.len)?;
--- a/crates/replog/src/replica.rs
+++ b/crates/replog/src/replica.rs
@@ -1,4 +1,4 @@
-//! One replica of the log.
+//! The replica: state, dispatch of inputs, and roles.
 
 mod election;
 mod follow;
--- a/crates/replog/src/replica/election.rs
+++ b/crates/replog/src/replica/election.rs
@@ -110,8 +110,8 @@
             kind,
             granted,
         };
-        // A vote that a crash makes forgotten could be given twice, and two
-        // leaders elected in one term; so it leaves only after the sync.
+        // A vote that is lost in a crash could be given twice, and two leaders elected in
+        // one term. So the reply is sent only after the sync.
         self.writes.send_after(from.instance.clone(), reply, out);
     }
 
--- a/crates/replog/src/replica/follow.rs
+++ b/crates/replog/src/replica/follow.rs
@@ -18,7 +18,7 @@
 /// A follower's view of the leader's log in the current term.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Follow {
-    /// The last entry known to agree with the leader's.
+    /// The last entry known to match the leader's log.
     matched: Index,
     /// The newest heartbeat round received.
     round: u64,
--- a/crates/replog/src/replica/lead.rs
+++ b/crates/replog/src/replica/lead.rs
@@ -26,7 +26,7 @@
     /// Numbers and start times of the latest heartbeat rounds.
     rounds: VecDeque<(u64, Time)>,
     next_heartbeat: Time,
-    /// When it was elected.
+    /// When this leader was elected.
     since: Time,
     /// The no-op entry appended at the start of its term.
     pub(super) noop: Index,
--- a/crates/replog/src/replica/progress.rs
+++ b/crates/replog/src/replica/progress.rs
@@ -43,7 +43,7 @@
     pub(crate) mode: Mode,
     /// Start of the newest heartbeat round that the follower has answered.
     pub(crate) acked: Option<Time>,
-    /// Whether its disk is full.
+    /// Whether the follower's disk is full.
     pub(crate) full: bool,
     /// When the leader began to replicate to it.
     pub(crate) since: Time,
--- a/crates/replog/src/settings.rs
+++ b/crates/replog/src/settings.rs
@@ -91,7 +91,7 @@
     }
 }
 
-/// Checked settings.
+/// Validated settings.
 #[derive(Clone, Debug)]
 pub struct Settings {
     pub(crate) raw: RawSettings,
--- a/crates/replog/tests/codec.rs
+++ b/crates/replog/tests/codec.rs
@@ -67,7 +67,7 @@
 
 proptest! {
     #[test]
-    fn records_come_back((frames, batches) in frames()) {
+    fn records_round_trip((frames, batches) in frames()) {
         let found = recover(&frames.concat());
         prop_assert_eq!(found.tail, Tail::Intact);
         prop_assert_eq!(found.records, batches.concat());
@@ -127,7 +127,7 @@
     }
 
     #[test]
-    fn any_bytes_are_survived(raw in vec(any::<u8>(), 0..200), records in vec(record(), 0..8)) {
+    fn arbitrary_bytes_never_panic(raw in vec(any::<u8>(), 0..200), records in vec(record(), 0..8)) {
         let _ = recover(&raw);
         let _ = recover_snapshot(&raw);
         let _ = Message::decode(&raw);
--- a/crates/replog/tests/explore.rs
+++ b/crates/replog/tests/explore.rs
@@ -13,8 +13,8 @@
     RejectReason, Rejected, Replica, ReplicaId, Settings, Term, VoteKind, WriteNo,
 };
 
-/// Longer than any election timeout.
-const LONG: Duration = Duration::from_secs(5);
+/// An advance of the clock past any election timeout.
+const PAST_ELECTION: Duration = Duration::from_secs(5);
 
 #[derive(Clone, Copy, Debug)]
 enum Step {
@@ -25,11 +25,11 @@
     Crash(usize),
     Propose(usize),
     /// Delivers the oldest message from the first replica to the second.
-    Carry(usize, usize),
+    DeliverFrom(usize, usize),
 }
 
 #[derive(Clone, Debug)]
-struct World {
+struct Model {
     replicas: Vec<Replica>,
     disks: Vec<FakeDisk>,
     clocks: Vec<Time>,
@@ -62,7 +62,7 @@
     Replica::new(settings, disk.open().expect("a whole disk"))
 }
 
-impl World {
+impl Model {
     /// Creates three replicas that share one entry of term 1.
     fn new(timeouts: u32, crashes: u32) -> Self {
         let at = Position {
@@ -87,7 +87,7 @@
         }
         let replicas = disks.iter_mut().zip(ids());
         let replicas = replicas.map(|(disk, id)| replica(disk, &id)).collect();
-        let mut world = World {
+        let mut model = Model {
             replicas,
             disks,
             clocks: vec![Time::ZERO; 3],
@@ -99,11 +99,11 @@
             timeouts,
             crashes,
         };
-        (0..3).for_each(|at| world.input(at, Input::Wake));
-        (0..3).for_each(|at| world.clocks[at] = Time::ZERO + LONG);
+        (0..3).for_each(|at| model.input(at, Input::Wake));
+        (0..3).for_each(|at| model.clocks[at] = Time::ZERO + PAST_ELECTION);
         // The replicas started long ago: their queries of the grace period are dropped.
-        world.messages.clear();
-        world
+        model.messages.clear();
+        model
     }
 
     fn input(&mut self, at: usize, input: Input) {
@@ -169,11 +169,11 @@
             }
             Step::Timeout(at) => {
                 self.timeouts = self.timeouts.saturating_sub(1);
-                self.clocks[at] = self.clocks[at] + LONG;
+                self.clocks[at] = self.clocks[at] + PAST_ELECTION;
                 self.input(at, Input::Wake);
             }
             Step::Crash(at) => self.crash(at),
-            Step::Carry(from, to) => {
+            Step::DeliverFrom(from, to) => {
                 let mut messages = self.messages.iter();
                 let place = messages.position(|(a, b, _)| (*a, *b) == (from, to));
                 self.take(Step::Deliver(place.expect("a message on its way")));
@@ -194,7 +194,7 @@
         self.last[at] = Index(0);
         self.replicas[at] = replica(&mut self.disks[at], &ids()[at]);
         self.input(at, Input::Wake);
-        self.clocks[at] = self.clocks[at] + LONG;
+        self.clocks[at] = self.clocks[at] + PAST_ELECTION;
     }
 
     /// Elects `at` with the vote of `by`, and drops all other messages.
@@ -206,7 +206,7 @@
                 return;
             }
             self.take(Step::Timeout(at));
-            self.talk(at, by, |world| world.leads(at));
+            self.exchange(at, by, |model| model.leads(at));
             self.messages.retain(|(from, _, _)| *from == at);
         }
     }
@@ -218,7 +218,7 @@
 
     /// Delivers messages and completes syncs between two replicas until `enough`, or
     /// until none are left.
-    fn talk(&mut self, a: usize, b: usize, enough: impl Fn(&World) -> bool) {
+    fn exchange(&mut self, a: usize, b: usize, enough: impl Fn(&Model) -> bool) {
         while !enough(self) {
             let between = |(from, to, _): &(usize, usize, Message)| {
                 (*from, *to) == (a, b) || (*from, *to) == (b, a)
@@ -261,30 +261,30 @@
     }
 
     fn fingerprint(&self) -> u64 {
-        let mut world = self.clone();
-        world
+        let mut model = self.clone();
+        model
             .messages
             .sort_by_cached_key(|message| format!("{message:?}"));
-        stable_hash(&[format!("{world:?}").as_bytes()])
+        stable_hash(&[format!("{model:?}").as_bytes()])
     }
 }
 
 /// Takes every sequence of up to `depth` steps and checks each state reached.
 fn explore((prefix, timeouts, crashes, depth): (&[Step], u32, u32, u32)) {
-    let mut start = World::new(timeouts, crashes);
+    let mut start = Model::new(timeouts, crashes);
     for step in prefix {
         start.take(*step);
     }
     (start.timeouts, start.crashes) = (timeouts, crashes);
     let mut seen = HashSet::new();
     let mut queue = VecDeque::from([(start, 0)]);
-    while let Some((world, level)) = queue.pop_front() {
-        world.check();
+    while let Some((model, level)) = queue.pop_front() {
+        model.check();
         if level == depth {
             continue;
         }
-        for step in world.steps() {
-            let mut next = world.clone();
+        for step in model.steps() {
+            let mut next = model.clone();
             next.take(step);
             if seen.insert(next.fingerprint()) {
                 queue.push_back((next, level + 1));
@@ -297,22 +297,22 @@
 /// `a` and `b` have both received a pre-vote of `c` for term 2.
 const TWO_CANDIDATES: &[Step] = &[
     Step::Timeout(0),
-    Step::Carry(0, 2),
-    Step::Carry(2, 0),
+    Step::DeliverFrom(0, 2),
+    Step::DeliverFrom(2, 0),
     Step::Timeout(1),
-    Step::Carry(1, 2),
-    Step::Carry(2, 1),
+    Step::DeliverFrom(1, 2),
+    Step::DeliverFrom(2, 1),
 ];
 
 /// `a` leads term 2 with the vote of `b` and has an open proposal.
 const LEADER_AT_WORK: &[Step] = &[
     Step::Timeout(0),
-    Step::Carry(0, 1),
-    Step::Carry(1, 0),
+    Step::DeliverFrom(0, 1),
+    Step::DeliverFrom(1, 0),
     Step::Sync(0),
-    Step::Carry(0, 1),
+    Step::DeliverFrom(0, 1),
     Step::Sync(1),
-    Step::Carry(1, 0),
+    Step::DeliverFrom(1, 0),
     Step::Propose(0),
 ];
 
@@ -332,24 +332,24 @@
 #[test]
 fn an_old_entry_on_a_majority_is_not_committed() {
     base::covers!(commit_own_term);
-    let mut world = World::new(0, 0);
+    let mut model = Model::new(0, 0);
     for leader in [0, 2] {
-        world.elect(leader, 1);
-        world.take(Step::Propose(leader));
-        world.talk(leader, leader, |_| false);
-        world.messages.clear();
-        world.crash(leader);
+        model.elect(leader, 1);
+        model.take(Step::Propose(leader));
+        model.exchange(leader, leader, |_| false);
+        model.messages.clear();
+        model.crash(leader);
     }
-    world.elect(0, 1);
-    world.talk(0, 1, |world| world.sends(0, 4));
-    world.crash(0);
+    model.elect(0, 1);
+    model.exchange(0, 1, |model| model.sends(0, 4));
+    model.crash(0);
     // Lets the voter's last contact with the leader expire, so that it grants votes
     // again.
-    world.clocks[1] = world.clocks[1] + LONG;
-    world.elect(2, 1);
-    world.talk(2, 1, |_| false);
-    world.check();
-    assert!(!world.applied.is_empty(), "nothing was committed");
+    model.clocks[1] = model.clocks[1] + PAST_ELECTION;
+    model.elect(2, 1);
+    model.exchange(2, 1, |_| false);
+    model.check();
+    assert!(!model.applied.is_empty(), "nothing was committed");
 }
 
 /// Membership changes are requested before the leader knows what its predecessors
@@ -357,15 +357,15 @@
 /// progress. Each is rejected, as it could lead to two majorities without a common
 /// replica.
 #[test]
-fn members_change_only_from_settled_ground() {
+fn membership_changes_wait_for_committed_membership() {
     base::covers!(one_change_at_a_time);
-    let mut world = World::new(0, 0);
-    world.elect(0, 1);
-    let ask = |world: &mut World, id: &ReplicaId| {
+    let mut model = Model::new(0, 0);
+    model.elect(0, 1);
+    let ask = |model: &mut Model, id: &ReplicaId| {
         let (ticket, id) = (9, id.clone());
         let mut out = Vec::new();
         let input = Input::AddReplica { ticket, id };
-        world.replicas[0].handle(world.clocks[0], input, &mut out);
+        model.replicas[0].handle(model.clocks[0], input, &mut out);
         out.into_iter().find_map(|output| match output {
             Output::Proposed {
                 result: Err(Rejected::NotAccepted { why, .. }),
@@ -378,27 +378,27 @@
         incarnation: Incarnation(incarnation),
         ..ids()[2].clone()
     };
-    assert_eq!(ask(&mut world, &id(2)), Some(RejectReason::NotLeader));
-    world.talk(0, 1, |_| false);
-    assert_eq!(ask(&mut world, &id(1)), Some(RejectReason::BadChange));
-    assert_eq!(ask(&mut world, &id(2)), None);
-    assert_eq!(ask(&mut world, &id(3)), Some(RejectReason::Changing));
+    assert_eq!(ask(&mut model, &id(2)), Some(RejectReason::NotLeader));
+    model.exchange(0, 1, |_| false);
+    assert_eq!(ask(&mut model, &id(1)), Some(RejectReason::BadChange));
+    assert_eq!(ask(&mut model, &id(2)), None);
+    assert_eq!(ask(&mut model, &id(3)), Some(RejectReason::Changing));
 }
 
 /// A leader transfers leadership. Its successor may be elected without waiting for the
 /// lease to expire, so the leader must stop acting as one before it sends the request.
 #[test]
-fn a_leader_that_hands_over_has_stopped() {
+fn a_leader_stops_before_it_transfers_leadership() {
     base::covers!(handed_over);
-    let mut world = World::new(0, 0);
-    world.elect(0, 1);
-    world.talk(0, 1, |_| false);
-    assert!(world.replicas[0].leads(world.clocks[0]));
-    world.input(0, Input::TransferLeadership);
-    let told =
+    let mut model = Model::new(0, 0);
+    model.elect(0, 1);
+    model.exchange(0, 1, |_| false);
+    assert!(model.replicas[0].leads(model.clocks[0]));
+    model.input(0, Input::TransferLeadership);
+    let sent =
         |(_, _, message): &(usize, usize, Message)| matches!(message, Message::TimeoutNow { .. });
-    assert!(world.messages.iter().any(told));
-    assert!(!world.replicas[0].leads(world.clocks[0]));
+    assert!(model.messages.iter().any(sent));
+    assert!(!model.replicas[0].leads(model.clocks[0]));
 }
 
 /// The founder loses its folder while the log is being founded, and its next incarnation
--- a/crates/replog/tests/open.rs
+++ b/crates/replog/tests/open.rs
@@ -53,7 +53,7 @@
         self.replicas.insert(id.instance, replica);
     }
 
-    fn give(&mut self, to: &InstanceName, input: Input) {
+    fn input(&mut self, to: &InstanceName, input: Input) {
         let mut inputs = vec![(to.clone(), input)];
         while let Some((to, input)) = inputs.pop() {
             let Some(replica) = self.replicas.get_mut(&to) else {
@@ -76,11 +76,11 @@
         }
     }
 
-    fn pass(&mut self, ms: u64) {
+    fn run(&mut self, ms: u64) {
         for _ in 0..ms / 50 {
             self.now = self.now + Duration::from_millis(50);
             for name in self.replicas.keys().cloned().collect::<Vec<_>>() {
-                self.give(&name, Input::Wake);
+                self.input(&name, Input::Wake);
             }
         }
     }
@@ -104,12 +104,12 @@
 }
 
 #[gtest]
-fn an_instance_that_no_peer_names_is_taken_in() {
+fn an_instance_that_is_no_peer_is_added() {
     let mut cluster = Cluster::new(&["k1", "k2", "k3"]);
-    cluster.pass(5_000);
+    cluster.run(5_000);
     assert_that!(cluster.voters(), eq(&names(&["k1", "k2", "k3"])));
     cluster.start("k9", 9, &["k1", "k2", "k3"], true);
-    cluster.pass(3_000);
+    cluster.run(3_000);
     assert_that!(cluster.voters(), eq(&names(&["k1", "k2", "k3", "k9"])));
 }
 
@@ -123,7 +123,7 @@
     for instance in ["k1", "k2", "k3"] {
         cluster.start(instance, 2, &["k1", "k2", "k3"], false);
     }
-    cluster.pass(20_000);
+    cluster.run(20_000);
     assert_that!(cluster.voters(), none());
 }
 
@@ -135,14 +135,14 @@
 fn a_replaced_voter_goes_before_the_next_loss() {
     let _mark = base::ExpectedMark::new("silent_voter_removed");
     let mut cluster = Cluster::new(&["k1", "k2", "k3"]);
-    cluster.pass(5_000);
+    cluster.run(5_000);
     cluster.replicas.remove(&name("k3"));
-    cluster.pass(1_000);
+    cluster.run(1_000);
     cluster.start("k4", 4, &["k1", "k2", "k3"], false);
-    cluster.pass(4_000);
+    cluster.run(4_000);
     assert_that!(cluster.voters(), eq(&names(&["k1", "k2", "k4"])));
     cluster.replicas.remove(&name("k2"));
-    cluster.pass(5_000);
+    cluster.run(5_000);
     assert_that!(cluster.voters(), some(anything()));
 }
 
@@ -151,9 +151,9 @@
 #[gtest]
 fn three_voters_are_never_made_two() {
     let mut cluster = Cluster::new(&["k1", "k2", "k3"]);
-    cluster.pass(5_000);
+    cluster.run(5_000);
     cluster.replicas.remove(&name("k3"));
-    cluster.pass(60_000);
+    cluster.run(60_000);
     assert_that!(cluster.voters(), eq(&names(&["k1", "k2", "k3"])));
 }
 
@@ -161,15 +161,15 @@
 /// name a peer that is a member, that peer names the other members, and the instance is
 /// added.
 #[gtest]
-fn other_peers_are_called_once_they_are_set() {
+fn new_peers_are_asked_to_join_once_configured() {
     let mut cluster = Cluster::new(&["k1", "k2", "k3"]);
-    cluster.pass(5_000);
+    cluster.run(5_000);
     cluster.start("k9", 9, &["gone"], false);
-    cluster.pass(3_000);
+    cluster.run(3_000);
     assert_that!(cluster.voters().unwrap().len(), eq(3));
     let peers = vec![name("k2")];
-    cluster.give(&name("k9"), Input::Peers { peers });
-    cluster.pass(8_000);
+    cluster.input(&name("k9"), Input::Peers { peers });
+    cluster.run(8_000);
     assert_that!(cluster.voters().unwrap().len(), eq(4));
 }
 
@@ -177,17 +177,17 @@
 /// incarnation is older than its last one. Without an answer it would send join requests
 /// forever. It is told that it was removed, and a later incarnation is added.
 #[gtest]
-fn an_older_life_is_told_that_it_is_over() {
+fn an_older_incarnation_is_told_it_was_removed() {
     let mut cluster = Cluster::new(&["k1", "k2", "k3"]);
-    cluster.pass(5_000);
+    cluster.run(5_000);
     for incarnation in [5, 3] {
         cluster.start("k3", incarnation, &["k1", "k2", "k3"], false);
-        cluster.pass(5_000);
+        cluster.run(5_000);
     }
     let halted = cluster.replicas[&name("k3")].halted();
     assert_that!(halted, eq(Some(HaltReason::Removed)));
     cluster.start("k3", 6, &["k1", "k2", "k3"], false);
-    cluster.pass(5_000);
+    cluster.run(5_000);
     assert_that!(cluster.voters(), eq(&names(&["k1", "k2", "k3"])));
     let leader = cluster.replicas.values().find(|r| r.leads(cluster.now));
     let members = leader.and_then(|leader| leader.members()).unwrap();
--- a/crates/replog/tests/scenarios/change_under_cut.rhai
+++ b/crates/replog/tests/scenarios/change_under_cut.rhai
@@ -8,8 +8,8 @@
     if x != old && x != lost { for y in [old, lost] { cut(x, y); cut(y, x); } }
 }
 remove(old, lost); remove(old, old);
-expect(voters(old) == 4, "two changes of members at a time");
+expect(voters(old) == 4, "two membership changes were in progress at once");
 run(5000);
-expect(leader() != "" && leader() != old, "the majority elected nobody");
+expect(leader() != "" && leader() != old, "the majority elected no leader");
 expect(voters(leader()) == 5, "a change without a majority took effect");
 settle();
--- a/crates/replog/tests/scenarios/fault_in_repair.rhai
+++ b/crates/replog/tests/scenarios/fault_in_repair.rhai
@@ -14,5 +14,5 @@
 run(20);
 kill(x); empty(x); start(x);
 settle();
-expect(voters(leader()) == 3, "the third life never voted");
+expect(voters(leader()) == 3, "the third incarnation never became a voter");
 expect(accepted() >= 41, "an accepted change is gone");
--- a/crates/replog/tests/scenarios/founding.rhai
+++ b/crates/replog/tests/scenarios/founding.rhai
@@ -12,5 +12,5 @@
 run(5000);
 expect(leader() != "", "no leader after the power cut");
 propose(leader()); run(500);
-expect(accepted() == 11, "the log takes nothing any more");
+expect(accepted() == 11, "the log accepts no more changes");
 settle();
--- a/crates/replog/tests/scenarios/hand_over.rhai
+++ b/crates/replog/tests/scenarios/hand_over.rhai
@@ -7,9 +7,9 @@
     let x = leader();
     propose(x, 20); hand_over(x); propose(x);
     run(400);
-    expect(leader() != "" && leader() != x, "no handover in time");
+    expect(leader() != "" && leader() != x, "leadership was not transferred in time");
 }
-expect(unknown() == 0, "a planned stop left a change open");
-expect(accepted() == 200, "a change that was taken got lost");
-expect(refused() == 10, "a leader that hands over took a change");
+expect(unknown() == 0, "a planned stop left a change with an unknown outcome");
+expect(accepted() == 200, "an accepted change is lost");
+expect(refused() == 10, "a leader accepted a change during a leadership transfer");
 settle();
--- a/crates/replog/tests/scenarios/lost_twice.rhai
+++ b/crates/replog/tests/scenarios/lost_twice.rhai
@@ -15,5 +15,5 @@
 run(5000);
 expect(leader() != "", "no leader after the second loss");
 propose(leader()); run(500);
-expect(accepted() == before + 1, "the log takes nothing any more");
+expect(accepted() == before + 1, "the log accepts no more changes");
 settle();
--- a/crates/replog/tests/scenarios/one_way.rhai
+++ b/crates/replog/tests/scenarios/one_way.rhai
@@ -7,11 +7,11 @@
 let rest = ["a", "b", "c"]; rest.retain(|x| x != old);
 for x in rest { cut(x, old); }
 run(5000);
-expect(!leads(old), "a leader that hears nobody still leads");
-expect(leader() != "", "its heartbeats kept the others from electing");
+expect(!leads(old), "a leader that receives nothing still leads");
+expect(leader() != "", "the old leader's heartbeats prevented an election");
 heal(); run(3000);
 let next = leader(); let term = term(next);
 let deaf = follower();
 cut(next, deaf); run(10000);
-expect(leader() == next && term(next) == term, "a deaf follower deposed the leader");
+expect(leader() == next && term(next) == term, "a follower that receives nothing deposed the leader");
 settle();
--- a/crates/replog/tests/scenarios/stalled_disk.rhai
+++ b/crates/replog/tests/scenarios/stalled_disk.rhai
@@ -5,7 +5,7 @@
 cluster(3, 16); run(3000);
 let x = leader();
 stall(x); propose(x); run(9000);
-expect(leader() != "" && leader() != x, "leadership stayed with a dead disk");
+expect(leader() != "" && leader() != x, "leadership was not transferred from a stalled disk");
 propose(leader()); run(500);
 expect(accepted() == 2, "the others accept nothing");
 settle();
--- a/crates/replog/tests/size.rs
+++ b/crates/replog/tests/size.rs
@@ -14,10 +14,10 @@
 };
 
 /// Maximum bytes of applied entries in a log file, beside the last one.
-const LOG: Bytes = Bytes(16 << 20);
+const LOG_MAX: Bytes = Bytes(16 << 20);
 
 /// Maximum bytes of entries retained behind a snapshot.
-const BEHIND: Bytes = Bytes(8 << 20);
+const RETAINED_MAX: Bytes = Bytes(8 << 20);
 
 const CHANGES: u64 = 300;
 
@@ -30,20 +30,20 @@
     /// Bytes of commands in the log file of each replica.
     files: BTreeMap<InstanceName, u64>,
     /// Bytes of commands in the largest log file so far.
-    largest: u64,
+    largest_file: u64,
     /// Bytes of commands in the largest message.
-    heaviest: u64,
+    largest_message: u64,
     /// Number of log files replaced.
     replaced: u64,
-    /// The replica that receives no input.
-    deaf: Option<InstanceName>,
+    /// The replica whose inputs are all dropped.
+    unreachable: Option<InstanceName>,
     accepted: u64,
     /// Bytes of commands sent and number of snapshots started, by receiver.
     sent: BTreeMap<InstanceName, (u64, u64)>,
-    /// Number of parts of entries sent. If `lost` is set to `n`, every n-th part is
+    /// Number of parts of entries sent. If `drop_every` is `Some(n)`, every n-th part is
     /// dropped.
     parts: u64,
-    lost: Option<u64>,
+    drop_every: Option<u64>,
 }
 
 fn name(raw: &str) -> InstanceName {
@@ -69,20 +69,20 @@
             replicas: replicas.collect(),
             state: BTreeMap::new(),
             files: BTreeMap::new(),
-            largest: 0,
-            heaviest: 0,
+            largest_file: 0,
+            largest_message: 0,
             replaced: 0,
-            deaf: None,
+            unreachable: None,
             accepted: 0,
             sent: BTreeMap::new(),
             parts: 0,
-            lost: None,
+            drop_every: None,
         };
-        cluster.pass(5_000);
+        cluster.run(5_000);
         cluster
     }
 
-    fn pass(&mut self, ms: u64) {
+    fn run(&mut self, ms: u64) {
         for _ in 0..ms / 50 {
             self.now = self.now + Duration::from_millis(50);
             for name in self.replicas.keys().cloned().collect::<Vec<_>>() {
@@ -109,13 +109,13 @@
         let leader = self.leader();
         let command = command.clone();
         self.give(&leader, Input::Propose { ticket: 1, command });
-        self.pass(200);
+        self.run(200);
     }
 
     fn give(&mut self, to: &InstanceName, input: Input) {
         let mut inputs = vec![(to.clone(), input)];
         while let Some((to, input)) = inputs.pop() {
-            if self.deaf.as_ref() == Some(&to) {
+            if self.unreachable.as_ref() == Some(&to) {
                 continue;
             }
             let mut out = Vec::new();
@@ -136,7 +136,7 @@
                 if matches!(message, Message::Piece { .. }) {
                     self.parts += 1;
                     if self
-                        .lost
+                        .drop_every
                         .is_some_and(|each| self.parts.is_multiple_of(each))
                     {
                         return None;
@@ -147,7 +147,7 @@
             }
             Output::Write { no, records } => {
                 *self.files.entry(at.clone()).or_default() += bytes(&records);
-                self.largest = self.largest.max(self.files[at]);
+                self.largest_file = self.largest_file.max(self.files[at]);
                 Input::Synced { upto: no }
             }
             Output::Rewrite { no, records, .. } => {
@@ -182,12 +182,12 @@
             Message::Append { entries: sent, .. } => {
                 let bytes = sent.iter().map(|e| size(&e.payload)).sum();
                 *entries += bytes;
-                self.heaviest = self.heaviest.max(bytes);
+                self.largest_message = self.largest_message.max(bytes);
             }
             Message::Piece { data, .. } => {
                 let bytes = data.len() as u64;
                 *entries += bytes;
-                self.heaviest = self.heaviest.max(bytes);
+                self.largest_message = self.largest_message.max(bytes);
             }
             Message::Chunk { offset: 0, .. } => *snapshots += 1,
             _ => {}
@@ -223,10 +223,11 @@
         // The last applied entry, and one that a follower holds before it knows that it
         // is committed.
         let entry = command.len() as u64;
-        let most = LOG.get() + 2 * entry;
-        expect_that!(cluster.largest, le(most), "with entries of {kib} KiB");
-        // Each replica replaces its file once at founding, and then once per `LOG` bytes.
-        let most = 3 * (1 + CHANGES * entry / LOG.get() + 1);
+        let most = LOG_MAX.get() + 2 * entry;
+        expect_that!(cluster.largest_file, le(most), "with entries of {kib} KiB");
+        // Each replica replaces its file once at founding, and then once per `LOG_MAX`
+        // bytes.
+        let most = 3 * (1 + CHANGES * entry / LOG_MAX.get() + 1);
         expect_that!(cluster.replaced, le(most), "with entries of {kib} KiB");
     }
 }
@@ -244,19 +245,20 @@
         incarnation: Incarnation(1),
     };
     let usual = RawSettings::with_defaults(id, vec![name("k1")], Seed(1));
-    expect_that!(cluster.heaviest, le(usual.message.get()));
+    expect_that!(cluster.largest_message, le(usual.message.get()));
 }
 
-/// Parts of a large entry are lost on their way, as the connection breaks. The entry
-/// is acknowledged all the same, and what has come isn't sent from the beginning.
+/// Parts of a large entry are lost, as when a connection breaks. The entry is
+/// acknowledged all the same, and the parts received so far aren't resent from the
+/// beginning.
 #[gtest]
 fn lost_parts_of_an_entry_are_sent_again() {
     base::covers!(piece_sent_again);
     let size = 1_000 << 10;
     let mut cluster = Cluster::new();
-    cluster.lost = Some(20);
+    cluster.drop_every = Some(20);
     cluster.change(&Blob::from(vec![7; size]));
-    cluster.pass(5_000);
+    cluster.run(5_000);
     expect_that!(cluster.accepted, eq(1));
     let sent = cluster.sent.values().map(|(bytes, _)| *bytes).max();
     expect_that!(sent, some(le(size as u64 * 2)));
@@ -268,19 +270,19 @@
 fn a_new_leader_sends_large_entries_of_its_own() {
     let mut cluster = Cluster::new();
     let first = cluster.leader();
-    cluster.lost = Some(2);
+    cluster.drop_every = Some(2);
     cluster.change(&Blob::from(vec![7; 1_000 << 10]));
-    cluster.deaf = Some(first.clone());
-    cluster.lost = None;
-    cluster.pass(5_000);
+    cluster.unreachable = Some(first.clone());
+    cluster.drop_every = None;
+    cluster.run(5_000);
     let before = cluster.accepted;
     let own = Blob::from(vec![8; 1_000 << 10]);
     let leader = cluster.leader();
     expect_that!(leader, not(eq(&first)));
     cluster.change(&own);
     expect_that!(cluster.accepted, eq(before + 1));
-    cluster.deaf = None;
-    cluster.pass(5_000);
+    cluster.unreachable = None;
+    cluster.run(5_000);
     for (name, state) in &cluster.state {
         expect_that!(state, eq(&own), "at {name}");
     }
@@ -292,20 +294,20 @@
     let mut cluster = Cluster::new();
     let leader = cluster.leader();
     let lags = cluster.follower();
-    cluster.deaf = Some(lags.clone());
+    cluster.unreachable = Some(lags.clone());
     for _ in 0..CHANGES {
         cluster.change(&command);
     }
-    cluster.deaf = None;
+    cluster.unreachable = None;
     cluster.sent.clear();
-    cluster.pass(5_000);
+    cluster.run(5_000);
     expect_that!(cluster.leader(), eq(&leader));
     expect_that!(cluster.accepted, eq(CHANGES));
     expect_that!(cluster.state.get(&lags), some(eq(&command)));
     let (entries, snapshots) = cluster.sent[&lags];
     expect_that!(snapshots, ge(1));
     // The entries retained behind the snapshot, and those after it.
-    let most = BEHIND.get() + LOG.get() + command.len() as u64;
+    let most = RETAINED_MAX.get() + LOG_MAX.get() + command.len() as u64;
     expect_that!(entries, le(most));
 }
 
@@ -316,11 +318,11 @@
     let lags = cluster.follower();
     for _ in 0..CHANGES {
         cluster.change(&command);
-        cluster.deaf = Some(lags.clone());
+        cluster.unreachable = Some(lags.clone());
         cluster.change(&command);
-        cluster.deaf = None;
+        cluster.unreachable = None;
         cluster.sent.clear();
-        cluster.pass(1_000);
+        cluster.run(1_000);
         let (_, snapshots) = cluster.sent[&lags];
         expect_that!(snapshots, eq(0));
         expect_that!(cluster.state.get(&lags), some(eq(&command)));
@@ -329,7 +331,7 @@
 }
 
 #[gtest]
-fn a_log_of_no_bytes_is_refused() {
+fn a_compaction_size_of_zero_is_rejected() {
     let id = ReplicaId {
         instance: name("k1"),
         incarnation: Incarnation(1),
