--- a/crates/replog/tests/codec.rs
+++ b/crates/replog/tests/codec.rs
@@ -127,7 +127,7 @@
     }
 
     #[test]
-    fn arbitrary_bytes_never_panic(raw in vec(any::<u8>(), 0..200), records in vec(record(), 0..8)) {
+    fn any_bytes_never_panic(raw in vec(any::<u8>(), 0..200), records in vec(record(), 0..8)) {
         let _ = recover(&raw);
         let _ = recover_snapshot(&raw);
         let _ = Message::decode(&raw);
