--- a/crates/control/src/control.rs
+++ b/crates/control/src/control.rs
@@ -188,7 +188,7 @@
                 let ticket = self.register(Waiting::Members(ticket));
                 self.drive(now, replog::Input::RemoveReplica { ticket, id }, out);
             }
-            Input::HandOver => self.drive(now, replog::Input::HandOver, out),
+            Input::HandOver => self.drive(now, replog::Input::TransferLeadership, out),
             Input::Wake => self.drive(now, replog::Input::Wake, out),
         }
     }
--- a/crates/control/src/control/answer.rs
+++ b/crates/control/src/control/answer.rs
@@ -1,7 +1,7 @@
 //! Proposals under way: who waits for them, and how they are answered.
 
 use base::Ticket;
-use replog::{Index, Rejected, WhyNot};
+use replog::{Index, RejectReason, Rejected};
 use wire::{
     call::Reply,
     operator::{Applied, Why},
@@ -134,7 +134,7 @@
     match rejected {
         Rejected::Unknown { .. } => NotPublished::Unknown,
         Rejected::NotAccepted { why, .. } => match why {
-            WhyNot::NotLeader => NotPublished::Elsewhere { leader },
+            RejectReason::NotLeader => NotPublished::Elsewhere { leader },
             _ => NotPublished::Busy,
         },
     }
@@ -154,7 +154,7 @@
         Rejected::NotAccepted { why, .. } => why,
     };
     let why = match why {
-        WhyNot::DiskFull => Why::NoDisk,
+        RejectReason::DiskFull => Why::NoDisk,
         _ => Why::NoQuorum { retry_ms: RETRY_MS },
     };
     Applied::Refused { why }
--- a/crates/disk/benches/restart.rs
+++ b/crates/disk/benches/restart.rs
@@ -1,17 +1,17 @@
-//! How long a control instance takes from opening its folder to a replica
-//! that may take its first input, by the number of changes.
+//! Measures the time from opening a control instance's data folder to a replica that can
+//! take its first input, by the number of changes in the log.
 
 use std::{fs, hint::black_box, path::Path, sync::mpsc::channel};
 
 use base::{Incarnation, InstanceName, Seed};
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
-use disk::{Done, Writer, open};
+use disk::{Report, Writer, open};
 use replog::{
     Blob, Entry, Index, Members, Output, Payload, Position, RawSettings, Record, Replica, Settings,
     Term, WriteNo,
 };
 
-/// A change of configuration: a few lines of the operators' text.
+/// Size of a configuration change: a few lines of the operators' text.
 const CHANGE_BYTES: usize = 1_024;
 
 fn entry(index: u64) -> Record {
@@ -24,7 +24,7 @@
     })
 }
 
-/// Writes `changes` entries, each with a sync of its own.
+/// Writes `changes` entries, each with its own sync.
 fn fill(dir: &Path, instance: &InstanceName, changes: u64) {
     let _ = fs::remove_dir_all(dir);
     let folder = open(dir, instance, Incarnation(1)).expect("opens").folder;
@@ -40,14 +40,14 @@
         };
         assert!(writer.take(write).is_none());
         let done = reports.recv().expect("a report");
-        assert_eq!(done, Done::Synced { upto: WriteNo(no) });
+        assert_eq!(done, Report::Synced { upto: WriteNo(no) });
     }
 }
 
 fn restart(dir: &Path, instance: &InstanceName) -> Replica {
     let opened = open(dir, instance, Incarnation(2)).expect("opens");
     let id = opened.folder.id().clone();
-    let raw = RawSettings::usual(id, vec![instance.clone()], Seed(1));
+    let raw = RawSettings::with_defaults(id, vec![instance.clone()], Seed(1));
     let settings = Settings::try_from(raw).expect("usual settings");
     Replica::new(settings, opened.restored)
 }
--- a/crates/disk/src/calls.rs
+++ b/crates/disk/src/calls.rs
@@ -1,4 +1,4 @@
-//! The two calls of the system that may fail in ways worth testing.
+//! The two system calls that tests replace by failing ones.
 
 use std::{
     fmt,
@@ -9,25 +9,25 @@
 type WriteCall = Box<dyn FnMut(&mut File, &[u8]) -> io::Result<()> + Send>;
 type SyncCall = Box<dyn FnMut(&File) -> io::Result<()> + Send>;
 
-/// How bytes are written and made durable; a test hands in failing ones.
-pub struct Calls {
-    /// Writes all bytes at the file's end.
+/// How bytes are written and made durable; tests replace these to inject failures.
+pub struct SystemCalls {
+    /// Writes all bytes at the file's current position.
     pub write: WriteCall,
-    /// Makes all that was written durable.
+    /// Syncs the file, so that everything written to it is durable.
     pub sync: SyncCall,
 }
 
-impl Default for Calls {
+impl Default for SystemCalls {
     fn default() -> Self {
-        Calls {
+        SystemCalls {
             write: Box::new(|file, raw| file.write_all(raw)),
             sync: Box::new(File::sync_all),
         }
     }
 }
 
-impl fmt::Debug for Calls {
+impl fmt::Debug for SystemCalls {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.debug_struct("Calls").finish_non_exhaustive()
+        f.debug_struct("SystemCalls").finish_non_exhaustive()
     }
 }
--- a/crates/disk/src/open.rs
+++ b/crates/disk/src/open.rs
@@ -1,4 +1,4 @@
-//! Opening a data folder: what is there, and whether it may be trusted.
+//! Opens a data folder and decides whether its content may be used.
 
 use std::{
     fs::{self, File, OpenOptions},
@@ -11,64 +11,64 @@
 use replog::{Header, Recovered, ReplicaId, Restored, Snapshot, Tail, recover, recover_snapshot};
 
 use crate::{
-    Calls, Folder,
-    folder::{keep_reserve, log_path, new_log, snapshot_path, sync_dir},
+    Folder, SystemCalls,
+    folder::{create_reserve, log_path, new_log, snapshot_path, sync_dir},
 };
 
-/// What became of a folder's content.
+/// What was found in a data folder and done about it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Fate {
-    /// There was none; the replica is new.
+pub enum OpenOutcome {
+    /// The folder was empty; the replica is new.
     New,
-    /// It is whole.
-    Whole,
-    /// A write that a crash interrupted was cut off.
-    CutOff {
-        /// The length of what was cut off, in bytes.
+    /// The content is intact.
+    Intact,
+    /// A torn write at the end of the log was truncated.
+    Truncated {
+        /// The number of bytes truncated.
         bytes: u64,
     },
-    /// It was damaged or another instance's, and moved aside; the replica is
-    /// new.
+    /// The content was corrupt or belonged to another instance and was moved aside; the
+    /// replica is new.
     Replaced {
-        /// What is wrong with it.
+        /// Why the content was rejected.
         reason: String,
-        /// Where it is now.
+        /// The folder that the files were moved to.
         kept: PathBuf,
     },
 }
 
-/// An opened folder and what it holds.
+/// An opened data folder and its content.
 #[derive(Debug)]
 pub struct Opened {
-    /// The folder, ready for writing.
+    /// The folder, open for appending.
     pub folder: Folder,
-    /// What the replica starts from.
+    /// The state that the replica starts from.
     pub restored: Restored,
-    /// What became of the content.
-    pub fate: Fate,
+    /// What was found in the folder.
+    pub outcome: OpenOutcome,
 }
 
-/// Opens the data folder of `instance`, or makes one. A new replica lives as
-/// `life`, which has to be greater than any earlier one; microseconds of the
-/// wall clock will do.
+/// Opens the data folder of `instance`, or creates it. A new replica gets the incarnation
+/// `incarnation`, which must be greater than all earlier ones; microseconds of the wall
+/// clock are suitable.
 ///
 /// # Errors
 ///
-/// Fails when another process uses the folder, when it was written by another
-/// release, or when the disk refuses.
-pub fn open(dir: &Path, instance: &InstanceName, life: Incarnation) -> Result<Opened> {
-    fs::create_dir_all(dir).with_context(|| format!("can't make {}", dir.display()))?;
+/// Fails when another process uses the folder, when the folder was written by another
+/// release, or on an I/O error.
+pub fn open(dir: &Path, instance: &InstanceName, incarnation: Incarnation) -> Result<Opened> {
+    fs::create_dir_all(dir).with_context(|| format!("can't create {}", dir.display()))?;
     let lock = take_lock(dir)?;
     let generations = generations(dir)?;
     let Some(&generation) = generations.last() else {
-        return start_new(dir, lock, instance, life, Fate::New);
+        return start_new(dir, lock, instance, incarnation, OpenOutcome::New);
     };
     let raw = fs::read(log_path(dir, generation)).context("can't read the log")?;
     let found = recover(&raw);
     if found.tail == Tail::OtherFormat {
         bail!("the data folder was written by another release");
     }
-    match trust(dir, generation, instance, &found) {
+    match check_content(dir, generation, instance, &found) {
         Ok((header, restored)) => {
             let cut = raw.len() as u64 - found.len;
             let log = reopen(&log_path(dir, generation), found.len)?;
@@ -80,33 +80,34 @@
                 generation,
                 len: found.len,
                 next: found.next,
-                calls: Calls::default(),
+                calls: SystemCalls::default(),
             };
-            let fate = if cut == 0 {
-                Fate::Whole
+            let outcome = if cut == 0 {
+                OpenOutcome::Intact
             } else {
-                Fate::CutOff { bytes: cut }
+                OpenOutcome::Truncated { bytes: cut }
             };
-            finish(folder, restored, fate)
+            finish(folder, restored, outcome)
         }
         Err(reason) => {
-            // Votes and acknowledgements are lost with the records. A replica
-            // that went on under its old identity could vote twice in a term,
-            // or make a majority with an instance that lacks what it had
-            // acknowledged.
+            // Votes and acknowledgements are lost with the records. A replica that
+            // continued under its old identity could vote twice in a term, or form a
+            // majority with an instance that lacks the entries it had acknowledged.
             base::hit!(never_trust_damage);
-            let kept = move_aside(dir, life)?;
-            let old = found.header.map_or(Incarnation(0), |header| header.id.life);
-            let life = life.max(old.next());
-            let fate = Fate::Replaced { reason, kept };
-            start_new(dir, lock, instance, life, fate)
+            let kept = move_aside(dir, incarnation)?;
+            let old = found
+                .header
+                .map_or(Incarnation(0), |header| header.id.incarnation);
+            let incarnation = incarnation.max(old.next());
+            let outcome = OpenOutcome::Replaced { reason, kept };
+            start_new(dir, lock, instance, incarnation, outcome)
         }
     }
 }
 
 /// Locks the folder for as long as the file is open.
 ///
-/// Two processes on one folder would vote under one identity.
+/// Two processes that share a folder would vote under the same identity.
 fn take_lock(dir: &Path) -> Result<File> {
     let path = dir.join("lock");
     let mut options = OpenOptions::new();
@@ -119,7 +120,7 @@
     Ok(file)
 }
 
-/// Returns the numbers of the log files, in order.
+/// Returns the generation numbers of the log files, in ascending order.
 fn generations(dir: &Path) -> Result<Vec<u64>> {
     let mut found = Vec::new();
     for entry in fs::read_dir(dir).context("can't list the data folder")? {
@@ -134,16 +135,16 @@
     Ok(found)
 }
 
-/// Returns what the replica may start from, or why it may not.
-fn trust(
+/// Returns the state that the replica may start from, or why the content can't be used.
+fn check_content(
     dir: &Path,
     generation: u64,
     instance: &InstanceName,
     found: &Recovered,
 ) -> Result<(Header, Restored), String> {
-    let header = found.header.clone().ok_or("the log's head is damaged")?;
+    let header = found.header.clone().ok_or("the log's header is corrupt")?;
     if found.tail == Tail::Damaged {
-        return Err("the log is damaged before its end".to_owned());
+        return Err("the log is corrupt before its last frame".to_owned());
     }
     if header.id.instance != *instance {
         return Err(format!("the folder belongs to {}", header.id.instance));
@@ -152,14 +153,14 @@
         Some(at) => {
             let snapshot = read_snapshot(dir, generation)?;
             if snapshot.at != at {
-                return Err("log and snapshot don't fit".to_owned());
+                return Err("the snapshot is not the one that the log continues".to_owned());
             }
             Some(snapshot)
         }
         None => None,
     };
     let restored = Restored::replay(base, found.records.clone());
-    let restored = restored.ok_or("records of the log contradict each other")?;
+    let restored = restored.ok_or("the records of the log are inconsistent")?;
     Ok((header, restored))
 }
 
@@ -169,8 +170,8 @@
     recover_snapshot(&raw).map_err(|err| err.to_string())
 }
 
-/// Opens the log for appending after its readable part; what follows that is
-/// cut off for good before anything new is written.
+/// Opens the log for appending after its readable part; anything after that part is
+/// truncated durably before new records are written.
 fn reopen(path: &Path, len: u64) -> Result<File> {
     let mut log = OpenOptions::new().read(true).write(true).open(path)?;
     log.set_len(len)?;
@@ -183,14 +184,14 @@
     dir: &Path,
     lock: File,
     instance: &InstanceName,
-    life: Incarnation,
-    fate: Fate,
+    incarnation: Incarnation,
+    outcome: OpenOutcome,
 ) -> Result<Opened> {
     let id = ReplicaId {
         instance: instance.clone(),
-        life,
+        incarnation,
     };
-    let (log, len) = new_log(dir, &id).context("can't make the log")?;
+    let (log, len) = new_log(dir, &id).context("can't create the log file")?;
     let folder = Folder {
         dir: dir.to_owned(),
         _lock: lock,
@@ -199,25 +200,24 @@
         generation: 1,
         len,
         next: 1,
-        calls: Calls::default(),
+        calls: SystemCalls::default(),
     };
-    finish(folder, Restored::default(), fate)
+    finish(folder, Restored::default(), outcome)
 }
 
-fn finish(folder: Folder, restored: Restored, fate: Fate) -> Result<Opened> {
-    // Without a reserve the replica still works; it only can't vote once the
-    // disk is full.
-    let _ = keep_reserve(&folder.dir);
+fn finish(folder: Folder, restored: Restored, outcome: OpenOutcome) -> Result<Opened> {
+    // Without a reserve the replica still works, but it can't vote once the disk is full.
+    let _ = create_reserve(&folder.dir);
     Ok(Opened {
         folder,
         restored,
-        fate,
+        outcome,
     })
 }
 
-/// Moves all files but the lock into a folder of their own.
-fn move_aside(dir: &Path, life: Incarnation) -> Result<PathBuf> {
-    let aside = dir.join(format!("damaged.{life}"));
+/// Moves all files except lock and reserve into a subfolder.
+fn move_aside(dir: &Path, incarnation: Incarnation) -> Result<PathBuf> {
+    let aside = dir.join(format!("damaged.{incarnation}"));
     fs::create_dir_all(&aside)?;
     for entry in fs::read_dir(dir)? {
         let entry = entry?;
--- a/crates/disk/tests/folder.rs
+++ b/crates/disk/tests/folder.rs
@@ -1,4 +1,4 @@
-//! Real files: what a start finds after crashes, damage and full disks.
+//! Opens and writes real files: restarts after crashes, corruption and full disks.
 
 use std::{
     fs,
@@ -13,16 +13,16 @@
 };
 
 use base::{Incarnation, InstanceName};
-use disk::{Calls, Done, Fate, Folder, Opened, Writer, open};
+use disk::{Folder, OpenOutcome, Opened, Report, SystemCalls, Writer, open};
 use googletest::prelude::*;
 use replog::{
     Blob, Entry, Index, Members, Output, Payload, Position, Record, Snapshot, Term, WriteNo,
 };
 
-/// The longest that a report is waited for.
-const CEILING: Duration = Duration::from_secs(60);
+/// Longest wait for a report of the writer.
+const REPORT_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// A folder that is removed with the test.
+/// A temporary folder, removed when dropped.
 struct Dir(PathBuf);
 
 impl Dir {
@@ -44,11 +44,11 @@
     "ctl-1".parse().expect("a name")
 }
 
-fn start(dir: &Path, life: u64) -> Opened {
-    open(dir, &instance(), Incarnation(life)).expect("the folder opens")
+fn start(dir: &Path, incarnation: u64) -> Opened {
+    open(dir, &instance(), Incarnation(incarnation)).expect("the folder opens")
 }
 
-fn writer(folder: Folder) -> (Writer, Receiver<Done>) {
+fn writer(folder: Folder) -> (Writer, Receiver<Report>) {
     let (report, reports) = channel();
     let report = move |done| report.send(done).expect("the test listens");
     (Writer::start(folder, report).expect("a thread"), reports)
@@ -69,9 +69,9 @@
     Output::Write { no, records }
 }
 
-/// Founds the log and writes entries up to `last`, each with a sync of its own.
-fn fill(dir: &Path, life: u64, last: u64) {
-    let (writer, reports) = writer(start(dir, life).folder);
+/// Writes the initial membership and entries up to `last`, each with its own sync.
+fn fill(dir: &Path, incarnation: u64, last: u64) {
+    let (writer, reports) = writer(start(dir, incarnation).folder);
     let found = Record::Found(Members::default());
     assert_that!(writer.take(write(1, vec![found])), none());
     wait(&reports, 1);
@@ -81,24 +81,24 @@
     }
 }
 
-fn wait(reports: &Receiver<Done>, no: u64) {
-    let done = reports.recv_timeout(CEILING).expect("a report");
-    assert_that!(done, eq(Done::Synced { upto: WriteNo(no) }));
+fn wait(reports: &Receiver<Report>, no: u64) {
+    let done = reports.recv_timeout(REPORT_TIMEOUT).expect("a report");
+    assert_that!(done, eq(Report::Synced { upto: WriteNo(no) }));
 }
 
 fn log(dir: &Path) -> PathBuf {
     dir.join("log.1")
 }
 
-/// An operator restarts a control instance after more than a thousand changes.
-/// All of them are there, with and without a snapshot, under the old identity.
+/// A control instance restarts after more than a thousand changes. All of them are
+/// restored, with and without a snapshot, and its identity is unchanged.
 #[test]
 fn a_restart_finds_everything() {
     let dir = Dir::new("restart");
     fill(&dir.0, 5, 1_200);
     let opened = start(&dir.0, 6);
-    assert_that!(opened.fate, eq(&Fate::Whole));
-    assert_that!(opened.folder.id().life, eq(Incarnation(5)));
+    assert_that!(opened.outcome, eq(&OpenOutcome::Intact));
+    assert_that!(opened.folder.id().incarnation, eq(Incarnation(5)));
     assert_that!(opened.restored.last(), eq(Index(1_200)));
     let snapshot = Snapshot {
         at: Position {
@@ -125,8 +125,8 @@
     assert_that!(log(&dir.0).exists(), eq(false));
 }
 
-/// Power fails in the middle of a write. The instance starts with all that it
-/// had acknowledged; the half record is cut off, and writing goes on after it.
+/// Power fails during a write. The replica restarts with everything it had acknowledged;
+/// the torn record is truncated, and writing continues after it.
 #[test]
 fn a_torn_record_is_cut_off() {
     base::covers!(torn_tail);
@@ -136,8 +136,8 @@
     fs::write(log(&dir.0), &raw[..raw.len() - 100]).expect("a shorter log");
     let opened = start(&dir.0, 6);
     assert_that!(
-        opened.fate,
-        matches_pattern!(Fate::CutOff { bytes: gt(&0) })
+        opened.outcome,
+        matches_pattern!(OpenOutcome::Truncated { bytes: gt(&0) })
     );
     assert_that!(opened.restored.last(), eq(Index(2)));
     let (writer, reports) = writer(opened.folder);
@@ -145,18 +145,18 @@
         term: Term(2),
         voted: None,
     };
-    // Shorter than what was torn: nothing of that may be left behind it.
+    // Shorter than the torn record, none of which may remain after it.
     assert_that!(writer.take(write(1, vec![vote])), none());
     wait(&reports, 1);
     drop(writer);
     let opened = start(&dir.0, 6);
-    assert_that!(opened.fate, eq(&Fate::Whole));
+    assert_that!(opened.outcome, eq(&OpenOutcome::Intact));
     assert_that!(opened.restored.term, eq(Term(2)));
 }
 
-/// A disk returns a wrong byte in an old record, or somebody copies another
-/// instance's folder. Votes and acknowledgements can't be trusted any more, so
-/// the instance comes back as a new replica and keeps the files for a look.
+/// A disk returns a wrong byte in an old record, or the folder of another instance is
+/// copied. Votes and acknowledgements can't be trusted, so the instance starts as a new
+/// replica and keeps the old files for inspection.
 #[test]
 fn damage_makes_a_new_replica() {
     base::covers!(never_trust_damage);
@@ -166,21 +166,24 @@
     raw[200] ^= 1;
     fs::write(log(&dir.0), raw).expect("a changed log");
     let opened = start(&dir.0, 2);
-    assert_that!(opened.folder.id().life, eq(Incarnation(6)));
+    assert_that!(opened.folder.id().incarnation, eq(Incarnation(6)));
     assert_that!(opened.restored, eq(&replog::Restored::default()));
-    let Fate::Replaced { kept, .. } = &opened.fate else {
-        panic!("{:?}", opened.fate);
+    let OpenOutcome::Replaced { kept, .. } = &opened.outcome else {
+        panic!("{:?}", opened.outcome);
     };
     assert_that!(kept.join("log.1").exists(), eq(true));
     drop(opened);
     let other: InstanceName = "ctl-2".parse().expect("a name");
     let opened = open(&dir.0, &other, Incarnation(9)).expect("the folder opens");
-    assert_that!(opened.fate, matches_pattern!(Fate::Replaced { .. }));
+    assert_that!(
+        opened.outcome,
+        matches_pattern!(OpenOutcome::Replaced { .. })
+    );
     assert_that!(opened.folder.id().instance, eq(&other));
 }
 
-/// Two processes are started on one folder by mistake. The second one says so
-/// and ends; otherwise both would vote under one identity.
+/// Two processes are started on one folder by mistake. The second one reports an error
+/// and exits; otherwise both would vote under the same identity.
 #[test]
 fn two_processes_never_share_a_folder() {
     base::covers!(folder_locked);
@@ -188,40 +191,40 @@
     let first = start(&dir.0, 5);
     assert_that!(open(&dir.0, &instance(), Incarnation(6)), err(anything()));
     drop(first);
-    assert_that!(start(&dir.0, 6).folder.id().life, eq(Incarnation(5)));
+    assert_that!(start(&dir.0, 6).folder.id().incarnation, eq(Incarnation(5)));
 }
 
-/// A sync fails, and the next one would succeed because the kernel has dropped
-/// the pages. The failure is reported once and nothing is written after it.
+/// A sync fails, and the next one would succeed because the kernel has dropped the dirty
+/// pages. The failure is reported once, and nothing is written after it.
 #[test]
 fn a_failed_sync_is_never_retried() {
     let dir = Dir::new("sync");
     let syncs = Arc::new(AtomicU32::new(0));
     let seen = Arc::clone(&syncs);
-    let calls = Calls {
+    let calls = SystemCalls {
         sync: Box::new(move |_| match seen.fetch_add(1, Ordering::SeqCst) {
             0 => Err(io::Error::other("no")),
             _ => Ok(()),
         }),
-        ..Calls::default()
+        ..SystemCalls::default()
     };
     let (writer, reports) = writer(start(&dir.0, 5).folder.with_calls(calls));
     assert_that!(writer.take(write(1, Vec::new())), none());
-    let done = reports.recv_timeout(CEILING);
-    assert_that!(done, ok(eq(Done::Failed { no: WriteNo(1) })));
+    let done = reports.recv_timeout(REPORT_TIMEOUT);
+    assert_that!(done, ok(eq(Report::Failed { no: WriteNo(1) })));
     assert_that!(writer.take(write(2, Vec::new())), none());
-    assert_that!(reports.recv_timeout(CEILING), err(anything()));
+    assert_that!(reports.recv_timeout(REPORT_TIMEOUT), err(anything()));
     assert_that!(syncs.load(Ordering::SeqCst), eq(1));
 }
 
-/// The disk fills up. The instance is told, so that it refuses proposals; the
-/// write waits, loses nothing, and is done once there is space again.
+/// The disk fills up. The replica is notified, so that it rejects proposals; the write
+/// waits without data loss and completes once there is space again.
 #[test]
 fn a_full_disk_waits() {
     let dir = Dir::new("full");
     let full = Arc::new(AtomicBool::new(true));
     let seen = Arc::clone(&full);
-    let calls = Calls {
+    let calls = SystemCalls {
         write: Box::new(move |file, raw| {
             if seen.load(Ordering::SeqCst) {
                 file.write_all(&raw[..raw.len() / 2])?;
@@ -229,18 +232,18 @@
             }
             file.write_all(raw)
         }),
-        ..Calls::default()
+        ..SystemCalls::default()
     };
     let (writer, reports) = writer(start(&dir.0, 5).folder.with_calls(calls));
     let found = Record::Found(Members::default());
     assert_that!(writer.take(write(1, vec![found, entry(1)])), none());
-    let next = || reports.recv_timeout(CEILING).expect("a report");
-    assert_that!(next(), eq(Done::Space { full: true }));
+    let next = || reports.recv_timeout(REPORT_TIMEOUT).expect("a report");
+    assert_that!(next(), eq(Report::Space { full: true }));
     full.store(false, Ordering::SeqCst);
-    assert_that!(next(), eq(Done::Synced { upto: WriteNo(1) }));
-    assert_that!(next(), eq(Done::Space { full: false }));
+    assert_that!(next(), eq(Report::Synced { upto: WriteNo(1) }));
+    assert_that!(next(), eq(Report::Space { full: false }));
     drop(writer);
     let opened = start(&dir.0, 6);
-    assert_that!(opened.fate, eq(&Fate::Whole));
+    assert_that!(opened.outcome, eq(&OpenOutcome::Intact));
     assert_that!(opened.restored.last(), eq(Index(1)));
 }
--- a/crates/frontd/src/control.rs
+++ b/crates/frontd/src/control.rs
@@ -162,18 +162,18 @@
 ) -> Result<Shell> {
     let name = names::instance_name(setup.ip);
     let opened = disk::open(&setup.data_dir, &name, incarnation)?;
-    daemon::log_folder_state(&opened.fate);
+    daemon::log_folder_state(&opened.outcome);
     let seeds = (platform.read_seeds)().unwrap_or_default();
     let peers = seeds.into_iter().map(names::instance_name).collect();
     let raw = RawSettings {
-        open: true,
-        founds: setup.bootstrap,
-        retire: Some(RETIRE_AFTER),
+        admit_any: true,
+        may_found: setup.bootstrap,
+        remove_after: Some(RETIRE_AFTER),
         heartbeat: HEARTBEAT_INTERVAL,
         election: ELECTION_TIMEOUT,
         compact: COMPACT_ENTRIES,
         keep: KEEP_ENTRIES,
-        ..RawSettings::usual(opened.folder.id().clone(), peers, Seed(rand::random()))
+        ..RawSettings::with_defaults(opened.folder.id().clone(), peers, Seed(rand::random()))
     };
     let replica = Replica::new(raw.try_into()?, opened.restored);
     let control = Control::new(
--- a/crates/replog/tests/explore.rs
+++ b/crates/replog/tests/explore.rs
@@ -1,5 +1,5 @@
-//! A bounded model check: every order of messages, syncs, timeouts and one
-//! crash among three replicas, from a few places where much is undecided.
+//! Bounded model checking: every order of messages, syncs, timeouts and one crash among
+//! three replicas, starting from a few states with undecided elections or entries.
 
 use std::{
     collections::{HashSet, VecDeque},
@@ -10,26 +10,26 @@
 use faults::{FakeDisk, History};
 use replog::{
     Blob, Entry, Index, Input, Members, Message, Output, Payload, Position, RawSettings, Record,
-    Rejected, Replica, ReplicaId, Settings, Term, VoteKind, WhyNot, WriteNo,
+    RejectReason, Rejected, Replica, ReplicaId, Settings, Term, VoteKind, WriteNo,
 };
 
-/// Longer than any election timeout.
-const LONG: Duration = Duration::from_secs(5);
+/// An advance of the clock past any election timeout.
+const PAST_ELECTION: Duration = Duration::from_secs(5);
 
 #[derive(Clone, Copy, Debug)]
 enum Step {
-    /// Delivers the message at this place.
+    /// Delivers the message at this position of the list.
     Deliver(usize),
     Sync(usize),
     Timeout(usize),
     Crash(usize),
     Propose(usize),
-    /// Delivers the oldest message from one to another.
-    Carry(usize, usize),
+    /// Delivers the oldest message from the first replica to the second.
+    DeliverFrom(usize, usize),
 }
 
 #[derive(Clone, Debug)]
-struct World {
+struct Model {
     replicas: Vec<Replica>,
     disks: Vec<FakeDisk>,
     clocks: Vec<Time>,
@@ -45,7 +45,7 @@
 fn ids() -> Vec<ReplicaId> {
     let id = |name: &&str| ReplicaId {
         instance: name.parse::<InstanceName>().expect("a name"),
-        life: Incarnation(1),
+        incarnation: Incarnation(1),
     };
     ["a", "b", "c"].iter().map(id).collect()
 }
@@ -53,17 +53,17 @@
 fn replica(disk: &mut FakeDisk, id: &ReplicaId) -> Replica {
     let peers = ids().into_iter().map(|id| id.instance).collect();
     let raw = RawSettings {
-        // One entry a message, so that each can be held back alone.
+        // One entry per message, so that each can be delayed separately.
         message: Bytes(1),
         window: Bytes(1),
-        ..RawSettings::usual(id.clone(), peers, Seed(1))
+        ..RawSettings::with_defaults(id.clone(), peers, Seed(1))
     };
     let settings = Settings::try_from(raw).expect("usual settings");
     Replica::new(settings, disk.open().expect("a whole disk"))
 }
 
-impl World {
-    /// Three replicas that share one entry of term 1.
+impl Model {
+    /// Creates three replicas that share one entry of term 1.
     fn new(timeouts: u32, crashes: u32) -> Self {
         let at = Position {
             term: Term(1),
@@ -87,7 +87,7 @@
         }
         let replicas = disks.iter_mut().zip(ids());
         let replicas = replicas.map(|(disk, id)| replica(disk, &id)).collect();
-        let mut world = World {
+        let mut model = Model {
             replicas,
             disks,
             clocks: vec![Time::ZERO; 3],
@@ -99,11 +99,11 @@
             timeouts,
             crashes,
         };
-        (0..3).for_each(|at| world.input(at, Input::Wake));
-        (0..3).for_each(|at| world.clocks[at] = Time::ZERO + LONG);
-        // They started long ago: what they asked then is over.
-        world.messages.clear();
-        world
+        (0..3).for_each(|at| model.input(at, Input::Wake));
+        (0..3).for_each(|at| model.clocks[at] = Time::ZERO + PAST_ELECTION);
+        // The replicas started long ago: their queries of the grace period are dropped.
+        model.messages.clear();
+        model
     }
 
     fn input(&mut self, at: usize, input: Input) {
@@ -169,11 +169,11 @@
             }
             Step::Timeout(at) => {
                 self.timeouts = self.timeouts.saturating_sub(1);
-                self.clocks[at] = self.clocks[at] + LONG;
+                self.clocks[at] = self.clocks[at] + PAST_ELECTION;
                 self.input(at, Input::Wake);
             }
             Step::Crash(at) => self.crash(at),
-            Step::Carry(from, to) => {
+            Step::DeliverFrom(from, to) => {
                 let mut messages = self.messages.iter();
                 let place = messages.position(|(a, b, _)| (*a, *b) == (from, to));
                 self.take(Step::Deliver(place.expect("a message on its way")));
@@ -185,7 +185,8 @@
         }
     }
 
-    /// Loses what was not synced and starts again, long after.
+    /// Drops unsynced writes and restarts the replica, with its clock advanced past any
+    /// election timeout.
     fn crash(&mut self, at: usize) {
         self.crashes = self.crashes.saturating_sub(1);
         self.disks[at].crash(0);
@@ -193,19 +194,19 @@
         self.last[at] = Index(0);
         self.replicas[at] = replica(&mut self.disks[at], &ids()[at]);
         self.input(at, Input::Wake);
-        self.clocks[at] = self.clocks[at] + LONG;
+        self.clocks[at] = self.clocks[at] + PAST_ELECTION;
     }
 
-    /// Elects `at` by the vote of `by`, and loses all other messages.
+    /// Elects `at` with the vote of `by`, and drops all other messages.
     fn elect(&mut self, at: usize, by: usize) {
         self.messages.clear();
-        // The first request may only bring the candidate up to the term.
+        // The first election may only bring the candidate up to the current term.
         for _ in 0..3 {
             if self.leads(at) {
                 return;
             }
             self.take(Step::Timeout(at));
-            self.talk(at, by, |world| world.leads(at));
+            self.exchange(at, by, |model| model.leads(at));
             self.messages.retain(|(from, _, _)| *from == at);
         }
     }
@@ -215,8 +216,9 @@
         replica.leader() == Some(replica.id())
     }
 
-    /// Lets two replicas exchange messages until `enough`.
-    fn talk(&mut self, a: usize, b: usize, enough: impl Fn(&World) -> bool) {
+    /// Delivers messages and completes syncs between two replicas until `enough`, or
+    /// until none are left.
+    fn exchange(&mut self, a: usize, b: usize, enough: impl Fn(&Model) -> bool) {
         while !enough(self) {
             let between = |(from, to, _): &(usize, usize, Message)| {
                 (*from, *to) == (a, b) || (*from, *to) == (b, a)
@@ -232,7 +234,7 @@
         }
     }
 
-    /// Tells whether an entry of `index` is on its way from `at`.
+    /// Returns whether a message with the entry at `index` is in flight from `at`.
     fn sends(&self, at: usize, index: u64) -> bool {
         let has = |message: &Message| match message {
             Message::Append { entries, .. } => {
@@ -259,30 +261,30 @@
     }
 
     fn fingerprint(&self) -> u64 {
-        let mut world = self.clone();
-        world
+        let mut model = self.clone();
+        model
             .messages
             .sort_by_cached_key(|message| format!("{message:?}"));
-        stable_hash(&[format!("{world:?}").as_bytes()])
+        stable_hash(&[format!("{model:?}").as_bytes()])
     }
 }
 
-/// Takes every order of steps up to `depth` and checks each state.
+/// Takes every sequence of up to `depth` steps and checks each state reached.
 fn explore((prefix, timeouts, crashes, depth): (&[Step], u32, u32, u32)) {
-    let mut start = World::new(timeouts, crashes);
+    let mut start = Model::new(timeouts, crashes);
     for step in prefix {
         start.take(*step);
     }
     (start.timeouts, start.crashes) = (timeouts, crashes);
     let mut seen = HashSet::new();
     let mut queue = VecDeque::from([(start, 0)]);
-    while let Some((world, level)) = queue.pop_front() {
-        world.check();
+    while let Some((model, level)) = queue.pop_front() {
+        model.check();
         if level == depth {
             continue;
         }
-        for step in world.steps() {
-            let mut next = world.clone();
+        for step in model.steps() {
+            let mut next = model.clone();
             next.take(step);
             if seen.insert(next.fingerprint()) {
                 queue.push_back((next, level + 1));
@@ -292,30 +294,30 @@
     assert!(seen.len() > 1_000, "only {} states", seen.len());
 }
 
-/// `a` and `b` both have the word of `c` that they may stand for term 2.
+/// `a` and `b` have both received a pre-vote of `c` for term 2.
 const TWO_CANDIDATES: &[Step] = &[
     Step::Timeout(0),
-    Step::Carry(0, 2),
-    Step::Carry(2, 0),
+    Step::DeliverFrom(0, 2),
+    Step::DeliverFrom(2, 0),
     Step::Timeout(1),
-    Step::Carry(1, 2),
-    Step::Carry(2, 1),
+    Step::DeliverFrom(1, 2),
+    Step::DeliverFrom(2, 1),
 ];
 
-/// `a` leads term 2 by the vote of `b` and has a proposal.
+/// `a` leads term 2 with the vote of `b` and has an open proposal.
 const LEADER_AT_WORK: &[Step] = &[
     Step::Timeout(0),
-    Step::Carry(0, 1),
-    Step::Carry(1, 0),
+    Step::DeliverFrom(0, 1),
+    Step::DeliverFrom(1, 0),
     Step::Sync(0),
-    Step::Carry(0, 1),
+    Step::DeliverFrom(0, 1),
     Step::Sync(1),
-    Step::Carry(1, 0),
+    Step::DeliverFrom(1, 0),
     Step::Propose(0),
 ];
 
 base::cases! {
-    /// One leader a term, and one command an index, in every state.
+    /// At most one leader per term and one command per index, in every state.
     all_orders: explore => {
         two_candidates: (TWO_CANDIDATES, 0, 1, 6),
         leader_at_work: (LEADER_AT_WORK, 1, 1, 4),
@@ -323,46 +325,47 @@
     }
 }
 
-/// A change reaches a majority under a leader of a later term than its own, and
-/// that leader dies before anything of its own term does. Another replica, with
-/// a newer entry in that place, may still be elected and replace it. An operator
-/// who had been told "accepted" would find the change gone.
+/// An entry reaches a majority only under a leader of a later term, which dies before any
+/// entry of its own term does. A replica with a newer entry at the same index may still
+/// be elected and overwrite it, so the entry must not count as committed: an operator's
+/// accepted change would be lost.
 #[test]
 fn an_old_entry_on_a_majority_is_not_committed() {
     base::covers!(commit_own_term);
-    let mut world = World::new(0, 0);
+    let mut model = Model::new(0, 0);
     for leader in [0, 2] {
-        world.elect(leader, 1);
-        world.take(Step::Propose(leader));
-        world.talk(leader, leader, |_| false);
-        world.messages.clear();
-        world.crash(leader);
+        model.elect(leader, 1);
+        model.take(Step::Propose(leader));
+        model.exchange(leader, leader, |_| false);
+        model.messages.clear();
+        model.crash(leader);
     }
-    world.elect(0, 1);
-    world.talk(0, 1, |world| world.sends(0, 4));
-    world.crash(0);
-    // What the voter has promised to the last leader is over.
-    world.clocks[1] = world.clocks[1] + LONG;
-    world.elect(2, 1);
-    world.talk(2, 1, |_| false);
-    world.check();
-    assert!(!world.applied.is_empty(), "nothing was committed");
+    model.elect(0, 1);
+    model.exchange(0, 1, |model| model.sends(0, 4));
+    model.crash(0);
+    // Lets the voter's last contact with the leader expire, so that it grants votes
+    // again.
+    model.clocks[1] = model.clocks[1] + PAST_ELECTION;
+    model.elect(2, 1);
+    model.exchange(2, 1, |_| false);
+    model.check();
+    assert!(!model.applied.is_empty(), "nothing was committed");
 }
 
-/// An operator asks for changes of members at the wrong time: before the leader
-/// knows what its predecessors committed, for a life that was a member before,
-/// and while another change is under way. Each is refused, as two majorities
-/// without a common replica could come of it.
+/// Membership changes are requested before the leader knows what its predecessors
+/// committed, for an incarnation that was a member before, and while another change is in
+/// progress. Each is rejected, as it could lead to two majorities without a common
+/// replica.
 #[test]
-fn members_change_only_from_settled_ground() {
+fn membership_changes_wait_for_committed_membership() {
     base::covers!(one_change_at_a_time);
-    let mut world = World::new(0, 0);
-    world.elect(0, 1);
-    let ask = |world: &mut World, id: &ReplicaId| {
+    let mut model = Model::new(0, 0);
+    model.elect(0, 1);
+    let ask = |model: &mut Model, id: &ReplicaId| {
         let (ticket, id) = (9, id.clone());
         let mut out = Vec::new();
         let input = Input::AddReplica { ticket, id };
-        world.replicas[0].handle(world.clocks[0], input, &mut out);
+        model.replicas[0].handle(model.clocks[0], input, &mut out);
         out.into_iter().find_map(|output| match output {
             Output::Proposed {
                 result: Err(Rejected::NotAccepted { why, .. }),
@@ -371,44 +374,44 @@
             _ => None,
         })
     };
-    let id = |life| ReplicaId {
-        life: Incarnation(life),
+    let id = |incarnation| ReplicaId {
+        incarnation: Incarnation(incarnation),
         ..ids()[2].clone()
     };
-    assert_eq!(ask(&mut world, &id(2)), Some(WhyNot::NotLeader));
-    world.talk(0, 1, |_| false);
-    assert_eq!(ask(&mut world, &id(1)), Some(WhyNot::BadChange));
-    assert_eq!(ask(&mut world, &id(2)), None);
-    assert_eq!(ask(&mut world, &id(3)), Some(WhyNot::Changing));
+    assert_eq!(ask(&mut model, &id(2)), Some(RejectReason::NotLeader));
+    model.exchange(0, 1, |_| false);
+    assert_eq!(ask(&mut model, &id(1)), Some(RejectReason::BadChange));
+    assert_eq!(ask(&mut model, &id(2)), None);
+    assert_eq!(ask(&mut model, &id(3)), Some(RejectReason::Changing));
 }
 
-/// A leader is asked to stop. The moment its successor may be elected, which
-/// need not wait for any lease, it must not act as leader any more.
+/// A leader transfers leadership. Its successor may be elected without waiting for the
+/// lease to expire, so the leader must stop acting as one before it sends the request.
 #[test]
-fn a_leader_that_hands_over_has_stopped() {
+fn a_leader_stops_before_it_transfers_leadership() {
     base::covers!(handed_over);
-    let mut world = World::new(0, 0);
-    world.elect(0, 1);
-    world.talk(0, 1, |_| false);
-    assert!(world.replicas[0].leads(world.clocks[0]));
-    world.input(0, Input::HandOver);
-    let told =
+    let mut model = Model::new(0, 0);
+    model.elect(0, 1);
+    model.exchange(0, 1, |_| false);
+    assert!(model.replicas[0].leads(model.clocks[0]));
+    model.input(0, Input::TransferLeadership);
+    let sent =
         |(_, _, message): &(usize, usize, Message)| matches!(message, Message::TimeoutNow { .. });
-    assert!(world.messages.iter().any(told));
-    assert!(!world.replicas[0].leads(world.clocks[0]));
+    assert!(model.messages.iter().any(sent));
+    assert!(!model.replicas[0].leads(model.clocks[0]));
 }
 
-/// The founder's folder is lost while the log is being founded, and its next
-/// life founds again; another replica without entries asks for votes. Neither
-/// gets an answer from one that knows the first founding members: those may
-/// have elected a leader already, whose log would get a rival.
+/// The founder loses its folder while the log is being founded, and its next incarnation
+/// founds again; another replica without entries requests votes. A replica that knows the
+/// first initial membership answers neither: those members may have elected a leader
+/// already, and a second log would be created beside the first.
 #[test]
 fn a_log_is_founded_once() {
     base::covers!(founded_once);
     base::covers!(fresh_elects_founder);
     let [a, b, c] = ids().try_into().expect("three");
     let again = ReplicaId {
-        life: Incarnation(2),
+        incarnation: Incarnation(2),
         ..a.clone()
     };
     let mut disk = FakeDisk::new(b.clone());
--- a/crates/replog/tests/open.rs
+++ b/crates/replog/tests/open.rs
@@ -1,5 +1,5 @@
-//! A log whose instances know each other by address only: who founds it, who is
-//! taken in, and when a silent voter goes.
+//! Membership of a log with `admit_any` set, where instances know each other by address only:
+//! who founds it, who is added, and when an unresponsive voter is removed.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -11,7 +11,7 @@
 
 const RETIRE: Duration = Duration::from_secs(8);
 
-/// Replicas whose messages arrive at once and whose disks never wait.
+/// Replicas whose messages are delivered at once and whose writes are durable at once.
 struct Cluster {
     now: Time,
     replicas: BTreeMap<InstanceName, Replica>,
@@ -34,23 +34,26 @@
     }
 
     /// Starts an instance with an empty disk.
-    fn start(&mut self, raw: &str, life: u64, peers: &[&str], founds: bool) {
+    fn start(&mut self, raw: &str, incarnation: u64, peers: &[&str], founds: bool) {
         let instance = name(raw);
-        let life = Incarnation(life);
-        let id = ReplicaId { instance, life };
+        let incarnation = Incarnation(incarnation);
+        let id = ReplicaId {
+            instance,
+            incarnation,
+        };
         let peers = peers.iter().map(|peer| name(peer)).collect();
         let raw = RawSettings {
-            open: true,
-            founds,
-            retire: Some(RETIRE),
-            ..RawSettings::usual(id.clone(), peers, Seed(id.life.get()))
+            admit_any: true,
+            may_found: founds,
+            remove_after: Some(RETIRE),
+            ..RawSettings::with_defaults(id.clone(), peers, Seed(id.incarnation.get()))
         };
         let settings = Settings::try_from(raw).unwrap();
         let replica = Replica::new(settings, Restored::default());
         self.replicas.insert(id.instance, replica);
     }
 
-    fn give(&mut self, to: &InstanceName, input: Input) {
+    fn input(&mut self, to: &InstanceName, input: Input) {
         let mut inputs = vec![(to.clone(), input)];
         while let Some((to, input)) = inputs.pop() {
             let Some(replica) = self.replicas.get_mut(&to) else {
@@ -73,16 +76,16 @@
         }
     }
 
-    fn pass(&mut self, ms: u64) {
+    fn run(&mut self, ms: u64) {
         for _ in 0..ms / 50 {
             self.now = self.now + Duration::from_millis(50);
             for name in self.replicas.keys().cloned().collect::<Vec<_>>() {
-                self.give(&name, Input::Wake);
+                self.input(&name, Input::Wake);
             }
         }
     }
 
-    /// Returns the voters by the leader, if one leads.
+    /// Returns the voters according to the leader, if there is one.
     fn voters(&self) -> Option<Vec<String>> {
         let mut all = self.replicas.values();
         let leader = all.find(|replica| replica.leads(self.now))?;
@@ -101,18 +104,18 @@
 }
 
 #[gtest]
-fn an_instance_that_no_peer_names_is_taken_in() {
+fn an_instance_that_is_no_peer_is_added() {
     let mut cluster = Cluster::new(&["k1", "k2", "k3"]);
-    cluster.pass(5_000);
+    cluster.run(5_000);
     assert_that!(cluster.voters(), eq(&names(&["k1", "k2", "k3"])));
     cluster.start("k9", 9, &["k1", "k2", "k3"], true);
-    cluster.pass(3_000);
+    cluster.run(3_000);
     assert_that!(cluster.voters(), eq(&names(&["k1", "k2", "k3", "k9"])));
 }
 
-/// All instances lose their disks at once. The deployment has run before, so
-/// something that was acknowledged may still be somewhere. They must not found
-/// a second log, in which it never was.
+/// All instances lose their disks at once in a deployment that has run before.
+/// Acknowledged entries may still exist elsewhere, so the instances must not found a
+/// second log without them.
 #[gtest]
 fn emptied_instances_found_nothing() {
     let _mark = base::ExpectedMark::new("emptied_never_founds");
@@ -120,73 +123,74 @@
     for instance in ["k1", "k2", "k3"] {
         cluster.start(instance, 2, &["k1", "k2", "k3"], false);
     }
-    cluster.pass(20_000);
+    cluster.run(20_000);
     assert_that!(cluster.voters(), none());
 }
 
-/// An instance is gone for good and an empty one comes at another address. The
-/// dead voter makes a majority of four three, so the next loss would stop the
-/// log. It goes within seconds of its successor's coming, and the log survives
-/// that loss.
+/// An instance is lost permanently and an empty one joins under another address. The dead
+/// voter raises the majority of four to three, so the next loss would stop the log. It is
+/// removed within seconds after its replacement has joined, and the log survives the next
+/// loss.
 #[gtest]
 fn a_replaced_voter_goes_before_the_next_loss() {
     let _mark = base::ExpectedMark::new("silent_voter_removed");
     let mut cluster = Cluster::new(&["k1", "k2", "k3"]);
-    cluster.pass(5_000);
+    cluster.run(5_000);
     cluster.replicas.remove(&name("k3"));
-    cluster.pass(1_000);
+    cluster.run(1_000);
     cluster.start("k4", 4, &["k1", "k2", "k3"], false);
-    cluster.pass(4_000);
+    cluster.run(4_000);
     assert_that!(cluster.voters(), eq(&names(&["k1", "k2", "k4"])));
     cluster.replicas.remove(&name("k2"));
-    cluster.pass(5_000);
+    cluster.run(5_000);
     assert_that!(cluster.voters(), some(anything()));
 }
 
-/// One of three is silent for a minute. Two voters could not lose another and
-/// go on, so it stays one.
+/// One of three voters is unresponsive for a minute. Two voters could not tolerate
+/// another loss, so it remains a voter.
 #[gtest]
 fn three_voters_are_never_made_two() {
     let mut cluster = Cluster::new(&["k1", "k2", "k3"]);
-    cluster.pass(5_000);
+    cluster.run(5_000);
     cluster.replicas.remove(&name("k3"));
-    cluster.pass(60_000);
+    cluster.run(60_000);
     assert_that!(cluster.voters(), eq(&names(&["k1", "k2", "k3"])));
 }
 
-/// The settings name other peers than at the start, and the old ones are gone.
-/// An instance that comes new is told of the members by those.
+/// The peers of a new instance are unreachable, and it joins nothing. Once the settings
+/// name a peer that is a member, that peer names the other members, and the instance is
+/// added.
 #[gtest]
-fn other_peers_are_called_once_they_are_set() {
+fn new_peers_are_asked_to_join_once_configured() {
     let mut cluster = Cluster::new(&["k1", "k2", "k3"]);
-    cluster.pass(5_000);
+    cluster.run(5_000);
     cluster.start("k9", 9, &["gone"], false);
-    cluster.pass(3_000);
+    cluster.run(3_000);
     assert_that!(cluster.voters().unwrap().len(), eq(3));
     let peers = vec![name("k2")];
-    cluster.give(&name("k9"), Input::Peers { peers });
-    cluster.pass(8_000);
+    cluster.input(&name("k9"), Input::Peers { peers });
+    cluster.run(8_000);
     assert_that!(cluster.voters().unwrap().len(), eq(4));
 }
 
 /// An instance loses its disk while its wall clock is stepped back, so its new
-/// life is older than its last one. It called out for ever and nobody took it
-/// in. It is told that its life is over, and a later one is taken in.
+/// incarnation is older than its last one. Without an answer it would send join requests
+/// forever. It is told that it was removed, and a later incarnation is added.
 #[gtest]
-fn an_older_life_is_told_that_it_is_over() {
+fn an_older_incarnation_is_told_it_was_removed() {
     let mut cluster = Cluster::new(&["k1", "k2", "k3"]);
-    cluster.pass(5_000);
-    for life in [5, 3] {
-        cluster.start("k3", life, &["k1", "k2", "k3"], false);
-        cluster.pass(5_000);
+    cluster.run(5_000);
+    for incarnation in [5, 3] {
+        cluster.start("k3", incarnation, &["k1", "k2", "k3"], false);
+        cluster.run(5_000);
     }
     let halted = cluster.replicas[&name("k3")].halted();
     assert_that!(halted, eq(Some(HaltReason::Removed)));
     cluster.start("k3", 6, &["k1", "k2", "k3"], false);
-    cluster.pass(5_000);
+    cluster.run(5_000);
     assert_that!(cluster.voters(), eq(&names(&["k1", "k2", "k3"])));
     let leader = cluster.replicas.values().find(|r| r.leads(cluster.now));
     let members = leader.and_then(|leader| leader.members()).unwrap();
-    let life = members.life_of(&name("k3")).map(|id| id.life);
-    assert_that!(life, eq(Some(Incarnation(6))));
+    let incarnation = members.member_of(&name("k3")).map(|id| id.incarnation);
+    assert_that!(incarnation, eq(Some(Incarnation(6))));
 }
--- a/crates/replog/tests/size.rs
+++ b/crates/replog/tests/size.rs
@@ -1,8 +1,8 @@
-//! After some dozens of large configurations no change is acknowledged any
-//! more, and the disks of all control instances are full at once. Order: each
-//! change is an entry of megabytes, and the log is rewritten only after hundreds.
-//! Cause: entries are counted, not weighed; nothing bounds the bytes of a log
-//! between two snapshots, nor of the entries kept behind one.
+//! Bounds on the size of the log with large entries. If only the number of entries limits
+//! the log, some dozens of configurations of megabytes each fill the disks of all control
+//! instances at once, since the log is rewritten only after hundreds of entries, and no
+//! change is acknowledged any more. The limits in bytes, of the log between two snapshots
+//! and of the entries retained behind one, prevent this.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -13,36 +13,37 @@
     Restored, Settings,
 };
 
-/// What the applied entries of a log may take beside the last one.
-const LOG: Bytes = Bytes(16 << 20);
+/// Maximum bytes of applied entries in a log file, beside the last one.
+const LOG_MAX: Bytes = Bytes(16 << 20);
 
-/// What entries behind a snapshot may take.
-const BEHIND: Bytes = Bytes(8 << 20);
+/// Maximum bytes of entries retained behind a snapshot.
+const RETAINED_MAX: Bytes = Bytes(8 << 20);
 
 const CHANGES: u64 = 300;
 
-/// Three replicas whose messages arrive at once, whose disks never wait, and
-/// whose state is the command applied last.
+/// Three replicas whose messages are delivered at once, whose writes are durable at once,
+/// and whose state is the command applied last.
 struct Cluster {
     now: Time,
     replicas: BTreeMap<InstanceName, Replica>,
     state: BTreeMap<InstanceName, Blob>,
-    /// Bytes of commands in the log file of each.
+    /// Bytes of commands in the log file of each replica.
     files: BTreeMap<InstanceName, u64>,
-    /// The most that any file has held.
-    largest: u64,
+    /// Bytes of commands in the largest log file so far.
+    largest_file: u64,
     /// Bytes of commands in the largest message.
-    heaviest: u64,
-    /// How often files were replaced.
+    largest_message: u64,
+    /// Number of log files replaced.
     replaced: u64,
-    /// Who hears nothing.
-    deaf: Option<InstanceName>,
+    /// The replica whose inputs are all dropped.
+    unreachable: Option<InstanceName>,
     accepted: u64,
-    /// Bytes of commands sent, and snapshots begun, by receiver.
+    /// Bytes of commands sent and number of snapshots started, by receiver.
     sent: BTreeMap<InstanceName, (u64, u64)>,
-    /// How many parts of entries were sent, and each how many of them is lost.
+    /// Number of parts of entries sent. If `drop_every` is `Some(n)`, every n-th part is
+    /// dropped.
     parts: u64,
-    lost: Option<u64>,
+    drop_every: Option<u64>,
 }
 
 fn name(raw: &str) -> InstanceName {
@@ -53,12 +54,12 @@
     fn new() -> Self {
         let names = ["k1", "k2", "k3"].map(name);
         let make = |instance: &InstanceName| {
-            let life = Incarnation(1);
+            let incarnation = Incarnation(1);
             let id = ReplicaId {
                 instance: instance.clone(),
-                life,
+                incarnation,
             };
-            let raw = RawSettings::usual(id, names.to_vec(), Seed(1));
+            let raw = RawSettings::with_defaults(id, names.to_vec(), Seed(1));
             let settings = Settings::try_from(raw).unwrap();
             Replica::new(settings, Restored::default())
         };
@@ -68,20 +69,20 @@
             replicas: replicas.collect(),
             state: BTreeMap::new(),
             files: BTreeMap::new(),
-            largest: 0,
-            heaviest: 0,
+            largest_file: 0,
+            largest_message: 0,
             replaced: 0,
-            deaf: None,
+            unreachable: None,
             accepted: 0,
             sent: BTreeMap::new(),
             parts: 0,
-            lost: None,
+            drop_every: None,
         };
-        cluster.pass(5_000);
+        cluster.run(5_000);
         cluster
     }
 
-    fn pass(&mut self, ms: u64) {
+    fn run(&mut self, ms: u64) {
         for _ in 0..ms / 50 {
             self.now = self.now + Duration::from_millis(50);
             for name in self.replicas.keys().cloned().collect::<Vec<_>>() {
@@ -103,18 +104,18 @@
         others.next().expect("several instances").clone()
     }
 
-    /// Proposes a command, and lets everybody hear that it is committed.
+    /// Proposes a command, and runs until all replicas know that it is committed.
     fn change(&mut self, command: &Blob) {
         let leader = self.leader();
         let command = command.clone();
         self.give(&leader, Input::Propose { ticket: 1, command });
-        self.pass(200);
+        self.run(200);
     }
 
     fn give(&mut self, to: &InstanceName, input: Input) {
         let mut inputs = vec![(to.clone(), input)];
         while let Some((to, input)) = inputs.pop() {
-            if self.deaf.as_ref() == Some(&to) {
+            if self.unreachable.as_ref() == Some(&to) {
                 continue;
             }
             let mut out = Vec::new();
@@ -135,7 +136,7 @@
                 if matches!(message, Message::Piece { .. }) {
                     self.parts += 1;
                     if self
-                        .lost
+                        .drop_every
                         .is_some_and(|each| self.parts.is_multiple_of(each))
                     {
                         return None;
@@ -146,7 +147,7 @@
             }
             Output::Write { no, records } => {
                 *self.files.entry(at.clone()).or_default() += bytes(&records);
-                self.largest = self.largest.max(self.files[at]);
+                self.largest_file = self.largest_file.max(self.files[at]);
                 Input::Synced { upto: no }
             }
             Output::Rewrite { no, records, .. } => {
@@ -181,12 +182,12 @@
             Message::Append { entries: sent, .. } => {
                 let bytes = sent.iter().map(|e| size(&e.payload)).sum();
                 *entries += bytes;
-                self.heaviest = self.heaviest.max(bytes);
+                self.largest_message = self.largest_message.max(bytes);
             }
             Message::Piece { data, .. } => {
                 let bytes = data.len() as u64;
                 *entries += bytes;
-                self.heaviest = self.heaviest.max(bytes);
+                self.largest_message = self.largest_message.max(bytes);
             }
             Message::Chunk { offset: 0, .. } => *snapshots += 1,
             _ => {}
@@ -219,21 +220,21 @@
             cluster.change(&command);
         }
         expect_that!(cluster.accepted, eq(CHANGES));
-        // The last applied entry, and one that a follower holds before it
-        // hears that it is committed.
+        // The last applied entry, and one that a follower holds before it knows that it
+        // is committed.
         let entry = command.len() as u64;
-        let most = LOG.get() + 2 * entry;
-        expect_that!(cluster.largest, le(most), "with entries of {kib} KiB");
-        // Each replica replaces them when it is founded, and then once for
-        // that many bytes.
-        let most = 3 * (1 + CHANGES * entry / LOG.get() + 1);
+        let most = LOG_MAX.get() + 2 * entry;
+        expect_that!(cluster.largest_file, le(most), "with entries of {kib} KiB");
+        // Each replica replaces its file once at founding, and then once per `LOG_MAX`
+        // bytes.
+        let most = 3 * (1 + CHANGES * entry / LOG_MAX.get() + 1);
         expect_that!(cluster.replaced, le(most), "with entries of {kib} KiB");
     }
 }
 
-/// An operator sends a configuration of four megabytes to control instances whose links
-/// are slower than usual. Nobody acknowledges it, nor anything after it: the entry
-/// travels whole, takes longer than a message may be on its way, and is sent anew.
+/// A configuration of four megabytes is sent to control instances over slow links. Sent
+/// in one message, the entry would exceed the maximum delivery time and be resent
+/// forever, and neither it nor any later entry would be acknowledged.
 #[gtest]
 fn a_large_entry_is_sent_in_parts() {
     let mut cluster = Cluster::new();
@@ -241,46 +242,47 @@
     expect_that!(cluster.accepted, eq(1));
     let id = ReplicaId {
         instance: name("k1"),
-        life: Incarnation(1),
+        incarnation: Incarnation(1),
     };
-    let usual = RawSettings::usual(id, vec![name("k1")], Seed(1));
-    expect_that!(cluster.heaviest, le(usual.message.get()));
+    let usual = RawSettings::with_defaults(id, vec![name("k1")], Seed(1));
+    expect_that!(cluster.largest_message, le(usual.message.get()));
 }
 
-/// Parts of a large entry are lost on their way, as the connection breaks. The entry
-/// is acknowledged all the same, and what has come isn't sent from the beginning.
+/// Parts of a large entry are lost, as when a connection breaks. The entry is
+/// acknowledged all the same, and the parts received so far aren't resent from the
+/// beginning.
 #[gtest]
 fn lost_parts_of_an_entry_are_sent_again() {
     base::covers!(piece_sent_again);
     let size = 1_000 << 10;
     let mut cluster = Cluster::new();
-    cluster.lost = Some(20);
+    cluster.drop_every = Some(20);
     cluster.change(&Blob::from(vec![7; size]));
-    cluster.pass(5_000);
+    cluster.run(5_000);
     expect_that!(cluster.accepted, eq(1));
     let sent = cluster.sent.values().map(|(bytes, _)| *bytes).max();
     expect_that!(sent, some(le(size as u64 * 2)));
 }
 
-/// The leader dies while a large entry is on its way. The next leader has none of it or
-/// all of it, and takes changes of its own.
+/// The leader dies while a large entry is in transfer. The next leader has either none or
+/// all of it, and accepts changes of its own.
 #[gtest]
 fn a_new_leader_sends_large_entries_of_its_own() {
     let mut cluster = Cluster::new();
     let first = cluster.leader();
-    cluster.lost = Some(2);
+    cluster.drop_every = Some(2);
     cluster.change(&Blob::from(vec![7; 1_000 << 10]));
-    cluster.deaf = Some(first.clone());
-    cluster.lost = None;
-    cluster.pass(5_000);
+    cluster.unreachable = Some(first.clone());
+    cluster.drop_every = None;
+    cluster.run(5_000);
     let before = cluster.accepted;
     let own = Blob::from(vec![8; 1_000 << 10]);
     let leader = cluster.leader();
     expect_that!(leader, not(eq(&first)));
     cluster.change(&own);
     expect_that!(cluster.accepted, eq(before + 1));
-    cluster.deaf = None;
-    cluster.pass(5_000);
+    cluster.unreachable = None;
+    cluster.run(5_000);
     for (name, state) in &cluster.state {
         expect_that!(state, eq(&own), "at {name}");
     }
@@ -292,20 +294,20 @@
     let mut cluster = Cluster::new();
     let leader = cluster.leader();
     let lags = cluster.follower();
-    cluster.deaf = Some(lags.clone());
+    cluster.unreachable = Some(lags.clone());
     for _ in 0..CHANGES {
         cluster.change(&command);
     }
-    cluster.deaf = None;
+    cluster.unreachable = None;
     cluster.sent.clear();
-    cluster.pass(5_000);
+    cluster.run(5_000);
     expect_that!(cluster.leader(), eq(&leader));
     expect_that!(cluster.accepted, eq(CHANGES));
     expect_that!(cluster.state.get(&lags), some(eq(&command)));
     let (entries, snapshots) = cluster.sent[&lags];
     expect_that!(snapshots, ge(1));
-    // What lies behind the snapshot, and what came after it.
-    let most = BEHIND.get() + LOG.get() + command.len() as u64;
+    // The entries retained behind the snapshot, and those after it.
+    let most = RETAINED_MAX.get() + LOG_MAX.get() + command.len() as u64;
     expect_that!(entries, le(most));
 }
 
@@ -316,11 +318,11 @@
     let lags = cluster.follower();
     for _ in 0..CHANGES {
         cluster.change(&command);
-        cluster.deaf = Some(lags.clone());
+        cluster.unreachable = Some(lags.clone());
         cluster.change(&command);
-        cluster.deaf = None;
+        cluster.unreachable = None;
         cluster.sent.clear();
-        cluster.pass(1_000);
+        cluster.run(1_000);
         let (_, snapshots) = cluster.sent[&lags];
         expect_that!(snapshots, eq(0));
         expect_that!(cluster.state.get(&lags), some(eq(&command)));
@@ -329,14 +331,14 @@
 }
 
 #[gtest]
-fn a_log_of_no_bytes_is_refused() {
+fn a_compaction_size_of_zero_is_rejected() {
     let id = ReplicaId {
         instance: name("k1"),
-        life: Incarnation(1),
+        incarnation: Incarnation(1),
     };
     let raw = RawSettings {
         compact_bytes: Bytes(0),
-        ..RawSettings::usual(id, vec![name("k1")], Seed(1))
+        ..RawSettings::with_defaults(id, vec![name("k1")], Seed(1))
     };
     let made = Settings::try_from(raw).map(|_| ());
     expect_that!(made, err(eq(&BadSettings::Zero("compact_bytes"))));
--- a/crates/scenarios/src/keeper.rs
+++ b/crates/scenarios/src/keeper.rs
@@ -34,10 +34,10 @@
     pub(crate) fn new(name: &str, peers: &[String], disk: Disk, seed: u64) -> Self {
         let id = ReplicaId {
             instance: name.parse().unwrap(),
-            life: Incarnation(1),
+            incarnation: Incarnation(1),
         };
         let peers = peers.iter().map(|peer| peer.parse().unwrap()).collect();
-        let mut raw = replog::RawSettings::usual(id, peers, Seed(seed));
+        let mut raw = replog::RawSettings::with_defaults(id, peers, Seed(seed));
         raw.compact = 100;
         raw.keep = 20;
         let restored = Restored::replay(disk.snapshot.clone(), disk.records.clone());
--- a/xtask/src/capacity/control.rs
+++ b/xtask/src/capacity/control.rs
@@ -87,9 +87,9 @@
         let instance: base::InstanceName = "control-1".parse()?;
         let id = ReplicaId {
             instance: instance.clone(),
-            life: Incarnation(1),
+            incarnation: Incarnation(1),
         };
-        let raw = RawSettings::usual(id, vec![instance], Seed(life));
+        let raw = RawSettings::with_defaults(id, vec![instance], Seed(life));
         let restored = Restored::replay(snapshot.clone(), disk.clone()).context("damaged log")?;
         let replica = Replica::new(Settings::try_from(raw)?, restored);
         let check = |_: &str| Ok(Checked { rate: PerSecond(5) });
