--- a/crates/wire/src/call.rs
+++ b/crates/wire/src/call.rs
@@ -1,7 +1,11 @@
-//! Calls between our own processes.
+//! Remote calls between entry instances, control instances and operators' tools.
 //!
-//! Every call is small and answered at once; bulk (bodies and streams of
-//! requests) goes over HTTP connections of its own and never waits here.
+//! Calls are small and answered immediately. Bodies and streams of requests go over
+//! separate HTTP connections, so that they never delay a call.
+//!
+//! A marked request is an at-most-once request: its caller gave it an idempotency key,
+//! and an entry instance must claim the key at the leader before it sends the request
+//! to a target.
 
 use std::time::Duration;
 
@@ -20,51 +24,51 @@
 record! {
     /// A call from one process to another.
     pub enum Call {
-        /// Entry to control: alive, and asks for leases.
+        /// Entry to control: heartbeat, which also renews leases on engines.
         Beat(Beat),
-        /// Anyone to anyone: asks which version of the text is in force there.
+        /// Any instance to any other: asks which version of the configuration text is in
+        /// force there.
         Version,
-        /// Anyone to anyone: asks for the newest text.
+        /// Any instance to any other: asks for the newest configuration text.
         Text {
-            /// The version that the asker has.
+            /// The version that the requester has.
             have: TextVersion,
         },
         /// Entry to control: claims a marked request before it is sent.
         Claim(Claim),
-        /// Entry to control: what became of a claimed request.
+        /// Entry to control: reports the outcome of a claimed request.
         Settle(Settle),
-        /// Control to control: a change passed on to the leader.
+        /// Control to control: an operator's change, forwarded to the leader.
         Apply(Apply),
-        /// Control to control: a message of the replicated log.
+        /// Control to control: an encoded message of the replicated log.
         ///
-        /// Failure: as a list of numbers, a message of a megabyte takes longer to
-        /// write and read than it may be on its way. It is lost and sent anew
-        /// without end, and no change is acknowledged. [`Bytes`] are copied as one
-        /// string.
+        /// The payload is [`Bytes`], which are encoded as one binary string. As a
+        /// `Vec<u8>` they would be encoded as a list of numbers: encoding and decoding a
+        /// message of a megabyte would then take longer than its timeout, so that it is
+        /// sent again forever and no change is ever acknowledged.
         Log(Bytes),
-        /// Entry to entry of the same zone: asks it to confirm ownership.
+        /// Entry to its zone peers: asks them to confirm ownership of an engine.
         Confirm(Confirm),
-        /// Owner to entry instances: what its engines hold.
+        /// Owner of an engine to entry instances: which adapters the engine has loaded.
         Residents(Residents),
-        /// Owner to owner: hands over an engine.
+        /// Owner to the next owner: hands over an engine.
         Handover(Handover),
-        /// Control or operator to entry: stop in order.
+        /// Control or operator to entry: finish running requests, then stop.
         Drain,
-        /// Operator to entry: why requests go where they do.
+        /// Operator to entry: asks how requests of a service are routed.
         Explain(Explain),
-        /// Entry to the holder of orders in a zone: what is under way here, and
-        /// what is missing.
+        /// Entry to zone owner: reports requests under way and adapters that are needed.
         Sync(Box<Sync>),
-        /// Entry to control: asks for a part of an edition.
+        /// Entry to control: asks for a part of an edition (a numbered configuration).
         Edition {
             /// The edition's number.
             number: u64,
-            /// Where the part begins, in bytes of the text.
+            /// Offset of the part in the edition's text, in bytes.
             from: u64,
         },
-        /// Control to leader: renews the right to give orders in zones.
+        /// Control to leader: renews the caller's zone leases.
         Renew {
-            /// Who asks.
+            /// The control instance that asks.
             instance: InstanceName,
             /// Its own zone.
             zone: String,
@@ -73,7 +77,7 @@
 
     /// The answer to a call.
     pub enum Reply {
-        /// Nothing to say.
+        /// The call was carried out; there is nothing to return.
         Done,
         /// Answers [`Call::Beat`].
         Beat(BeatReply),
@@ -83,16 +87,17 @@
         Text {
             /// Its version.
             version: TextVersion,
-            /// The whole text.
+            /// The full text.
             text: String,
         },
-        /// Answers [`Call::Text`] with what changed since the asker's version.
+        /// Answers [`Call::Text`] with the changes since the requester's version.
         Patches {
-            /// The version that comes out.
+            /// The version that the last patch leads to.
             version: TextVersion,
-            /// Hash of the text that comes out; see [`crate::patch::digest`].
+            /// Hash of the text that the last patch leads to; see
+            /// [`crate::patch::digest`].
             digest: u64,
-            /// One patch a version, oldest first.
+            /// One patch for each version, oldest first.
             patches: Vec<Patch>,
         },
         /// Answers [`Call::Claim`] and [`Call::Settle`].
@@ -101,95 +106,98 @@
         Applied(Applied),
         /// Answers [`Call::Confirm`].
         Confirm {
-            /// Whether the asker may go on for the time it asked for.
+            /// Whether the requester may use the engine for the time it asked for.
             granted: bool,
         },
         /// Answers [`Call::Sync`].
         Sync(Box<Synced>),
-        /// Answers [`Call::Edition`]; nothing where that edition isn't kept.
+        /// Answers [`Call::Edition`]; `None` if that edition isn't kept.
         Edition(Option<Part>),
-        /// Answers [`Call::Renew`]: zones owned, with fencing numbers.
+        /// Answers [`Call::Renew`]: the zones that the caller owns, with its fencing numbers.
         Renewed(Vec<(String, u64)>),
-        /// Answers [`Call::Explain`]; none if the text has no such service.
+        /// Answers [`Call::Explain`]; `None` if the text has no such service.
         Explained(Option<Explained>),
-        /// The callee can't answer; the leader may.
+        /// The callee can't answer this call; ask the leader instead.
         Elsewhere {
-            /// The leader as far as the callee knows.
+            /// The leader, if the callee knows one.
             leader: Option<InstanceName>,
         },
     }
 
-    /// A sign of life of an entry instance.
+    /// A heartbeat of an entry instance.
     pub struct Beat {
-        /// Who.
+        /// The sender.
         pub instance: InstanceName,
-        /// Where.
+        /// The sender's zone.
         pub zone: ZoneName,
-        /// Which life of it.
+        /// The sender's incarnation.
         pub incarnation: Incarnation,
-        /// IP and port of its peer listener.
+        /// IP and port of the sender's peer listener.
         pub peer: String,
-        /// The text in force there.
+        /// Version of the configuration text in force at the sender.
         pub text: TextVersion,
-        /// Whether it is stopping and wants no more engines.
+        /// Whether the sender is stopping and takes no more engines.
         pub leaving: bool,
-        /// Counts the beats of one life; the reply repeats it.
+        /// Number of this heartbeat within the incarnation; the reply returns it.
         pub serial: u64,
-        /// The greatest serial among the replies taken in so far.
+        /// The greatest serial among the replies processed so far.
         pub heard: u64,
-        /// How much of the roster it has; see [`BeatReply::roster`].
+        /// The state of the roster that the sender has, from the last
+        /// [`BeatReply::roster`].
         pub roster: u64,
-        /// Engines of its own zone that it can reach, from the platform's
-        /// list; sent when they change or the leader asks, else absent.
+        /// Engines of its own zone that the sender can reach, from the platform's list.
+        /// Sent when they change or when the leader asks for them, otherwise absent.
         pub engines: Option<Vec<TargetName>>,
-        /// Engines that it lost and still has requests on, with the fencing
-        /// number that it had.
+        /// Engines that the sender no longer owns but still has requests on, with the
+        /// fencing number that it had.
         pub busy: Vec<(TargetName, Fence)>,
-        /// Loads it waits to make, for its part of the store's budget.
+        /// Number of adapter loads that wait for the sender's share of the load rate of
+        /// the adapter store.
         pub loads: u32,
-        /// What each brand got at its engines, now and then.
+        /// Usage of the sender's engines by brand; not sent with every heartbeat.
         pub shares: Vec<Share>,
     }
 
-    /// What one brand got at one instance's engines since the instance started.
+    /// Usage of one instance's engines by one brand, since the instance started.
     pub struct Share {
-        /// Whose.
+        /// The brand.
         pub brand: BrandName,
-        /// Tokens of answers.
+        /// Tokens generated in answers.
         pub tokens: u64,
         /// Requests queued now.
         pub queued: u32,
         /// Requests running now.
         pub running: u32,
-        /// Requests refused for load.
+        /// Requests refused because of overload.
         pub refused: u64,
         /// Requests sent to engines.
         pub sent: u64,
-        /// What those waited before, together, in milliseconds.
+        /// Total time that the sent requests had waited in the queue, in milliseconds.
         pub waited_ms: u64,
     }
 
-    /// The leader's answer to a beat.
+    /// The leader's answer to a heartbeat.
     pub struct BeatReply {
-        /// The beat's serial: a lease counts from when that beat was sent.
+        /// The serial of the heartbeat; leases count from the time it was sent.
         pub serial: u64,
-        /// The newest accepted version.
+        /// The newest accepted version of the configuration text.
         pub text: TextVersion,
-        /// Engines that the asker owns.
+        /// Leases on the engines that the requester owns.
         pub leases: Vec<Lease>,
-        /// Loads from the store that the asker may start each second, in
+        /// Loads from the adapter store that the requester may start each second, in
         /// thousandths.
         pub loads: u32,
-        /// Index of the last log entry that changed instances or owners.
+        /// State of the roster (the list of entry instances and their engines): index of
+        /// the last log entry that changed instances or owners.
         pub roster: u64,
-        /// Whether `peers` is everybody rather than what changed since the
-        /// asker's roster.
+        /// Whether `peers` lists all entry instances rather than the changes since the
+        /// requester's roster.
         pub whole: bool,
         /// Entry instances that are new or changed.
         pub peers: Vec<Peer>,
-        /// Entry instances that were taken off since the asker's roster.
+        /// Entry instances that were removed since the requester's roster.
         pub gone: Vec<InstanceName>,
-        /// Whether the next beat should name the engines in reach.
+        /// Whether the next heartbeat should contain [`Beat::engines`].
         pub tell: bool,
     }
 
@@ -197,16 +205,16 @@
     pub struct Lease {
         /// The engine.
         pub target: TargetName,
-        /// The fencing number for its orders.
+        /// The fencing number for orders to the engine.
         pub fence: Fence,
-        /// How long it holds, from when the beat was sent.
+        /// Duration of the lease, from the time the heartbeat was sent.
         pub lasts: Duration,
         /// Fencing numbers of earlier owners that may still have requests
         /// running there.
         pub former: Vec<Fence>,
     }
 
-    /// Another entry instance, as the leader knows it.
+    /// An entry instance other than the requester, as the leader knows it.
     pub struct Peer {
         /// Its name.
         pub instance: InstanceName,
@@ -218,44 +226,44 @@
         pub owns: Vec<(TargetName, Fence)>,
     }
 
-    /// A claim of a marked request.
+    /// A claim of a marked request: asks for the right to send it once.
     pub struct Claim {
-        /// Whose key.
+        /// The brand whose key it is.
         pub brand: BrandName,
-        /// Hash of the idempotency key; the key itself never travels.
+        /// Hash of the idempotency key; the key itself is never sent.
         pub key: [u8; 16],
-        /// Hash of method, path and body.
+        /// Hash of the request's method, path and body.
         pub body: [u8; 16],
-        /// Who claims.
+        /// The entry instance that claims.
         pub instance: InstanceName,
-        /// Tells two tries of one instance apart.
+        /// Number that differs between attempts of one instance.
         pub attempt: u64,
-        /// The key's own date in milliseconds since 1970, where it has one.
+        /// The date that the key itself contains, in milliseconds since 1970, if any.
         pub dated: Option<u64>,
     }
 
     /// The answer to a claim.
     pub enum ClaimReply {
-        /// The asker may send it, nobody else may.
+        /// The requester, and nobody else, may send the request.
         Yours,
-        /// Somebody else has it under way.
+        /// Another attempt has claimed the key and is under way.
         Running,
-        /// It ran; its answer, where kept.
+        /// The request ran; contains its answer if that was kept.
         Ran(Option<Answer>),
-        /// Nobody can tell whether it ran.
+        /// The request may have run: its outcome is unknown.
         MayHaveRun,
         /// The key was used with another body.
         OtherBody,
-        /// The key is older than what is remembered: refused for good.
+        /// The key is dated before the oldest remembered one, so it can never be claimed.
         TooOld,
-        /// Not claimed, and certainly not: come back later.
+        /// The key was certainly not claimed; retry later.
         NotNow {
-            /// When.
+            /// When to retry, counted from the answer.
             retry: Duration,
         },
     }
 
-    /// A kept answer.
+    /// The answer of a marked request, kept for retries of that request.
     pub struct Answer {
         /// HTTP status.
         pub status: u16,
@@ -265,74 +273,78 @@
         pub body: Vec<u8>,
     }
 
-    /// What became of a claimed request.
+    /// Reports the outcome of a claimed request.
     pub struct Settle {
-        /// Whose key.
+        /// The brand whose key it is.
         pub brand: BrandName,
         /// Hash of the idempotency key.
         pub key: [u8; 16],
-        /// Who had claimed it.
+        /// The entry instance that had claimed the key.
         pub instance: InstanceName,
-        /// Under which attempt.
+        /// The attempt that had claimed the key; see [`Claim::attempt`].
         pub attempt: u64,
-        /// What became of it.
+        /// The outcome.
         pub fate: Fate,
     }
 
-    /// What became of a claimed request.
+    /// The outcome of a claimed request.
     pub enum Fate {
-        /// It certainly did not run: the key is free again.
+        /// It certainly did not run: the key can be claimed again.
         NotRun,
-        /// It ran; its answer, where small enough to keep.
+        /// It ran; contains its answer if that is small enough to keep.
         Ran(Option<Answer>),
-        /// Nobody can tell.
+        /// Unknown outcome.
         MayHaveRun,
     }
 
-    /// Asks a zone-mate to confirm ownership while the leader is away.
+    /// Asks a zone peer to confirm ownership of an engine while the leader is unreachable.
     pub struct Confirm {
-        /// Who asks.
+        /// The owner that asks.
         pub instance: InstanceName,
-        /// For which engine.
+        /// The engine.
         pub target: TargetName,
-        /// Under which fencing number.
+        /// The owner's fencing number.
         pub fence: Fence,
-        /// For how long, from when it was asked.
+        /// Requested duration, from the time of the call.
         pub lasts: Duration,
     }
 
-    /// What an owner's engine holds and how busy it is.
+    /// The adapters that an engine has loaded and its load, as its owner knows them.
     pub struct Residents {
-        /// The owner.
+        /// The engine's owner.
         pub owner: InstanceName,
         /// The engine.
         pub target: TargetName,
-        /// The owner's fencing number; older news is dropped.
+        /// The owner's fencing number; messages with an older one are dropped.
         pub fence: Fence,
-        /// Counts messages under one fencing number; a hole asks for all.
+        /// Number of the message under this fencing number; a receiver that sees a gap
+        /// asks for the full state.
         pub serial: u64,
-        /// Whether `added` is everything rather than a change.
+        /// Whether `added` is the full state rather than a delta.
         pub whole: bool,
-        /// Newly resident.
+        /// Adapters loaded since the previous message.
         pub added: Vec<(AdapterName, Version)>,
-        /// No longer resident.
+        /// Adapters unloaded since the previous message.
         pub removed: Vec<(AdapterName, Version)>,
-        /// Critical and live requests admitted and not ended.
+        /// Critical and live requests that were admitted and haven't ended.
         pub in_flight: u32,
-        /// Batch requests admitted and not ended; they wait or give way.
+        /// Batch requests that were admitted and haven't ended. More urgent requests
+        /// preempt them.
         pub queued: u32,
-        /// Thousandths of a live use a second that the next load there would
-        /// evict; zero with a free slot.
+        /// Cost of the next load there: how often the adapter that it would evict is
+        /// used by live requests, in thousandths of a use a second. Zero if a slot is
+        /// free.
         pub worth: u32,
     }
 
-    /// A planned handover of an engine.
+    /// A planned handover of an engine to its next owner.
     pub struct Handover {
         /// The engine.
         pub target: TargetName,
-        /// The fencing number of the owner that leaves it.
+        /// The fencing number of the old owner.
         pub fence: Fence,
-        /// Adapters with requests still running, which stay with the old owner.
+        /// Adapters that requests of the old owner still use; the new owner must not
+        /// unload them yet.
         pub in_use: Vec<(AdapterName, Version)>,
     }
 }
--- a/crates/wire/src/fleet.rs
+++ b/crates/wire/src/fleet.rs
@@ -1,10 +1,11 @@
-//! What entry and control instances tell each other about targets: who holds
-//! which adapter, how much runs where, and what is missing.
+//! Exchange between entry and control instances about targets: which adapters they
+//! have loaded, their load, and which adapters are needed.
 //!
-//! One exchange serves as heartbeat, report of load and demand, and as the way
-//! by which the list of targets and residents reach every entry instance. It is
-//! made a few times a second, and at once for an adapter that a caller waits for.
-//! Of editions it carries only the number; they come in parts of their own.
+//! One exchange ([`Sync`] and its answer [`Synced`]) serves as heartbeat, reports load
+//! and demand to the zone owner, and distributes the list of targets and their loaded
+//! adapters to entry instances. It takes place a few times a second, and immediately
+//! when a caller waits for an adapter. It contains only the number of the newest
+//! edition (a numbered configuration); the edition itself is fetched in [`Part`]s.
 
 mod part;
 
@@ -15,61 +16,64 @@
 pub use self::part::{PART_SIZE, Part};
 
 record! {
-    /// What an entry instance tells a control instance.
+    /// The request of an entry instance to a control instance.
     #[derive(Default)]
     pub struct Sync {
-        /// Who; absent names none, as in a first message.
+        /// The entry instance; absent if it has no name yet, as in its first message.
         pub instance: Option<InstanceName>,
-        /// The edition in force there; 0 for none.
+        /// Number of the edition in force at the entry instance; 0 for none.
         pub edition: u64,
-        /// Which named versions it has from the one asked; see [`Synced::revision`].
+        /// Revision of the named adapter versions that the entry instance has from this
+        /// control instance; see [`Synced::revision`].
         pub revision: u64,
-        /// Which news of targets it has; see [`Synced::news`].
+        /// Number of the newest target update that the entry instance has; see
+        /// [`Synced::news`].
         pub news: u64,
-        /// Targets of which it has dropped what it was told, by id; they are told again.
+        /// Targets whose state the entry instance has dropped and needs again, by id.
         pub again: Vec<String>,
-        /// Whether this only asks for adapters: load is neither told nor wanted.
+        /// Whether this only asks for adapters: it contains no load figures, and neither
+        /// does the answer.
         pub brief: bool,
-        /// Requests under way there.
+        /// Requests of the entry instance under way.
         pub running: Vec<Running>,
-        /// Prompt tokens sent from there that targets haven't read yet, by target.
+        /// Prompt tokens sent by the entry instance and not yet processed, by target.
         pub unread: Vec<(String, u64)>,
         /// Requests for each adapter since the last exchange that was answered.
         pub demand: Vec<(String, u32)>,
         /// Adapters that callers wait for.
         pub wants: Vec<String>,
-        /// Adapters whose holders are all behind with reading prompts: one more
-        /// copy would serve sooner.
+        /// Adapters whose holders all have a backlog of prompts, so that loading the
+        /// adapter at one more target would serve its requests sooner.
         pub copies: Vec<String>,
-        /// Targets that couldn't be reached lately, by id.
+        /// Targets that were unreachable recently, by id.
         pub failing: Vec<String>,
-        /// Adapters on their way to targets of other control instances, where
-        /// all of these are heard.
+        /// Number of adapters being loaded at targets of other control instances; absent
+        /// unless all of these were heard from.
         pub elsewhere: Option<u32>,
-        /// What came of the first requests that were sent for adapters just
-        /// loaded, since the last exchange.
+        /// Results of the first requests for newly loaded adapters, since the last
+        /// exchange.
         pub firsts: Vec<First>,
-        /// How long targets took to begin their answers, since the last exchange.
+        /// Time that targets took to begin their answers, since the last exchange.
         pub paces: Vec<Pace>,
     }
 
-    /// How long a target took for what it had to read, over some requests.
+    /// Time that a target took to process prompts, summed over some requests.
     pub struct Pace {
         /// The target.
         pub target: String,
-        /// Prompt tokens that it had before it.
+        /// Prompt tokens that the target had to process.
         pub tokens: u64,
-        /// Time until it answered.
+        /// Time until the target began to answer.
         pub took: Duration,
     }
 
-    /// The first request from one instance after an adapter was loaded.
+    /// Result of one instance's first request for an adapter after it was loaded.
     pub struct First {
         /// The target.
         pub target: String,
         /// The adapter.
         pub adapter: String,
-        /// Whether the target had the adapter when it was said to.
+        /// Whether the target had the adapter at the time that was announced.
         pub held: bool,
     }
 
@@ -77,83 +81,83 @@
     pub struct Running {
         /// The target.
         pub target: String,
-        /// Which adapter they use; empty for none.
+        /// The adapter that they use; empty for none.
         pub adapter: String,
-        /// How many.
+        /// Number of requests.
         pub count: u32,
     }
 
-    /// What a control instance answers.
+    /// The answer of a control instance to [`Sync`].
     #[derive(Default)]
     pub struct Synced {
         /// Number of the newest edition; 0 for none.
         pub edition: u64,
-        /// Versions of adapters that were named since [`Sync::revision`], or the
-        /// oldest of them.
+        /// Adapter versions that were named after [`Sync::revision`]; if there are too
+        /// many for one answer, the oldest of them.
         pub versions: Vec<(String, u32)>,
-        /// Counts the named versions that the asker has now, in the life of the one
-        /// that answers.
+        /// Number of named versions that the requester has with this answer, counted
+        /// within one incarnation of the control instance.
         pub revision: u64,
-        /// Counts the changes of [`Synced::targets`].
+        /// Number of the newest change of [`Synced::targets`].
         pub news: u64,
-        /// Zones whose engines this instance gives orders to.
+        /// Zones that this control instance owns.
         pub zones: Vec<String>,
-        /// Targets of those zones that have changed since [`Sync::news`]; nothing where
-        /// none has.
+        /// Targets of those zones that have changed since [`Sync::news`]; `None` if none
+        /// has.
         pub targets: Option<Vec<Target>>,
-        /// Whether [`Self::targets`] are all of those zones, whatever the asker has.
+        /// Whether [`Self::targets`] is the full list for those zones rather than a delta.
         pub whole: bool,
-        /// Targets that are gone since [`Sync::news`], by id.
+        /// Targets removed since [`Sync::news`], by id.
         pub gone: Vec<String>,
-        /// Requests under way at each target over all other instances; none in the answer to
-        /// a brief question.
+        /// Requests under way at each target, summed over all other entry instances;
+        /// empty in the answer to a [`Sync::brief`] request.
         pub running: Vec<(String, u32)>,
-        /// Prompt tokens at each target that it hasn't read yet, over all other
+        /// Prompt tokens not yet processed at each target, summed over all other entry
         /// instances.
         pub unread: Vec<(String, u64)>,
-        /// Of the adapters asked for, those not on their way yet, and the time
-        /// until they can be used.
+        /// Requested adapters that are not being loaded yet, with the expected time until
+        /// they can be used.
         pub waits: Vec<(String, Duration)>,
-        /// Entry instances that the answering one hears.
+        /// Number of entry instances that this control instance hears from.
         pub entries: u32,
-        /// Control instances by the log.
+        /// Control instances that are members of the replicated log.
         pub controls: Vec<InstanceName>,
     }
 
-    /// A configuration under the number that its operator gave it.
+    /// A configuration and the number that its operator gave it.
     #[derive(Default)]
     pub struct Edition {
-        /// Its number; the highest one is in force.
+        /// Its number; the edition with the highest one is in force.
         pub number: u64,
         /// Its text as the operator sent it.
         pub body: String,
     }
 
-    /// One target as the leader knows it.
+    /// One target as its zone owner knows it.
     pub struct Target {
-        /// Its id, new at each start but for one that starts again in place.
+        /// Its id: a new one at each start, unless the target restarts in place.
         pub id: String,
         /// The service that it belongs to.
         pub service: String,
-        /// IP and port.
+        /// IP and port of its HTTP listener.
         pub addr: String,
         /// Its availability zone.
         pub zone: String,
-        /// Requests it works on at once.
+        /// Number of requests that it processes at the same time.
         pub slots: u32,
         /// Whether it takes new requests.
         pub ready: bool,
-        /// How long it takes for what others do in a hundred units of time; zero where
-        /// nobody knows.
+        /// Time that it takes for the same work as other targets, in percent of theirs;
+        /// 0 if not known.
         pub slowness: u32,
-        /// Versions of the weights of its base models, as far as it has said.
+        /// Versions of the weights of its base models, as far as it has reported them.
         pub weights: Vec<Weights>,
-        /// What it holds, or will hold soon.
+        /// Adapters and base models that it has loaded or is loading.
         pub residents: Vec<Resident>,
     }
 
-    /// The weights of a base model at a target. A load takes the newest there are, so
-    /// targets that started at different times may hold different ones.
+    /// The weights of a base model at a target. A target loads the newest version at its
+    /// start, so targets that started at different times may have different versions.
     #[derive(PartialOrd, Ord)]
     pub struct Weights {
         /// The base model.
@@ -162,13 +166,13 @@
         pub version: u32,
     }
 
-    /// An adapter at a target.
+    /// An adapter or base model at a target.
     pub struct Resident {
-        /// Its name; that of the base model for the model itself.
+        /// Name of the adapter, or of the base model.
         pub adapter: String,
-        /// Its version; 0 where it isn't known.
+        /// Its version; 0 if not known.
         pub version: u32,
-        /// Time until it can be used; zero when it can.
+        /// Time until it can be used; zero if it can be used now.
         pub ready_in: Duration,
     }
 }
--- a/crates/wire/src/operator.rs
+++ b/crates/wire/src/operator.rs
@@ -1,8 +1,11 @@
-//! What operators send to a control instance and get back, as JSON over HTTP.
+//! Requests of operators to control instances and their answers, as JSON over HTTP.
 //!
-//! `POST /v1/apply` takes [`Apply`] and answers [`Applied`]; `GET /v1/status`,
-//! `GET /v1/history`, `GET /v1/text` and `POST /v1/drain` go with it. Any
-//! control instance takes them and passes them on to the leader.
+//! `POST /v1/apply` takes [`Apply`] and answers [`Applied`]. The other paths are
+//! `GET /v1/status`, `GET /v1/history`, `GET /v1/text` and `POST /v1/drain`. Operators
+//! may send them to any control instance, which forwards them to the leader.
+//!
+//! "The text" is the operators' configuration text, which is replaced as a unit and
+//! numbered by versions.
 
 use base::{
     AdapterName, BrandName, ChangeId, Class, InstanceName, PoolName, ServiceName, TargetName,
@@ -12,32 +15,32 @@
 record! {
     /// A change of the text.
     pub struct Apply {
-        /// Recognises a resend.
+        /// Id by which a retry of the same change is recognised.
         pub change: ChangeId,
         /// The version that the operator edited.
         pub base: TextVersion,
-        /// Who changes it.
+        /// The operator who makes the change.
         pub by: String,
-        /// The whole new text.
+        /// The full new text.
         pub text: String,
     }
 
     /// The outcome of a change.
     #[serde(tag = "outcome", rename_all = "kebab-case")]
     pub enum Applied {
-        /// Synced on a majority, and for good.
+        /// Synced to disk at a majority of the voters, so it can't be lost any more.
         Accepted {
-            /// The version that the text became.
+            /// The version of the new text.
             version: TextVersion,
         },
         /// Certainly not accepted.
         Refused {
-            /// Why.
+            /// The reason.
             why: Why,
         },
-        /// May or may not have been accepted: resend with the same change id.
+        /// Unknown outcome: retry with the same change id.
         Unknown {
-            /// When to resend, in milliseconds.
+            /// When to retry, in milliseconds from now.
             retry_ms: u64,
         },
     }
@@ -45,25 +48,25 @@
     /// Why a change was refused.
     #[serde(tag = "why", rename_all = "kebab-case")]
     pub enum Why {
-        /// Another change took the base version first.
+        /// Another change of the same base version was accepted first.
         Conflict {
             /// The version now in force.
             version: TextVersion,
-            /// The change that won.
+            /// The change that was accepted.
             winner: ChangeId,
-            /// Who made it.
+            /// The operator who made it.
             by: String,
         },
         /// The change id was used with another text.
         ChangeReused,
-        /// The text is wrong; every error.
+        /// The text is invalid.
         BadText {
-            /// One message an error.
+            /// All errors found, one message for each.
             errors: Vec<String>,
         },
-        /// No majority of the instances with disks can be reached.
+        /// No majority of the control instances (those with disks) can be reached.
         NoQuorum {
-            /// When to come back, in milliseconds.
+            /// When to retry, in milliseconds from now.
             retry_ms: u64,
         },
         /// The leader's disk is full or failing.
@@ -72,11 +75,11 @@
 
     /// One accepted change.
     pub struct Entry {
-        /// The version that it made.
+        /// The version of the text that it led to.
         pub version: TextVersion,
         /// Its id.
         pub change: ChangeId,
-        /// Who made it.
+        /// The operator who made it.
         pub by: String,
         /// Lines added.
         pub added: u32,
@@ -88,43 +91,43 @@
     pub struct Current {
         /// Its version.
         pub version: TextVersion,
-        /// The whole text.
+        /// The full text.
         pub text: String,
     }
 
-    /// The state of the whole system. `GET /v1/status`.
+    /// The state of the whole deployment. `GET /v1/status`.
     pub struct Status {
-        /// The instance that answers.
+        /// The control instance that answers.
         pub instance: InstanceName,
-        /// The leader as far as it knows.
+        /// The leader, if the answering instance knows one.
         pub leader: Option<InstanceName>,
-        /// The version accepted last, as far as it knows.
+        /// The newest accepted version that the answering instance knows.
         pub version: TextVersion,
-        /// Instances heard of.
+        /// Entry instances that sent heartbeats.
         pub instances: Vec<InstanceStatus>,
         /// Engines and their owners.
         pub engines: Vec<EngineStatus>,
-        /// What each brand got at all engines; the leader knows it.
+        /// Usage of all engines by brand; only the leader knows it.
         #[serde(default)]
         pub brands: Vec<BrandStatus>,
     }
 
-    /// What one brand got at the engines of all instances that are heard, since
-    /// each of them started.
+    /// Usage of the engines by one brand, summed over all entry instances that send
+    /// heartbeats, since the start of each of them.
     pub struct BrandStatus {
-        /// Whose.
+        /// The brand.
         pub brand: BrandName,
-        /// Tokens of answers.
+        /// Tokens generated in answers.
         pub tokens: u64,
-        /// Its part of all tokens, in thousandths.
+        /// Its share of all tokens, in thousandths.
         pub part: u32,
         /// Requests queued now.
         pub queued: u32,
         /// Requests running now.
         pub running: u32,
-        /// Requests refused for load.
+        /// Requests refused because of overload.
         pub refused: u64,
-        /// What a request waited before it was sent, on average, in
+        /// Average time that a request waited before it was sent to an engine, in
         /// milliseconds.
         pub wait_ms: u64,
     }
@@ -135,7 +138,7 @@
         pub name: InstanceName,
         /// Its zone.
         pub zone: String,
-        /// The version of the text in force there.
+        /// The version of the text in force at the instance.
         pub version: TextVersion,
         /// Milliseconds since its last heartbeat.
         pub silent_ms: u64,
@@ -149,39 +152,38 @@
         pub target: TargetName,
         /// Its owner.
         pub owner: Option<InstanceName>,
-        /// The fencing number of the owner.
+        /// The owner's fencing number.
         pub fence: u64,
     }
 
-    /// Asks an instance to stop in order. `POST /v1/drain`.
+    /// Asks an instance to finish running requests and stop. `POST /v1/drain`.
     pub struct Drain {
-        /// Which one.
+        /// The instance to stop.
         pub instance: InstanceName,
     }
 
-    /// Asks an entry instance why requests go where they do. `GET
-    /// /v1/explain` on its peer listener, with `brand` and either `service`
-    /// or `adapter` in the query.
+    /// Asks an entry instance to explain how it routes requests. `GET /v1/explain` on
+    /// its peer listener, with `brand` and either `service` or `adapter` in the query.
     pub struct Explain {
-        /// Whose service.
+        /// The brand whose service it is.
         pub brand: BrandName,
-        /// Which one.
+        /// The service.
         pub what: Asked,
     }
 
-    /// What is asked about.
+    /// The service that an [`Explain`] asks about.
     pub enum Asked {
-        /// A service.
+        /// The service of this name.
         Service(ServiceName),
-        /// The first service by name that runs on this adapter.
+        /// The first service, in the order of names, that uses this adapter.
         Adapter(AdapterName),
     }
 
-    /// Why a service's requests go where they do, as one instance sees it.
+    /// How one entry instance routes a service's requests, and why.
     pub struct Explained {
-        /// The instance.
+        /// The entry instance.
         pub instance: InstanceName,
-        /// The version of the text that it decides by.
+        /// The version of the text that its decisions follow.
         pub text: TextVersion,
         /// The service.
         pub service: ServiceName,
@@ -189,17 +191,17 @@
         pub class: Class,
         /// Its pool.
         pub pool: PoolName,
-        /// The `adapter@version` that a request without a version gets.
+        /// The `adapter@version` that a request without a version is served with.
         pub resident: Option<String>,
-        /// The version that the text serves; another one is given to requests
-        /// while it is loaded for the first time.
+        /// The adapter version that the text asks for. Requests are served with another
+        /// version while this one is loaded for the first time.
         pub serves: Option<Version>,
-        /// Where the next request would go.
+        /// The target that the next request would be sent to.
         pub next: Option<TargetName>,
-        /// Why there.
+        /// Why that target is chosen.
         pub why: Reason,
-        /// All targets of the pool; engines by their rank as the adapter's
-        /// home.
+        /// All targets of the pool; engines in the order of the adapter's rendezvous
+        /// hash, so its homes (the engines where it is preferably loaded) come first.
         pub targets: Vec<Candidate>,
     }
 
@@ -207,10 +209,10 @@
     #[derive(Copy)]
     #[serde(rename_all = "kebab-case")]
     pub enum Reason {
-        /// It holds the adapter and has room.
+        /// It has the adapter loaded and has free capacity.
         Holds,
-        /// No holder has room, or there is none: it is a home of the adapter
-        /// and would load it.
+        /// No target that has the adapter loaded has free capacity; this one is a home of
+        /// the adapter and would load it.
         Home,
         /// It is the least loaded target of a plain service.
         LeastLoaded,
@@ -226,9 +228,9 @@
         pub zone: ZoneName,
         /// The instance that owns it, for an engine.
         pub owner: Option<InstanceName>,
-        /// Whether it holds the adapter.
+        /// Whether it has the adapter loaded.
         pub holds: bool,
-        /// Part of its places in use for this class, in hundredths.
+        /// Share of its request slots for this class that are in use, in percent.
         pub load: u32,
         /// Whether it may be chosen.
         pub standing: Standing,
@@ -238,19 +240,19 @@
     #[derive(Copy)]
     #[serde(rename_all = "kebab-case")]
     pub enum Standing {
-        /// It may.
+        /// It may be chosen.
         Usable,
-        /// It failed too often, and is left out for a while.
+        /// It failed too often and is excluded for some time.
         LeftOut,
-        /// The platform says that it is to stop.
+        /// The platform's list says that it is about to stop.
         Leaving,
-        /// It can't be reached from here.
+        /// It can't be reached from this instance.
         Unreachable,
     }
 }
 
 impl BrandStatus {
-    /// Makes the status of a brand that got nothing.
+    /// Creates the status of a brand that has used nothing yet.
     #[must_use]
     pub fn none(brand: &BrandName) -> Self {
         BrandStatus {
