--- a/crates/wire/src/engine.rs
+++ b/crates/wire/src/engine.rs
@@ -1,8 +1,8 @@
-//! What engines take and report beside the OpenAI-style interface.
+//! Management messages of inference engines, next to their OpenAI-style API.
 //!
-//! Orders follow vLLM's published paths `/v1/load_lora_adapter` and
-//! `/v1/unload_lora_adapter`; the fencing number travels in a header. The name
-//! of an adapter at an engine is `adapter@version`, see [`Resident`].
+//! Load and unload orders use vLLM's published paths `/v1/load_lora_adapter` and
+//! `/v1/unload_lora_adapter`; the fencing number is sent in a header. An engine
+//! knows an adapter under the name `adapter@version`, see [`Resident`].
 
 use std::{fmt, str::FromStr};
 
@@ -13,7 +13,7 @@
     pub struct Load {
         /// `adapter@version`.
         pub lora_name: String,
-        /// Where the weights lie in the store.
+        /// Path of the weights in the adapter store.
         pub lora_path: String,
     }
 
@@ -23,23 +23,23 @@
         pub lora_name: String,
     }
 
-    /// An engine's own account of itself. `GET /v1/report`.
+    /// The state that an engine reports about itself. `GET /v1/report`.
     pub struct Report {
-        /// Tells two lives of the engine apart.
+        /// The engine's incarnation, which changes with each restart.
         pub incarnation: Incarnation,
-        /// Counts reports; a hole means that one was lost.
+        /// Number of the report; a gap means that a report was lost.
         pub serial: u64,
-        /// How old the figures are, in milliseconds.
+        /// Age of the figures in this report, in milliseconds.
         pub age_ms: u64,
         /// Adapters that are loaded.
         pub resident: Vec<Held>,
-        /// Requests in the batch.
+        /// Requests in the running batch.
         pub running: u32,
         /// Requests queued inside the engine.
         pub waiting: u32,
-        /// Highest fencing number accepted, where the engine checks.
+        /// Highest fencing number accepted; absent where the engine doesn't check them.
         pub fence: Option<Fence>,
-        /// Hashes of prompt heads that entered the prefix cache lately.
+        /// Hashes of prompt prefixes that entered the prefix cache recently.
         pub cached: Vec<u64>,
     }
 
@@ -47,21 +47,21 @@
     pub struct Held {
         /// `adapter@version`.
         pub lora_name: String,
-        /// Requests using it now.
+        /// Number of requests that use it now.
         pub in_use: u32,
     }
 
-    /// One version of one adapter by name; written `adapter@version`.
+    /// One version of an adapter; written `adapter@version`.
     #[derive(PartialOrd, Ord, Hash)]
     pub struct Resident {
-        /// Which adapter.
+        /// The adapter.
         pub adapter: AdapterName,
-        /// Which version.
+        /// Its version.
         pub version: Version,
     }
 }
 
-/// Says that an engine holds something that is no `adapter@version`.
+/// A name reported by an engine is not of the form `adapter@version`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BadResident(pub String);
 
@@ -92,8 +92,8 @@
 }
 
 impl Report {
-    /// Makes the first report of an idle engine that holds `resident`, each
-    /// written `adapter@version`.
+    /// Creates the first report of an idle engine that has loaded the adapters
+    /// `resident`, each written `adapter@version`.
     #[must_use]
     pub fn idle(incarnation: Incarnation, resident: impl IntoIterator<Item = String>) -> Self {
         let held = resident.into_iter().map(|lora_name| Held {
--- a/crates/wire/src/fleet/part.rs
+++ b/crates/wire/src/fleet/part.rs
@@ -1,4 +1,4 @@
-//! Parts of an edition, packed for thin links.
+//! Compressed parts of an edition, sized for links of low bandwidth.
 
 use std::io::{self, Read, Write};
 
@@ -8,9 +8,10 @@
 
 use super::Edition;
 
-/// Text in one part, in bytes. Packed it has 8 to 12 KB, which a link of 10 Mbit/s
-/// carries in 10 ms, and at most 64 KB, for which it needs 52 ms: whatever else
-/// waits for the link, like an exchange, is delayed by no more.
+/// Uncompressed text in one part, in bytes. It usually compresses to 8 to 12 KB, which
+/// a link of 10 Mbit/s carries in 10 ms. Incompressible text has 64 KB, which takes
+/// 52 ms: a part delays other messages on the link, such as a [`Sync`](super::Sync), by
+/// no more than that.
 pub const PART_SIZE: usize = 64 << 10;
 
 record! {
@@ -18,20 +19,20 @@
     pub struct Part {
         /// Number of the edition.
         pub number: u64,
-        /// Length of the whole text, in bytes.
+        /// Length of the edition's full text, in bytes.
         pub size: u64,
-        /// Hash of the whole text; see [`crate::patch::digest`].
+        /// Hash of the edition's full text; see [`crate::patch::digest`].
         pub digest: u64,
-        /// Where the part begins in the text, in bytes.
+        /// Offset of the part in the text, in bytes; a multiple of [`PART_SIZE`].
         pub from: u64,
-        /// Its piece of the text, packed.
+        /// The part's text, compressed with DEFLATE.
         pub packed: Bytes,
     }
 }
 
 impl Part {
-    /// Cuts the part that begins at `from` off an edition whose text has the hash
-    /// `digest`; nothing where no part begins.
+    /// Returns the part of an edition that begins at `from`, or `None` if no part begins
+    /// there. `digest` is the hash of the edition's full text.
     #[must_use]
     pub fn of(edition: &Edition, digest: u64, from: u64) -> Option<Self> {
         let text = edition.body.as_bytes();
@@ -52,11 +53,11 @@
         })
     }
 
-    /// Returns its piece of the text.
+    /// Returns the part's text, decompressed.
     ///
     /// # Errors
     ///
-    /// Fails when it can't be unpacked, or is longer than any part.
+    /// Fails when decompression fails or gives more than [`PART_SIZE`] bytes.
     pub fn unpack(&self) -> io::Result<Vec<u8>> {
         let mut piece = Vec::new();
         let most = PART_SIZE as u64 + 1;
--- a/crates/wire/src/header.rs
+++ b/crates/wire/src/header.rs
@@ -1,35 +1,36 @@
-//! Names of the HTTP headers that the system reads and writes.
+//! Names of the HTTP headers that the serving layer reads and writes.
 
-/// Marks a request as not to be repeated, and names it.
+/// Marks a request as at-most-once and carries its idempotency key.
 pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
 /// W3C trace context.
 pub const TRACEPARENT: &str = "traceparent";
-/// The class a caller asks for: `critical`, `live` or `batch`.
+/// Request class that a caller asks for: `critical`, `live` or `batch`.
 pub const CLASS: &str = "x-quetzal-class";
 /// Milliseconds until the caller no longer needs the answer.
 pub const DEADLINE: &str = "x-quetzal-deadline-ms";
 /// On a failure: `not-run`, `may-have-run` or `ran`.
 pub const VERDICT: &str = "x-quetzal-verdict";
-/// On a failure: the reason's short name.
+/// On a failure: its reason, as [`base::Refusal::as_str`] writes it.
 pub const REASON: &str = "x-quetzal-reason";
-/// The adapter that a request is for, and on an answer the one it ran on.
+/// On a request: the adapter to use; on an answer: the adapter that was used.
 pub const ADAPTER: &str = "x-quetzal-adapter";
 /// The adapter's version.
 pub const VERSION: &str = "x-quetzal-version";
-/// Between instances: the target chosen.
+/// Between instances: the target that was chosen.
 pub const TARGET: &str = "x-quetzal-target";
-/// Between instances: the brand asking.
+/// Between instances: the brand that the request belongs to.
 pub const BRAND: &str = "x-quetzal-brand";
-/// Between instances: hash of the prompt's head, for prefix caches.
+/// Between instances: hash of the prompt's prefix, for prefix caches.
 pub const PREFIX: &str = "x-quetzal-prefix";
-/// Between instances: the version of the text the sender decided under.
+/// Between instances: the version of the configuration text that the sender used for
+/// routing.
 pub const TEXT: &str = "x-quetzal-text";
 /// On an order to an engine: the fencing number.
 pub const FENCE: &str = "x-quetzal-fence";
-/// Between instances and to engines: how urgent, smaller is sooner.
+/// Between instances and to engines: priority; smaller values go first.
 pub const PRIORITY: &str = "x-quetzal-priority";
-/// On an engine's refusal: `false` says that the request was not started.
+/// On an engine's refusal: `false` if the engine did not start the request.
 pub const STARTED: &str = "x-engine-started";
-/// To an engine: the tokens of a broken stream that the caller already has;
-/// on its answer: after which token it begins.
+/// To an engine: number of tokens of an interrupted stream that the caller already has;
+/// on its answer: number of tokens after which the answer begins.
 pub const RESUME_FROM: &str = "x-engine-resume-from";
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,11 +1,15 @@
-//! What travels between processes, apart from how it travels.
+//! Messages between processes, independent of the transport.
 //!
-//! [`call`] holds the calls between our own processes (rmp-serde),
-//! [`operator`] what operators send and get (JSON), [`platform`] the
-//! platform's list (JSON), [`patch`] the difference of two texts, [`fleet`] what entry instances and the leader tell each other of targets,
-//! [`engine`] what engines take and report (JSON), and
-//! [`header`] the names of HTTP headers. These types only carry: each is
-//! turned into a core crate's own type, with `TryFrom` where it can be wrong.
+//! - [`call`]: calls between the instances of the serving layer (MessagePack)
+//! - [`fleet`]: exchange about targets between entry and control instances (MessagePack)
+//! - [`operator`]: requests of operators and their answers (JSON)
+//! - [`platform`]: the platform's list of instances and targets (JSON)
+//! - [`engine`]: orders to engines and their reports (JSON)
+//! - [`patch`]: patches between versions of the configuration text
+//! - [`header`]: names of HTTP headers
+//!
+//! These are plain data types without logic. The other crates convert them into types
+//! of their own, with `TryFrom` where a value can be invalid.
 
 pub mod call;
 pub mod engine;
--- a/crates/wire/src/patch.rs
+++ b/crates/wire/src/patch.rs
@@ -1,45 +1,46 @@
-//! The difference of two texts, by lines.
+//! Line-based patches between two versions of the operators' configuration text.
 //!
-//! A text of 48,000 adapters has some megabytes, a change of it a few lines.
-//! The log carries the difference; each replica has the base already.
+//! A text of 48,000 adapters has several megabytes, but a change touches a few
+//! lines. The replicated log carries the patch only, as each replica already has
+//! the version that it applies to.
 
 use std::collections::BTreeMap;
 
 use base::{record, stable_hash};
 use thiserror::Error;
 
-/// Says why a patch doesn't fit a text.
+/// A patch reached beyond the end of the text that it was applied to.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 #[error("the patch was made for another text")]
 pub struct BadPatch;
 
 record! {
-    /// Turns one text into another.
+    /// A list of line replacements that turns one text into another.
     #[derive(Default)]
     pub struct Patch {
-        /// Replaced ranges of lines, in order.
+        /// Replaced ranges of lines, in the order of the old text.
         hunks: Vec<Hunk>,
     }
 
-    /// One replaced range.
+    /// One replaced range of lines.
     struct Hunk {
-        /// Lines kept since the last hunk.
+        /// Number of unchanged lines since the previous hunk.
         keep: u32,
-        /// Lines left out.
+        /// Number of old lines that are removed.
         drop: u32,
-        /// Lines put in their place, each with its line break.
+        /// Lines inserted in their place, each with its line break.
         put: Vec<String>,
     }
 }
 
-/// Returns the hash by which a text that was patched is compared with the one
-/// that was meant.
+/// Returns the hash of a text, by which a receiver checks that applying a patch
+/// gave the text that its sender has.
 #[must_use]
 pub fn digest(text: &str) -> u64 {
     stable_hash(&[text.as_bytes()])
 }
 
-/// A range of equal length in both texts: start in the old, start in the new.
+/// A pair of equal lines, or a position: line index in the old text and in the new.
 type Match = (usize, usize);
 
 impl Patch {
@@ -90,13 +91,13 @@
         Ok(new)
     }
 
-    /// Returns how many lines it puts in.
+    /// Returns the number of lines that the patch inserts.
     #[must_use]
     pub fn added(&self) -> u32 {
         self.hunks.iter().map(|hunk| count(hunk.put.len())).sum()
     }
 
-    /// Returns how many lines it leaves out.
+    /// Returns the number of lines that the patch removes.
     #[must_use]
     pub fn removed(&self) -> u32 {
         self.hunks.iter().map(|hunk| hunk.drop).sum()
@@ -111,8 +112,9 @@
     u32::try_from(n).unwrap_or(u32::MAX)
 }
 
-/// Appends pairs of equal lines, in order: the common head, the lines that
-/// occur once in both texts with what lies between them, the common tail.
+/// Appends the pairs of equal lines to `out`, in order: the common prefix, the lines
+/// that occur exactly once in both texts (with a recursive alignment of what lies
+/// between them), and the common suffix. This is the patience diff algorithm.
 fn align(old: &[&str], new: &[&str], at: Match, out: &mut Vec<Match>) {
     let head = common(old.iter(), new.iter());
     out.extend((0..head).map(|k| (at.0 + k, at.1 + k)));
@@ -139,8 +141,8 @@
     a.zip(b).take_while(|(a, b)| a == b).count()
 }
 
-/// Returns the places of lines that occur once in each text, by the first's
-/// order.
+/// Returns the indices of the lines that occur exactly once in each text, ordered by
+/// their index in `old`.
 fn unique_pairs(old: &[&str], new: &[&str]) -> Vec<Match> {
     let (old, new) = (places(old), places(new));
     let pairs = old.iter().filter_map(|(line, a)| {
@@ -152,7 +154,7 @@
     pairs
 }
 
-/// Returns the place of each line, or nothing where it occurs again.
+/// Returns the index of each line, or `None` for lines that occur more than once.
 fn places<'a>(text: &[&'a str]) -> BTreeMap<&'a str, Option<usize>> {
     let mut places = BTreeMap::new();
     for (i, line) in text.iter().enumerate() {
@@ -164,7 +166,7 @@
     places
 }
 
-/// Returns the longest part of `pairs` that rises in both places.
+/// Returns the longest subsequence of `pairs` that increases in both indices.
 fn longest(pairs: &[Match]) -> Vec<Match> {
     let mut ends: Vec<usize> = Vec::new();
     let mut before = vec![None; pairs.len()];
--- a/crates/wire/src/platform.rs
+++ b/crates/wire/src/platform.rs
@@ -1,54 +1,55 @@
-//! The platform's list of instances and targets, as it publishes it.
+//! The list of instances and targets that the platform publishes.
 //!
-//! The list lags: it may still name what is gone, and not yet what has come.
+//! The list lags behind: it may still contain entries that have stopped, and lack
+//! entries that have just started.
 
 use base::{InstanceName, PoolName, TargetName, ZoneName, record};
 
 record! {
     /// The whole list. `GET /v1/list`.
     pub struct List {
-        /// Counts up with each change of the list.
+        /// Incremented with each change of the list.
         pub serial: u64,
         /// Entry instances.
         pub instances: Vec<Instance>,
-        /// Engines and plain services' replicas.
+        /// Engines and replicas of plain services (those that serve no adapters).
         pub targets: Vec<Target>,
     }
 
-    /// An instance of the system.
+    /// An entry instance.
     pub struct Instance {
         /// Its name.
         pub name: InstanceName,
-        /// The availability zone it stands in.
+        /// Its availability zone.
         pub zone: ZoneName,
         /// IP and port of its peer listener.
         pub peer: String,
-        /// Whether it is to stop soon.
+        /// Whether it is about to stop.
         pub state: State,
     }
 
-    /// A back end.
+    /// A back end: an engine or a replica of a plain service.
     pub struct Target {
         /// Its name.
         pub name: TargetName,
-        /// The pool it belongs to, as the operators' text names it.
+        /// The pool it belongs to, by its name in the configuration text.
         pub pool: PoolName,
-        /// The availability zone it stands in.
+        /// Its availability zone.
         pub zone: ZoneName,
         /// IP and port of its HTTP listener.
         pub address: String,
-        /// Whether it is to stop soon.
+        /// Whether it is about to stop.
         pub state: State,
     }
 }
 
 base::value! {
-    /// What the platform says of one entry.
+    /// Lifecycle state of a listed instance or target.
     #[serde(rename_all = "lowercase")]
     pub enum State {
-        /// Up and staying.
+        /// In service.
         Live,
-        /// To stop soon: no new work.
+        /// About to stop; takes no new work.
         Leaving,
     }
 }
--- a/crates/wire/tests/part.rs
+++ b/crates/wire/tests/part.rs
@@ -1,4 +1,4 @@
-//! Parts of editions.
+//! Tests of how editions are split into compressed parts.
 
 use std::io::Write;
 
@@ -31,7 +31,7 @@
 }
 
 base::cases! {
-    /// The parts of a text make the text.
+    /// The decompressed parts of a text, joined, are the text.
     parts_make_the_text: check => {
         empty: 0,
         small: 10,
@@ -41,7 +41,7 @@
     }
 }
 
-/// Routes repeat most of their words; packed they need a small part of a thin link.
+/// Lists of routes are repetitive, so a part compresses to less than an eighth.
 #[gtest]
 fn routes_are_packed() {
     let part = Part::of(&edition(PART_SIZE), DIGEST, 0).unwrap();
@@ -60,7 +60,8 @@
     assert_that!(part.unpack(), err(anything()));
 }
 
-/// A damaged part may unpack to far more than it should; that is stopped in time.
+/// A damaged part may decompress to far more than [`PART_SIZE`]; decompression stops at
+/// that limit.
 #[gtest]
 fn a_part_that_is_longer_than_any_is_refused() {
     let mut part = Part::of(&edition(PART_SIZE), DIGEST, 0).unwrap();
