--- a/crates/web/src/body.rs
+++ b/crates/web/src/body.rs
@@ -1,5 +1,8 @@
-//! Bodies: fixed ones, streamed ones that can't end by accident, and the
-//! bounded reading of a caller's body.
+//! Bodies of answers, of known length or streamed, and reading of request bodies within
+//! limits.
+//!
+//! A streamed body ends properly only if its writer says so; otherwise the connection is
+//! cut.
 
 use std::time::Duration;
 
@@ -14,18 +17,18 @@
     time::{Instant, timeout},
 };
 
-/// The body of an answer; an error in it cuts the connection, so that the
-/// caller never takes a part for the whole.
+/// The body of an answer. An error in it cuts the connection, so that the caller never
+/// takes a truncated answer for a complete one.
 pub type Body = UnsyncBoxBody<Bytes, anyhow::Error>;
 
-/// Makes a body of known length.
+/// Creates a body of known length.
 pub fn full(bytes: impl Into<Bytes>) -> Body {
     Full::new(bytes.into())
         .map_err(|never| match never {})
         .boxed_unsync()
 }
 
-/// One step of a streamed body.
+/// A message from a [`Writer`] to its body.
 enum Step {
     Piece(Bytes),
     End,
@@ -33,16 +36,16 @@
 
 /// Writes a streamed body.
 ///
-/// Dropping it before [`Writer::end`] cuts the body off visibly: a handler
-/// that panics or is cancelled never makes half an answer look whole.
+/// Dropping it before [`Writer::end`] makes the body fail, so that a handler that panics
+/// or is cancelled never makes a truncated answer look complete.
 #[derive(Debug)]
 pub struct Writer(mpsc::Sender<Step>);
 
-/// Says that the reader of a streamed body has left.
+/// The reader of a streamed body has gone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Gone;
 
-/// Makes a streamed body; `depth` pieces wait in it before the writer waits.
+/// Creates a streamed body that buffers up to `depth` pieces.
 ///
 /// # Panics
 ///
@@ -53,12 +56,13 @@
     (Writer(tx), body_of(rx, None))
 }
 
-/// Makes a streamed body that writes `sign` whenever its writer was silent for
-/// `every`; whole pieces must be written, so that the sign falls between them.
+/// Creates a streamed body that sends `sign` as a keep-alive whenever its writer has
+/// written nothing for `every`. Each written piece must be complete in itself (such as a
+/// whole event), since a keep-alive may follow it.
 ///
-/// Failure: a stream waits for an engine, and its reader can't tell that from
-/// a connection that went silent for good. With signs of life it can give up
-/// long before an engine's silence would mean anything.
+/// Without keep-alives a reader can't tell a stream that waits for an engine from a dead
+/// connection. With them its idle timeout can be much shorter than the time that an
+/// engine may take.
 ///
 /// # Panics
 ///
@@ -85,18 +89,23 @@
         match step {
             Some(Step::Piece(bytes)) => Some((Ok(Frame::data(bytes)), Some((rx, life)))),
             Some(Step::End) => None,
-            None => Some((Err(anyhow!("the writer left before the end")), None)),
+            None => Some((
+                Err(anyhow!(
+                    "the body's writer was dropped before the end of the body"
+                )),
+                None,
+            )),
         }
     });
     StreamBody::new(steps.boxed()).boxed_unsync()
 }
 
 impl Writer {
-    /// Writes one piece; waits while the reader is slow.
+    /// Writes one piece; waits while the buffer is full.
     ///
     /// # Errors
     ///
-    /// Fails when the reader has left.
+    /// Fails when the reader has gone.
     pub async fn piece(&self, bytes: Bytes) -> Result<(), Gone> {
         self.0.send(Step::Piece(bytes)).await.map_err(|_| Gone)
     }
@@ -105,46 +114,47 @@
     ///
     /// # Errors
     ///
-    /// Fails when the reader has left.
+    /// Fails when the reader has gone.
     pub async fn end(self) -> Result<(), Gone> {
         self.0.send(Step::End).await.map_err(|_| Gone)
     }
 
-    /// Waits until the reader has left.
+    /// Waits until the reader has gone.
     pub async fn gone(&self) {
         self.0.closed().await;
     }
 }
 
-/// Bounds the reading of one caller's body.
+/// Limits for reading one request body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReadLimits {
-    /// Most bytes taken.
+    /// Maximum size, in bytes.
     pub bytes: usize,
-    /// Fewest bytes a second, counted once [`ReadLimits::grace`] is over.
+    /// Minimum average rate, in bytes a second, applied after [`ReadLimits::grace`].
     pub rate: usize,
-    /// Time before the rate counts; also the longest silence.
+    /// Time before the rate applies; also the longest pause between two pieces.
     pub grace: Duration,
 }
 
 impl Default for ReadLimits {
     fn default() -> Self {
         ReadLimits {
-            // A long prompt with its history is well below 1 MiB.
+            // Long prompts with their history stay well below 1 MiB.
             bytes: 1 << 20,
-            // The slowest mobile link still in use gives several KiB a second.
+            // The slowest mobile links in use transfer several KiB a second.
             rate: 1 << 10,
             grace: Duration::from_secs(5),
         }
     }
 }
 
-/// Reads the whole body of a request.
+/// Reads the complete body of a request.
 ///
 /// # Errors
 ///
-/// Fails with `too-large` beyond the limit, and with `bad-request` when the
-/// body is cut, malformed or sent too slowly. Nothing has run by then.
+/// Fails with [`Refusal::TooLarge`] if the body is larger than the limit, and with
+/// [`Refusal::BadRequest`] if it is truncated, malformed or sent too slowly. The verdict
+/// is "not run" in all cases.
 pub async fn read(mut body: hyper::body::Incoming, limits: ReadLimits) -> Result<Bytes, Failure> {
     let start = Instant::now();
     let mut whole = BytesMut::new();
@@ -171,8 +181,10 @@
     Ok(whole.freeze())
 }
 
-/// A sender that trickles a byte now and then would hold memory and a place
-/// for hours without ever being silent; the mean rate gives it away.
+/// Returns whether the average rate of a body is below the limit.
+///
+/// A sender of single bytes would otherwise occupy memory and a connection for hours
+/// without ever exceeding the limit on pauses.
 fn too_slow(elapsed: Duration, got: usize, limits: ReadLimits) -> bool {
     let counted = elapsed.saturating_sub(limits.grace);
     (got as f64) < counted.as_secs_f64() * limits.rate as f64
--- a/crates/web/src/client.rs
+++ b/crates/web/src/client.rs
@@ -1,7 +1,7 @@
-//! Sends one request and knows, whatever fails, whether it may have run.
+//! HTTP client that knows for each failed request whether it may have run.
 //!
-//! Nothing here waits for the kernel to notice a dead peer: each wait has its
-//! own limit, and a connection that was left in doubt is closed, never reused.
+//! Each step has a timeout of its own instead of relying on the kernel to notice a dead
+//! peer. A connection in an unknown state is closed, never reused.
 
 mod answer;
 mod broken;
@@ -22,35 +22,36 @@
 };
 use self::{link::Link, pool::Pool};
 
-/// How long each part of an exchange may take.
+/// Timeouts for the steps of an exchange (a request and its answer).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Until the connection stands.
+    /// Time to establish the connection.
     pub connect: Duration,
-    /// From the connection to the head of the answer.
+    /// Time from the established connection to the head of the answer.
     pub first: Duration,
-    /// Between two pieces of the answer.
+    /// Time between two pieces of the answer's body.
     pub idle: Duration,
-    /// The whole exchange.
+    /// Time for the complete exchange.
     pub whole: Duration,
-    /// How long a connection may have lain idle and still be used again; zero
-    /// for a new connection each time.
+    /// Longest idle time after which a pooled connection is reused; zero for a new
+    /// connection each time.
     pub reuse: Duration,
-    /// How long a repeatable request waits for the head on a reused connection
-    /// before it is sent on a new one as well. Requests whose head is slow by
-    /// nature (whole completions) set [`Limits::reuse`] to zero instead.
+    /// Time that a repeatable request waits for the head on a reused connection before
+    /// it is also sent on a new one. Requests whose head always takes long
+    /// (completions that are not streamed) set [`Limits::reuse`] to zero instead.
     pub hedge: Duration,
 }
 
 impl Default for Limits {
     fn default() -> Self {
         Limits {
-            // A zone is a millisecond away: a second is a lost SYN and a half.
+            // The round trip between zones takes a millisecond, and a lost SYN is sent
+            // again after a second: time for one lost SYN and half a second more.
             connect: Duration::from_millis(1_500),
             first: Duration::from_secs(30),
             idle: Duration::from_secs(10),
             whole: Duration::from_secs(300),
-            // A middlebox forgets connections after minutes, not seconds.
+            // Middleboxes drop the state of idle connections after minutes, not seconds.
             reuse: Duration::from_secs(2),
             hedge: Duration::from_millis(300),
         }
@@ -58,7 +59,8 @@
 }
 
 impl Limits {
-    /// Lets the whole exchange, and so each part of it, take `limit`.
+    /// Returns limits that allow `limit` for the complete exchange and for each of its
+    /// steps.
     #[must_use]
     pub fn within(limit: Duration) -> Self {
         Limits {
@@ -74,37 +76,37 @@
 /// One request to send.
 #[derive(Clone, Debug)]
 pub struct Send {
-    /// Where to.
+    /// Address of the server.
     pub addr: SocketAddr,
     /// Its method.
     pub method: Method,
     /// Path and query.
     pub path: String,
-    /// Its headers; `host` is added where it is missing.
+    /// Its headers; `host` is added if it is missing.
     pub headers: HeaderMap,
     /// Its body.
     pub body: Bytes,
-    /// How long each part may take.
+    /// Timeouts.
     pub limits: Limits,
-    /// Whether it may be sent twice.
+    /// Whether it may be sent more than once.
     pub mark: Mark,
-    /// What shows that its answer is whole.
+    /// How the end of a complete answer is recognised.
     pub ending: Ending,
 }
 
-/// What shows that an answer is whole.
+/// How the end of a complete answer is recognised.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Ending {
-    /// Its length or last chunk, and for a stream of events `[DONE]`.
+    /// By `content-length` or the last chunk, and by `[DONE]` in event streams.
     #[default]
     Marked,
-    /// Whatever HTTP itself takes for the end: also a connection closed in
-    /// order, where the answer has neither length nor chunks.
+    /// By the rules of HTTP/1.1: also by an orderly close of the connection, if the
+    /// answer has neither a length nor chunks.
     Framed,
 }
 
 impl Send {
-    /// Makes a repeatable request without headers and body.
+    /// Creates a repeatable request without headers and body.
     pub fn new(addr: SocketAddr, method: Method, path: impl Into<String>) -> Self {
         Send {
             addr,
@@ -132,19 +134,19 @@
     }
 }
 
-/// Sends requests; cheap to clone, all clones share one pool.
+/// Sends requests. Clones are cheap and share one connection pool.
 #[derive(Clone, Debug, Default)]
 pub struct Client {
     pool: Arc<Pool>,
 }
 
 impl Client {
-    /// Sends a request and returns once the head of the answer is there.
+    /// Sends a request and returns once the head of the answer has arrived.
     ///
     /// # Errors
     ///
-    /// Fails when no head comes. The verdict is `not run` only when no byte
-    /// of the request was handed to any socket.
+    /// Fails when no head arrives. The verdict is "not run" only if no byte of the
+    /// request was written to any socket.
     pub async fn send(&self, send: Send) -> Result<Answer, Broken> {
         let end = Instant::now() + send.limits.whole;
         let Some(link) = self.reusable(&send).await else {
@@ -153,11 +155,11 @@
         self.reused(link, &send, end).await
     }
 
-    /// Takes an idle connection, where the request may travel on one.
+    /// Takes an idle connection from the pool, if the request may use one.
     ///
-    /// A kept connection may be dead without anybody knowing. A marked request
-    /// that vanishes on one could not be sent again, so it always gets a new
-    /// one.
+    /// An idle connection may be dead without either end having noticed. A marked
+    /// request that is lost on one could not be sent again, so marked requests always
+    /// get a new connection.
     async fn reusable(&self, send: &Send) -> Option<Link> {
         if send.mark == Mark::Once {
             base::hit!(marked_gets_new_connection);
@@ -172,13 +174,13 @@
         self.exchange(link, send, end).await
     }
 
-    /// Sends on a reused connection, and on a new one as soon as the first
-    /// fails or stays silent.
+    /// Sends the request on a reused connection, and also on a new one if the reused one
+    /// fails or gives no answer within [`Limits::hedge`].
     async fn reused(&self, link: Link, send: &Send, end: Instant) -> Result<Answer, Broken> {
         let mut old = pin!(self.exchange(link, send, end));
-        // Failure: something between the two ends forgot the idle connection.
-        // It shows as silence after the send. The limit is far below what a
-        // caller notices, and the request is repeatable.
+        // A middlebox may have dropped the state of the idle connection, in which case
+        // no answer ever arrives. The hedge delay is far below what a caller notices,
+        // and sending twice is allowed since the request is repeatable.
         let first = tokio::select! {
             res = &mut old => Some(res),
             () = sleep(send.limits.hedge) => None,
@@ -219,10 +221,10 @@
     }
 
     fn answer(&self, link: Link, resp: Response<Incoming>, send: &Send, end: Instant) -> Answer {
-        let home = (Arc::clone(&self.pool), send.addr);
-        let head = send.method == Method::HEAD;
-        let head = (head, send.ending);
-        Answer::new(resp, link, home, head, send.limits.idle, end)
+        let pool = (Arc::clone(&self.pool), send.addr);
+        let is_head = send.method == Method::HEAD;
+        let head = (is_head, send.ending);
+        Answer::new(resp, link, pool, head, send.limits.idle, end)
     }
 }
 
--- a/crates/web/src/client/answer.rs
+++ b/crates/web/src/client/answer.rs
@@ -1,4 +1,4 @@
-//! An answer whose body says by itself whether it is whole.
+//! The answer to a request; reading its body fails unless the body is complete.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -20,10 +20,10 @@
 };
 use crate::sse::Parser;
 
-/// The head of an answer and its body, piece by piece.
+/// The head of an answer, and its body as a sequence of pieces.
 ///
-/// Dropping it before its end closes the connection: the target sees that
-/// nobody waits, and no later request can meet the rest of this answer.
+/// Dropping it before its end closes the connection: the target notices that nobody
+/// waits any more, and no later request can read the rest of this answer.
 #[derive(Debug)]
 pub struct Answer {
     /// Its status.
@@ -31,29 +31,32 @@
     /// Its headers.
     pub headers: HeaderMap,
     body: Incoming,
+    /// Whether a length or chunks show where the body ends.
     framed: bool,
+    /// Parser that looks for `[DONE]` in an event stream.
     events: Option<Parser>,
     ending: Ending,
     link: Option<Link>,
-    home: (Arc<Pool>, SocketAddr),
+    /// Where the connection is returned to after a complete answer.
+    pool: (Arc<Pool>, SocketAddr),
     idle: Duration,
-    end: Instant,
-    over: bool,
+    deadline: Instant,
+    finished: bool,
 }
 
 impl Answer {
     pub(crate) fn new(
         resp: Response<Incoming>,
         link: Link,
-        home: (Arc<Pool>, SocketAddr),
+        pool: (Arc<Pool>, SocketAddr),
         (head, ending): (bool, Ending),
         idle: Duration,
-        end: Instant,
+        deadline: Instant,
     ) -> Self {
         let (parts, body) = resp.into_parts();
-        let bare = head || matches!(parts.status.as_u16(), 204 | 304);
-        let named = |h| parts.headers.contains_key(h);
-        let framed = bare || named(CONTENT_LENGTH) || named(TRANSFER_ENCODING);
+        let bodiless = head || matches!(parts.status.as_u16(), 204 | 304);
+        let has = |h| parts.headers.contains_key(h);
+        let framed = bodiless || has(CONTENT_LENGTH) || has(TRANSFER_ENCODING);
         let kind = parts.headers.get(CONTENT_TYPE);
         let sse = kind.is_some_and(|k| k.as_bytes().starts_with(b"text/event-stream"));
         Answer {
@@ -61,13 +64,13 @@
             headers: parts.headers,
             body,
             framed,
-            events: (sse && !bare && ending == Ending::Marked).then(Parser::default),
+            events: (sse && !bodiless && ending == Ending::Marked).then(Parser::default),
             ending,
             link: Some(link),
-            home,
+            pool,
             idle,
-            end,
-            over: false,
+            deadline,
+            finished: false,
         }
     }
 
@@ -77,8 +80,8 @@
         self.headers.get(name)?.to_str().ok()
     }
 
-    /// Returns whether the target itself refused before it started: an engine
-    /// says so by `x-engine-started: false`, an instance by its verdict.
+    /// Returns whether the target refused the request without starting it: an engine
+    /// reports this by `x-engine-started: false`, an instance by its verdict.
     #[must_use]
     pub fn refused(&self) -> bool {
         if self.status.is_success() {
@@ -88,17 +91,17 @@
             || self.header(wire::header::VERDICT) == Some(Verdict::NotRun.as_str())
     }
 
-    /// Returns the next piece, or `None` when the body ended properly: its
-    /// length was met or its last chunk came, and a stream of events had its
-    /// `[DONE]`.
+    /// Returns the next piece of the body, or `None` if the body is complete: its length
+    /// was reached or its last chunk arrived, and an event stream had its `[DONE]`. With
+    /// [`Ending::Framed`], an orderly close is enough.
     pub async fn next(&mut self) -> Option<Result<Bytes, Broken>> {
         loop {
-            if self.over {
+            if self.finished {
                 return None;
             }
-            let until = self.end.min(Instant::now() + self.idle);
+            let until = self.deadline.min(Instant::now() + self.idle);
             let frame = match timeout_at(until, self.body.frame()).await {
-                Err(_) if until == self.end => return Some(self.broken(Cause::Deadline)),
+                Err(_) if until == self.deadline => return Some(self.broken(Cause::Deadline)),
                 Err(_) => return Some(self.broken(Cause::Idle)),
                 Ok(None) => return self.finish(),
                 Ok(Some(Err(err))) => return Some(self.broken(Cause::Cut(err.to_string()))),
@@ -114,7 +117,7 @@
     ///
     /// # Errors
     ///
-    /// Fails when the body is not whole or larger than `max`.
+    /// Fails when the body is incomplete or larger than `max`.
     pub async fn whole(mut self, max: usize) -> Result<Bytes, Broken> {
         let mut whole = BytesMut::new();
         while let Some(piece) = self.next().await {
@@ -134,16 +137,17 @@
         let mut read = Vec::new();
         match events.push(&data, &mut read) {
             Ok(()) => Ok(data),
-            Err(_) => self.broken(Cause::Cut(String::from("the stream is malformed"))),
+            Err(_) => self.broken(Cause::Cut(String::from("malformed event stream"))),
         }
     }
 
-    /// Judges the end of the body's framing.
+    /// Checks at the end of the HTTP body whether the answer is complete.
     ///
-    /// Failure: the target or something before it closes amid an answer, and
-    /// the part that came looks complete. hyper reports a length or chunk cut
-    /// short; what it can't know is an answer with neither (its end is the
-    /// close itself) and a stream of events closed in order without `[DONE]`.
+    /// If the target or a proxy closes the connection in the middle of an answer, the part
+    /// received may look complete. hyper reports bodies shorter than their length or
+    /// without a last chunk. This detects the two other cases: an answer with neither
+    /// length nor chunks, which ends with the close itself, and an event stream that was
+    /// closed in order but without `[DONE]`.
     fn finish(&mut self) -> Option<Result<Bytes, Broken>> {
         let done = self.events.as_ref().is_none_or(Parser::is_done);
         if self.events.is_some() && !done {
@@ -154,18 +158,18 @@
             base::hit!(unframed_body);
             return Some(self.broken(Cause::Unframed));
         }
-        self.over = true;
+        self.finished = true;
         if let Some(link) = self.link.take()
             && self.framed
             && self.body.is_end_stream()
         {
-            self.home.0.keep(self.home.1, link);
+            self.pool.0.keep(self.pool.1, link);
         }
         None
     }
 
     fn broken(&mut self, cause: Cause) -> Result<Bytes, Broken> {
-        self.over = true;
+        self.finished = true;
         self.link = None;
         Err(Broken {
             verdict: Verdict::MayHaveRun,
--- a/crates/web/src/client/broken.rs
+++ b/crates/web/src/client/broken.rs
@@ -1,4 +1,4 @@
-//! What went wrong with an exchange, and whether the request may have run.
+//! Errors of exchanges, each with the verdict whether the request may have run.
 
 use std::fmt;
 
@@ -9,38 +9,39 @@
 pub struct Broken {
     /// Whether the request may have run.
     pub verdict: Verdict,
-    /// What went wrong.
+    /// The cause of the failure.
     pub cause: Cause,
 }
 
-/// What went wrong with an exchange.
+/// The cause of a failed exchange.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Cause {
-    /// The path or a header can't be written.
+    /// The path or the `host` header is invalid.
     BadRequest,
-    /// No connection, with the system's error.
+    /// The connection could not be established; contains the system's error.
     Connect(String),
-    /// No connection within the limit.
+    /// The connection was not established within the limit.
     ConnectTimeout,
-    /// No head within the limit.
+    /// The head of the answer did not arrive within the limit.
     FirstByte,
-    /// No next piece within the limit.
+    /// The next piece of the answer's body did not arrive within the limit.
     Idle,
-    /// The whole exchange took too long.
+    /// The complete exchange took too long.
     Deadline,
-    /// The connection broke, or what came on it is no HTTP.
+    /// The connection broke, or the received bytes were not valid HTTP.
     Cut(String),
-    /// The body has neither a length nor chunks, so its end can't be told
-    /// from a cut.
+    /// The body has neither a length nor chunks, so its end can't be distinguished from
+    /// a truncation.
     Unframed,
-    /// The stream ended without its last event.
+    /// The event stream ended without `[DONE]`.
     NotDone,
-    /// The body is larger than the reader takes.
+    /// The body is larger than the caller accepts.
     TooLarge,
 }
 
 impl Broken {
-    /// Joins this failure with an `earlier` one of the same request.
+    /// Combines this failure with an `earlier` one of the same request: keeps this cause
+    /// and the more cautious of both verdicts.
     pub(crate) fn after(self, earlier: &Broken) -> Self {
         Broken {
             verdict: self.verdict.max(earlier.verdict),
@@ -48,7 +49,7 @@
         }
     }
 
-    /// Returns the reason as callers see it.
+    /// Returns the reason that callers are given.
     #[must_use]
     pub fn reason(&self) -> Refusal {
         match self.cause {
--- a/crates/web/src/client/link.rs
+++ b/crates/web/src/client/link.rs
@@ -1,4 +1,4 @@
-//! One connection to a target, which counts what was handed to its socket.
+//! One connection to a target, which counts the bytes written to its socket.
 
 #[cfg(test)]
 mod tests;
@@ -25,16 +25,17 @@
 
 use super::broken::{Broken, Cause};
 
-/// An open connection; dropping it closes the socket at once.
+/// An open connection; dropping it closes the socket immediately.
 ///
-/// Failure: a caller leaves while a large request is half written to a target
-/// that reads slowly. hyper would go on writing it, so the target would get
-/// and run a whole request for nobody. Ending the task ends the writing.
+/// When a caller leaves while a large request is half written to a target that reads
+/// slowly, hyper alone would go on writing, and the target would receive and run a
+/// complete request that nobody waits for. So dropping the link aborts the connection's
+/// task, which stops writing.
 #[derive(Debug)]
 pub(crate) struct Link {
     sender: http1::SendRequest<Full<Bytes>>,
     meter: Arc<Meter>,
-    /// Bytes handed over before the request under way.
+    /// Bytes written before the current request.
     before: u64,
     task: AbortHandle,
 }
@@ -46,7 +47,7 @@
             Ok(Err(err)) => return Err(not_run(Cause::Connect(err.to_string()))),
             Err(_) => return Err(not_run(Cause::ConnectTimeout)),
         };
-        // Small writes must not wait for the other end's delayed ACK.
+        // Without this, small writes would wait for the peer's delayed ACK.
         let nodelay = stream.set_nodelay(true);
         nodelay.map_err(|err| not_run(Cause::Connect(err.to_string())))?;
         let meter = Arc::new(Meter::default());
@@ -54,10 +55,10 @@
             stream,
             meter: Arc::clone(&meter),
         });
-        let shaken = http1::handshake(io).await;
-        let (sender, conn) = shaken.map_err(|err| not_run(Cause::Connect(err.to_string())))?;
+        let handshake = http1::handshake(io).await;
+        let (sender, conn) = handshake.map_err(|err| not_run(Cause::Connect(err.to_string())))?;
         let task = tokio::spawn(async move {
-            // The sender learns of the error as well.
+            // The sender returns the same error.
             let _ = conn.await;
         });
         Ok(Link {
@@ -76,7 +77,7 @@
         self.sender.send_request(req).await
     }
 
-    /// Waits until the next request may be sent; false when the connection is
+    /// Waits until the next request may be sent; returns false if the connection is
     /// closed.
     pub(crate) async fn ready(&mut self) -> bool {
         self.sender.ready().await.is_ok()
@@ -86,12 +87,12 @@
         self.sender.is_closed()
     }
 
-    /// Ends the connection and judges the request that was under way.
+    /// Closes the connection and determines whether the current request may have run.
     ///
-    /// Failure: a timer says that nothing was written while the connection's
-    /// own task is just about to write. It would show as `not run` said of a
-    /// request that ran. Sealing refuses every later write under the same
-    /// lock that counts them, so the count can't grow after it was read.
+    /// When a timeout fires and no byte was written so far, the connection's task, on
+    /// another thread, may be about to write. The verdict would then be "not run" for a
+    /// request that runs. So writes are sealed first: the lock that guards the counter
+    /// also refuses all later writes, and the count can't grow after it was read.
     pub(crate) fn broken(self, cause: Cause) -> Broken {
         let verdict = if self.meter.seal() == self.before {
             base::hit!(nothing_was_written);
@@ -116,37 +117,37 @@
     }
 }
 
-/// Counts the bytes that a socket took.
+/// Counts the bytes written to a socket.
 #[derive(Debug, Default)]
-struct Meter(Mutex<Flow>);
+struct Meter(Mutex<Written>);
 
 #[derive(Debug, Default)]
-struct Flow {
-    written: u64,
+struct Written {
+    bytes: u64,
     sealed: bool,
 }
 
 impl Meter {
     fn written(&self) -> u64 {
-        let flow = self.0.lock().unwrap_or_else(PoisonError::into_inner);
-        flow.written
+        let written = self.0.lock().unwrap_or_else(PoisonError::into_inner);
+        written.bytes
     }
 
     /// Refuses all later writes and returns the final count.
     fn seal(&self) -> u64 {
-        let mut flow = self.0.lock().unwrap_or_else(PoisonError::into_inner);
-        flow.sealed = true;
-        flow.written
+        let mut written = self.0.lock().unwrap_or_else(PoisonError::into_inner);
+        written.sealed = true;
+        written.bytes
     }
 
     fn write(&self, write: impl FnOnce() -> Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
-        let mut flow = self.0.lock().unwrap_or_else(PoisonError::into_inner);
-        if flow.sealed {
+        let mut written = self.0.lock().unwrap_or_else(PoisonError::into_inner);
+        if written.sealed {
             return Poll::Ready(Err(io::ErrorKind::BrokenPipe.into()));
         }
         let res = write();
         if let Poll::Ready(Ok(n)) = &res {
-            flow.written += *n as u64;
+            written.bytes += *n as u64;
         }
         res
     }
--- a/crates/web/src/client/link/tests.rs
+++ b/crates/web/src/client/link/tests.rs
@@ -1,4 +1,4 @@
-//! The verdict of a connection, at the moment of the write.
+//! Verdicts of connections that fail around the time of the write.
 
 use base::covers;
 use googletest::prelude::*;
@@ -10,9 +10,9 @@
     Request::new(Full::new(Bytes::from_static(b"an application")))
 }
 
-/// The time runs out just before the connection's own task writes. A caller
-/// who is told `not run` sends its application again, and it would be handed
-/// in twice if the first one still left.
+/// The timeout fires just before the connection's task writes. A caller that is told
+/// "not run" sends its request again, so it would run twice if the first one were still
+/// written.
 #[gtest]
 #[tokio::test]
 async fn nothing_leaves_after_not_run_was_said() {
@@ -27,15 +27,15 @@
     }
     let broken = link.broken(Cause::FirstByte);
     expect_that!(broken.verdict, eq(Verdict::NotRun));
-    let (mut near, _) = listener.accept().await.unwrap();
+    let (mut peer, _) = listener.accept().await.unwrap();
     let mut got = Vec::new();
-    // The connection ends, and nothing was on it.
-    let _ = tokio::io::AsyncReadExt::read_to_end(&mut near, &mut got).await;
+    // The connection closes, and nothing was sent on it.
+    let _ = tokio::io::AsyncReadExt::read_to_end(&mut peer, &mut got).await;
     assert_that!(got, is_empty());
 }
 
-/// The same with the write on another thread, which the end of the
-/// connection's task comes too late to stop.
+/// As above, with the write on another thread, where aborting the connection's task comes
+/// too late to prevent it.
 #[gtest]
 fn a_sealed_meter_lets_no_write_through() {
     let meter = Meter::default();
@@ -56,9 +56,9 @@
     let mut link = Link::connect(addr, until).await.unwrap();
     {
         let mut sent = std::pin::pin!(link.send(request()));
-        let (mut near, _) = listener.accept().await.unwrap();
+        let (mut peer, _) = listener.accept().await.unwrap();
         let mut byte = [0];
-        let read = tokio::io::AsyncReadExt::read_exact(&mut near, &mut byte);
+        let read = tokio::io::AsyncReadExt::read_exact(&mut peer, &mut byte);
         tokio::select! {
             _ = &mut sent => panic!("nobody answered"),
             _ = read => {}
--- a/crates/web/src/client/pool.rs
+++ b/crates/web/src/client/pool.rs
@@ -1,4 +1,4 @@
-//! Idle connections, kept for a short time.
+//! Pool of idle connections, each kept for a short time.
 
 use std::{
     collections::BTreeMap,
@@ -11,14 +11,14 @@
 
 use super::link::Link;
 
-/// Idle connections kept to one address; more would only age.
-const PER_ADDRESS: usize = 32;
+/// Maximum number of idle connections to one address; more would be closed unused.
+const MAX_PER_ADDRESS: usize = 32;
 
-/// How long the hand-back of a connection by its own task may take.
-const READY_TIME: Duration = Duration::from_millis(20);
+/// Time that the connection's task has to become ready for the next request.
+const READY_TIMEOUT: Duration = Duration::from_millis(20);
 
-/// How long an idle connection is kept at all.
-const KEEP: Duration = Duration::from_secs(10);
+/// Time after which an idle connection is closed.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
 #[derive(Debug, Default)]
 pub(crate) struct Pool {
@@ -32,7 +32,7 @@
 }
 
 impl Pool {
-    /// Takes the connection used last, unless it lay idle longer than `reuse`.
+    /// Takes the most recently used connection, unless it was idle for `reuse` or longer.
     pub(crate) async fn take(&self, addr: SocketAddr, reuse: Duration) -> Option<Link> {
         while let Some(mut idle) = self.pop(addr) {
             if idle.since.elapsed() >= reuse {
@@ -40,14 +40,14 @@
                 self.forget(addr);
                 return None;
             }
-            if let Ok(true) = timeout(READY_TIME, idle.link.ready()).await {
+            if let Ok(true) = timeout(READY_TIMEOUT, idle.link.ready()).await {
                 return Some(idle.link);
             }
         }
         None
     }
 
-    /// Keeps a connection whose last answer was whole.
+    /// Returns a connection to the pool whose last answer was complete.
     pub(crate) fn keep(&self, addr: SocketAddr, link: Link) {
         if link.is_closed() {
             return;
@@ -55,17 +55,17 @@
         let since = Instant::now();
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
         idle.retain(|_, list| {
-            list.retain(|i| i.since.elapsed() < KEEP);
+            list.retain(|i| i.since.elapsed() < IDLE_TIMEOUT);
             !list.is_empty()
         });
         let list = idle.entry(addr).or_default();
-        if list.len() < PER_ADDRESS {
+        if list.len() < MAX_PER_ADDRESS {
             list.push(Idle { link, since });
         }
     }
 
-    /// Closes all idle connections to `addr`: what made one silent has most
-    /// likely lost the others too.
+    /// Closes all idle connections to `addr`: if one of them is dead, the others most
+    /// likely are too.
     pub(crate) fn forget(&self, addr: SocketAddr) {
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
         idle.remove(&addr);
--- a/crates/web/src/lib.rs
+++ b/crates/web/src/lib.rs
@@ -1,8 +1,10 @@
-//! HTTP on both sides, by hyper, with what the request path adds to it.
+//! HTTP server and client on top of hyper, with the guarantees that the request path
+//! needs.
 //!
-//! [`client`] knows for each failure whether a byte of the request left for the
-//! target; [`server`] bounds what a careless or hostile caller can cost;
-//! [`body`], [`reply`] and [`sse`] make and read what travels.
+//! [`client`] knows for each failure whether any byte of the request was sent to the
+//! target. [`server`] limits the resources that a faulty or hostile caller can take.
+//! [`body`], [`reply`] and [`sse`] create and read bodies, answers and event streams,
+//! and [`patience`] has a timeout that tolerates a busy process.
 
 pub mod body;
 pub mod client;
@@ -15,7 +17,8 @@
 
 use hyper::header::HeaderValue;
 
-/// Makes a header's value; what can't stand in a header becomes empty.
+/// Returns `text` as a header value, or an empty value if it contains characters that are
+/// not allowed in headers.
 #[must_use]
 pub fn header_value(text: &str) -> HeaderValue {
     HeaderValue::from_str(text).unwrap_or_else(|_| HeaderValue::from_static(""))
--- a/crates/web/src/patience.rs
+++ b/crates/web/src/patience.rs
@@ -1,21 +1,22 @@
-//! Time limits that don't count the time in which this process couldn't look.
+//! Timeouts that don't count the time during which this process was too busy to check
+//! for the answer.
 
 use std::{pin::pin, time::Duration};
 
 use tokio::time::{Instant, timeout, timeout_at};
 
-/// A timer that fires so much late shows that the process was busy or stopped.
+/// Delay of a timer from which on the process counts as having been busy or stopped.
 const LATE: Duration = Duration::from_millis(4);
 
-/// The most that is added to a time limit.
+/// The longest extension of a timeout.
 pub const MOST: Duration = Duration::from_millis(200);
 
-/// Waits for an answer until a time; nothing if it hasn't come by then.
+/// Waits for an answer until the time `until`; returns `None` if it doesn't arrive by then.
 ///
-/// Failure: a process is behind with its work. The answer has come in time and waits to
-/// be read, but the timer is looked at first: the answer counts as lost, what was asked
-/// has to be found out or done again, and the process is further behind. As long as the
-/// timer was late, the answer may still be read.
+/// In an overloaded process an answer may have arrived in time and wait to be read when
+/// the timer fires. If the timer were polled first, the answer would count as lost, and
+/// querying or repeating the operation would add to the overload. So if the timer fires
+/// late, the answer may arrive later by the same delay, at most by [`MOST`].
 pub async fn answer_by<T>(until: Instant, answer: impl Future<Output = T>) -> Option<T> {
     let mut answer = pin!(answer);
     if let Ok(answer) = timeout_at(until, &mut answer).await {
--- a/crates/web/src/reply.rs
+++ b/crates/web/src/reply.rs
@@ -1,4 +1,4 @@
-//! Answers that the system itself makes.
+//! Answers that the serving layer itself generates, as opposed to those of targets.
 
 use base::{Failure, Refusal, Verdict};
 use hyper::{
@@ -12,21 +12,21 @@
 /// The body of every failure: `{"error": {...}}`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ErrorBody {
-    /// What went wrong.
+    /// The error.
     pub error: ErrorInfo,
 }
 
-/// What went wrong, in the OpenAI-style shape and with the verdict.
+/// The error in the format of the OpenAI API, extended by the verdict.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ErrorInfo {
-    /// A sentence for a person.
+    /// Human-readable description.
     pub message: String,
-    /// The reason's short name.
+    /// The reason of the failure.
     #[serde(rename = "type")]
     pub kind: Refusal,
     /// Whether the request may have run.
     pub verdict: Verdict,
-    /// When to come back, in milliseconds from now.
+    /// When to retry, in milliseconds from now.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub retry_after_ms: Option<u64>,
 }
@@ -45,7 +45,7 @@
     }
 }
 
-/// Answers with `value` as JSON.
+/// Returns an answer with `value` as JSON.
 pub fn json<T: Serialize>(status: StatusCode, value: &T) -> Response<Body> {
     let Ok(bytes) = serde_json::to_vec(value) else {
         return plain(StatusCode::INTERNAL_SERVER_ERROR, "the answer is no JSON");
@@ -57,7 +57,7 @@
     resp
 }
 
-/// Answers with plain text.
+/// Returns an answer with plain text.
 pub fn plain(status: StatusCode, text: impl Into<String>) -> Response<Body> {
     let mut resp = Response::new(body::full(text.into()));
     *resp.status_mut() = status;
@@ -66,10 +66,11 @@
     resp
 }
 
-/// Answers with a failure: status, verdict and when to come back, in headers
-/// and in the body.
+/// Returns the answer for a failed request: status, reason, verdict and time of the
+/// retry, in headers and in the body.
 pub fn failure(failure: &Failure) -> Response<Body> {
-    // 499 lies in the range that StatusCode takes; the fallback never shows.
+    // All statuses, including the non-standard 499, are valid for `StatusCode`, so the
+    // fallback is never used.
     let status = StatusCode::from_u16(failure.reason.status());
     let status = status.unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     let mut resp = json(status, &ErrorBody::from(failure));
@@ -79,8 +80,8 @@
     let reason = HeaderValue::from_static(failure.reason.as_str());
     headers.insert(wire::header::REASON, reason);
     if let Some(wait) = failure.retry {
-        // The header counts whole seconds: rounded up, so that nobody comes
-        // back early.
+        // The header has whole seconds; they are rounded up, so that nobody retries too
+        // early.
         let secs = wait.as_millis().div_ceil(1_000);
         let secs = u64::try_from(secs).unwrap_or(u64::MAX);
         headers.insert(RETRY_AFTER, HeaderValue::from(secs));
@@ -105,10 +106,10 @@
         Refusal::TargetFailed => "the target failed",
         Refusal::CallerGone => "the caller left",
     };
-    let fate = match failure.verdict {
+    let outcome = match failure.verdict {
         Verdict::NotRun => "it did not run",
         Verdict::MayHaveRun => "it may have run",
         Verdict::Ran => "it ran",
     };
-    format!("{what}; {fate}")
+    format!("{what}; {outcome}")
 }
--- a/crates/web/src/server.rs
+++ b/crates/web/src/server.rs
@@ -1,9 +1,8 @@
-//! Serves HTTP/1.1 so that no caller can cost more than its share.
+//! HTTP/1.1 server that limits the resources a caller can take.
 //!
-//! Bounded are: the time and size of a head, the size of a body that is
-//! announced (what is streamed, [`crate::body::read`] bounds), the number of
-//! connections, and how long an answer may wait for a caller that doesn't
-//! read.
+//! There are limits on the time and size of a request's head, the size of a body as
+//! announced by `content-length` ([`crate::body::read`] limits streamed ones), the number
+//! of connections, and the time that an answer waits for a caller that doesn't read it.
 
 mod refusal;
 mod slots;
@@ -30,31 +29,32 @@
 };
 use tokio_util::{sync::CancellationToken, task::TaskTracker};
 
-use self::{refusal::Refusals, slots::Slots, stall::Stalling};
+use self::{refusal::Refusals, slots::Slots, stall::StallLimited};
 use crate::{body::Body, reply};
 
-/// How long the accept loop rests after an error of the system, such as too
-/// many open files: without a rest it would spin.
-const ACCEPT_REST: Duration = Duration::from_millis(50);
+/// Pause of the accept loop after an error of the system, such as too many open files;
+/// without it the loop would spin.
+const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// What callers may cost.
+/// Limits on the resources that callers can take.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Until a head is read, counted from the end of the request before.
+    /// Time until the head of a request is read, counted from the end of the previous
+    /// request on the connection.
     pub header_time: Duration,
-    /// Largest head, in bytes; at least 8,192.
+    /// Maximum size of a head, in bytes; at least 8,192, as hyper requires.
     pub header_bytes: usize,
-    /// Largest body that may be announced, in bytes.
+    /// Maximum size of a body as announced by `content-length`, in bytes.
     pub body_bytes: u64,
-    /// Most connections; beyond them the longest idle one is closed, and a
-    /// new one is refused where none is idle.
+    /// Maximum number of connections. Beyond it the connection that has been idle longest
+    /// is closed; if none is idle, the new one is refused.
     pub connections: usize,
-    /// How long a caller may refuse to read before it is cut off.
+    /// Time without any progress of a write after which the connection is cut.
     pub write_stall: Duration,
-    /// After the stop was asked for, how long new connections are still taken
-    /// because the balancer's list lags.
+    /// Time after the start of a shutdown during which new connections are still
+    /// accepted, since the load balancer's list of instances lags behind.
     pub linger: Duration,
-    /// After that, how long requests may still run.
+    /// Time after that during which running requests may finish.
     pub drain: Duration,
 }
 
@@ -72,16 +72,16 @@
     }
 }
 
-/// How serving ended.
+/// The result of a shutdown.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Served {
-    /// Connections cut off because they outlasted [`Limits::drain`].
+    /// Number of connections that were cut at the end of [`Limits::drain`].
     pub cut: usize,
 }
 
-/// Serves until `shutdown` is cancelled, then stops in order: requests under
-/// way end, each answer says `connection: close`, new connections are taken
-/// until [`Limits::linger`] is over.
+/// Serves until `shutdown` is cancelled, then shuts down gracefully: running requests
+/// finish, each answer has `connection: close`, and new connections are accepted until
+/// [`Limits::linger`] is over.
 ///
 /// # Errors
 ///
@@ -97,7 +97,7 @@
     F: Future<Output = Response<Body>> + Send + 'static,
 {
     listener.local_addr()?;
-    let site = Arc::new(Site {
+    let server = Arc::new(Server {
         handler,
         limits,
         slots: Arc::new(Slots::new(limits.connections)),
@@ -111,19 +111,20 @@
     };
     tokio::select! {
         () = linger => {}
-        () = accept(listener, &site, &tasks) => {}
+        () = accept(listener, &server, &tasks) => {}
     }
-    site.closing.cancel();
+    server.closing.cancel();
     tasks.close();
     if timeout(limits.drain, tasks.wait()).await.is_ok() {
         return Ok(Served::default());
     }
-    let cut = site.slots.close_all();
+    let cut = server.slots.close_all();
     tasks.wait().await;
     Ok(Served { cut })
 }
 
-struct Site<H> {
+/// State shared by all connections.
+struct Server<H> {
     handler: H,
     limits: Limits,
     slots: Arc<Slots>,
@@ -131,7 +132,7 @@
     closing: CancellationToken,
 }
 
-async fn accept<H, F>(listener: TcpListener, site: &Arc<Site<H>>, tasks: &TaskTracker)
+async fn accept<H, F>(listener: TcpListener, server: &Arc<Server<H>>, tasks: &TaskTracker)
 where
     H: Fn(Request<Incoming>) -> F + Send + Sync + 'static,
     F: Future<Output = Response<Body>> + Send + 'static,
@@ -139,18 +140,18 @@
     let refusals = Refusals::default();
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            sleep(ACCEPT_REST).await;
+            sleep(ACCEPT_PAUSE).await;
             continue;
         };
-        let Some(slot) = site.slots.open() else {
+        let Some(slot) = server.slots.open() else {
             refusals.refuse(stream);
             continue;
         };
-        tasks.spawn(connection(stream, slot, Arc::clone(site)));
+        tasks.spawn(connection(stream, slot, Arc::clone(server)));
     }
 }
 
-async fn connection<H, F>(stream: TcpStream, slot: slots::Slot, site: Arc<Site<H>>)
+async fn connection<H, F>(stream: TcpStream, slot: slots::Slot, server: Arc<Server<H>>)
 where
     H: Fn(Request<Incoming>) -> F + Send + Sync + 'static,
     F: Future<Output = Response<Body>> + Send + 'static,
@@ -159,25 +160,25 @@
         return;
     }
     let slot = Arc::new(slot);
-    let io = TokioIo::new(Stalling::new(stream, site.limits.write_stall));
+    let io = TokioIo::new(StallLimited::new(stream, server.limits.write_stall));
     let service = service_fn(|req| {
-        let (slot, site) = (Arc::clone(&slot), Arc::clone(&site));
-        async move { Ok::<_, Infallible>(answer(req, &slot, &site).await) }
+        let (slot, server) = (Arc::clone(&slot), Arc::clone(&server));
+        async move { Ok::<_, Infallible>(answer(req, &slot, &server).await) }
     });
     let conn = http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(site.limits.header_time)
-        .max_buf_size(site.limits.header_bytes)
+        .header_read_timeout(server.limits.header_time)
+        .max_buf_size(server.limits.header_bytes)
         .serve_connection(io, service)
         .with_upgrades();
     let mut conn = std::pin::pin!(conn);
     let mut closing = false;
     loop {
         tokio::select! {
-            // What broke a connection is its caller's affair.
+            // Errors of a connection concern its caller only, so they are ignored.
             _ = conn.as_mut() => return,
             () = slot.closed() => return,
-            () = site.closing.cancelled(), if !closing => {
+            () = server.closing.cancelled(), if !closing => {
                 closing = true;
                 conn.as_mut().graceful_shutdown();
             }
@@ -188,29 +189,29 @@
 async fn answer<H, F>(
     req: Request<Incoming>,
     slot: &Arc<slots::Slot>,
-    site: &Site<H>,
+    server: &Server<H>,
 ) -> Response<Body>
 where
     H: Fn(Request<Incoming>) -> F + Send + Sync + 'static,
     F: Future<Output = Response<Body>> + Send + 'static,
 {
     let busy = slot.busy();
-    let mut resp = if req.body().size_hint().lower() > site.limits.body_bytes {
+    let mut resp = if req.body().size_hint().lower() > server.limits.body_bytes {
         base::hit!(announced_too_large);
         reply::failure(&Failure::not_run(Refusal::TooLarge))
     } else {
-        guarded(&site.handler, req).await
+        catch_panic(&server.handler, req).await
     };
-    if site.stopping.is_cancelled() && !resp.headers().contains_key(CONNECTION) {
+    if server.stopping.is_cancelled() && !resp.headers().contains_key(CONNECTION) {
         let close = HeaderValue::from_static("close");
         resp.headers_mut().insert(CONNECTION, close);
     }
     resp.map(|body| busy.until_end_of(body))
 }
 
-/// Runs the handler; a panic in it becomes an answer, so that one bad request
-/// neither kills the process nor leaves its caller waiting.
-async fn guarded<H, F>(handler: &H, req: Request<Incoming>) -> Response<Body>
+/// Runs the handler and turns a panic in it into an answer, so that one request can
+/// neither end the process nor leave its caller waiting.
+async fn catch_panic<H, F>(handler: &H, req: Request<Incoming>) -> Response<Body>
 where
     H: Fn(Request<Incoming>) -> F,
     F: Future<Output = Response<Body>>,
--- a/crates/web/src/server/refusal.rs
+++ b/crates/web/src/server/refusal.rs
@@ -1,4 +1,4 @@
-//! Refuses callers for whom there is no connection left.
+//! Refuses callers when the maximum number of connections is reached.
 
 use std::{sync::Arc, time::Duration};
 
@@ -14,42 +14,42 @@
 
 use crate::reply;
 
-/// Refusals under way; a flood beyond them is closed unanswered.
-const AT_ONCE: usize = 64;
+/// Maximum number of refusals at the same time; further connections are closed without an
+/// answer.
+const MAX_REFUSALS: usize = 64;
 
-/// How long a refused caller may take to read why.
-const TIME: Duration = Duration::from_secs(1);
+/// Time that a refused caller has to read the answer.
+const TIMEOUT: Duration = Duration::from_secs(1);
 
-/// When a refused caller may come back.
-const RETRY: Duration = Duration::from_secs(1);
+/// Time after which a refused caller may retry.
+const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Bytes of the refused request read at once, and thrown away.
+/// Size of the buffer into which the refused request is read and discarded, in bytes.
 const CHUNK: usize = 4 << 10;
 
-/// Answers a bounded number of refused callers at once.
+/// Answers refused callers, up to [`MAX_REFUSALS`] at the same time.
 #[derive(Debug)]
 pub(crate) struct Refusals(Arc<Semaphore>);
 
 impl Default for Refusals {
     fn default() -> Self {
-        Refusals(Arc::new(Semaphore::new(AT_ONCE)))
+        Refusals(Arc::new(Semaphore::new(MAX_REFUSALS)))
     }
 }
 
 impl Refusals {
-    /// Tells the caller that its request did not run.
+    /// Answers that the request did not run.
     ///
-    /// Failure: a caller is closed on without a word while every connection
-    /// is busy. It has sent its request by then and must take it for one that
-    /// may have run, though nobody read it.
+    /// If the connection were closed without an answer, the caller, which has already
+    /// sent its request, would have to assume that it may have run.
     pub(crate) fn refuse(&self, stream: TcpStream) {
         base::hit!(all_connections_busy);
         let Ok(permit) = Arc::clone(&self.0).try_acquire_owned() else {
             return;
         };
         tokio::spawn(async move {
-            // A caller that doesn't listen is closed on all the same.
-            let _ = timeout(TIME, answer(stream, permit)).await;
+            // The connection is closed even if the caller doesn't read the answer.
+            let _ = timeout(TIMEOUT, answer(stream, permit)).await;
         });
     }
 }
@@ -57,14 +57,15 @@
 async fn answer(mut stream: TcpStream, _permit: OwnedSemaphorePermit) -> anyhow::Result<()> {
     stream.write_all(&refusal().await?).await?;
     stream.shutdown().await?;
-    // Closing with unread bytes resets the connection, and the answer with it.
+    // Closing a socket with unread bytes resets the connection, and the caller would
+    // lose the answer.
     let mut unread = [0; CHUNK];
     while stream.read(&mut unread).await? > 0 {}
     Ok(())
 }
 
 async fn refusal() -> anyhow::Result<Vec<u8>> {
-    let failure = Failure::not_run(Refusal::Overloaded).retry_after(RETRY);
+    let failure = Failure::not_run(Refusal::Overloaded).retry_after(RETRY_AFTER);
     let (mut head, body) = reply::failure(&failure).into_parts();
     let body = body.collect().await?.to_bytes();
     head.headers.insert(CONTENT_LENGTH, body.len().into());
--- a/crates/web/src/server/slots.rs
+++ b/crates/web/src/server/slots.rs
@@ -1,4 +1,4 @@
-//! The places of open connections: a bounded number, the idle ones first to go.
+//! Limits the number of open connections and closes idle ones to make room.
 
 use std::{
     collections::BTreeMap,
@@ -14,38 +14,40 @@
 
 use crate::body::Body;
 
+/// The slots for open connections.
 #[derive(Debug)]
 pub(crate) struct Slots {
-    most: usize,
+    max: usize,
     state: Mutex<State>,
 }
 
 #[derive(Debug, Default)]
 struct State {
-    /// Counts up; orders the idle ones by when they fell idle.
+    /// Incremented for each stamp; orders idle connections by the time they became idle.
     stamp: u64,
+    /// Open connections by id, each with the token that closes it.
     open: BTreeMap<u64, CancellationToken>,
-    /// Stamp to connection.
+    /// Ids of idle connections by stamp.
     idle: BTreeMap<u64, u64>,
 }
 
 impl Slots {
-    pub(crate) fn new(most: usize) -> Self {
+    pub(crate) fn new(max: usize) -> Self {
         Slots {
-            most,
+            max,
             state: Mutex::default(),
         }
     }
 
-    /// Takes a place; when all are taken, closes the longest idle connection.
-    /// `None` when every connection is busy.
+    /// Takes a slot. If all are taken, closes the connection that has been idle longest;
+    /// returns `None` if every connection is busy.
     ///
-    /// Failure: thousands of connections that send nothing use up all places.
-    /// It shows as refused callers while the instance has nothing to do. An
-    /// idle connection has no request, so closing one loses nothing.
+    /// Otherwise thousands of connections that send nothing could take all slots, and
+    /// callers would be refused while the instance has nothing to do. An idle connection
+    /// has no request, so closing one loses nothing.
     pub(crate) fn open(self: &Arc<Self>) -> Option<Slot> {
         let mut state = self.lock();
-        if state.open.len() >= self.most {
+        if state.open.len() >= self.max {
             let (_, id) = state.idle.pop_first()?;
             base::hit!(idle_connection_closed);
             if let Some(kill) = state.open.remove(&id) {
@@ -65,7 +67,7 @@
         })
     }
 
-    /// Closes all and returns how many there were.
+    /// Closes all connections and returns their number.
     pub(crate) fn close_all(&self) -> usize {
         let state = self.lock();
         state.open.values().for_each(CancellationToken::cancel);
@@ -77,7 +79,7 @@
     }
 }
 
-/// The place of one connection.
+/// The slot of one connection.
 #[derive(Debug)]
 pub(crate) struct Slot {
     slots: Arc<Slots>,
@@ -87,7 +89,7 @@
 }
 
 impl Slot {
-    /// Waits until the place is taken away.
+    /// Waits until the connection must be closed, to make room or at the end of a shutdown.
     pub(crate) fn closed(&self) -> WaitForCancellationFuture<'_> {
         self.kill.cancelled()
     }
@@ -120,14 +122,15 @@
     }
 }
 
-/// One request under way on a connection.
+/// Keeps a connection marked as busy while a request is under way on it.
 #[derive(Debug)]
 pub(crate) struct Busy(Arc<Slot>);
 
 impl Busy {
-    /// Stays busy until `body` is written or dropped.
+    /// Returns `body` wrapped so that the connection stays busy until the body is written
+    /// or dropped.
     pub(crate) fn until_end_of(self, body: Body) -> Body {
-        Held { body, _busy: self }.boxed_unsync()
+        BusyBody { body, _busy: self }.boxed_unsync()
     }
 }
 
@@ -137,13 +140,13 @@
     }
 }
 
-/// A body that keeps its connection busy.
-struct Held {
+/// A body that keeps its connection marked as busy.
+struct BusyBody {
     body: Body,
     _busy: Busy,
 }
 
-impl HttpBody for Held {
+impl HttpBody for BusyBody {
     type Data = Bytes;
     type Error = anyhow::Error;
 
--- a/crates/web/src/server/stall.rs
+++ b/crates/web/src/server/stall.rs
@@ -1,4 +1,4 @@
-//! A socket that gives up when the other end doesn't read.
+//! A socket whose writes fail when the peer stops reading.
 
 use std::{
     future::Future,
@@ -14,34 +14,38 @@
     time::{Sleep, sleep},
 };
 
-/// Fails a write that made no progress for `limit`.
+/// A socket whose writes fail if they make no progress for `limit`.
 ///
-/// Failure: a caller opens a long stream and never reads, or its connection
-/// went silent. It shows as a place and buffers held until the kernel gives
-/// up, a quarter of an hour later. Progress is measured here, by our own
-/// clock.
-pub(crate) struct Stalling {
+/// If a caller opens a long stream and never reads it, or its connection is dead, the
+/// kernel would give up only after a quarter of an hour, and the connection's slot and
+/// buffers would be occupied until then.
+pub(crate) struct StallLimited {
     stream: TcpStream,
     limit: Duration,
-    stalled: Option<Pin<Box<Sleep>>>,
+    /// Runs while a write is pending.
+    timer: Option<Pin<Box<Sleep>>>,
 }
 
-impl Stalling {
+impl StallLimited {
     pub(crate) fn new(stream: TcpStream, limit: Duration) -> Self {
-        Stalling {
+        StallLimited {
             stream,
             limit,
-            stalled: None,
+            timer: None,
         }
     }
 
-    fn judge<T>(&mut self, cx: &mut Context<'_>, res: Poll<io::Result<T>>) -> Poll<io::Result<T>> {
+    fn check_stall<T>(
+        &mut self,
+        cx: &mut Context<'_>,
+        res: Poll<io::Result<T>>,
+    ) -> Poll<io::Result<T>> {
         if res.is_ready() {
-            self.stalled = None;
+            self.timer = None;
             return res;
         }
         let limit = self.limit;
-        let timer = self.stalled.get_or_insert_with(|| Box::pin(sleep(limit)));
+        let timer = self.timer.get_or_insert_with(|| Box::pin(sleep(limit)));
         if timer.as_mut().poll(cx).is_pending() {
             return Poll::Pending;
         }
@@ -50,7 +54,7 @@
     }
 }
 
-impl AsyncRead for Stalling {
+impl AsyncRead for StallLimited {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -60,7 +64,7 @@
     }
 }
 
-impl AsyncWrite for Stalling {
+impl AsyncWrite for StallLimited {
     fn poll_write(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -68,7 +72,7 @@
     ) -> Poll<io::Result<usize>> {
         let this = self.get_mut();
         let res = Pin::new(&mut this.stream).poll_write(cx, buf);
-        this.judge(cx, res)
+        this.check_stall(cx, res)
     }
 
     fn poll_write_vectored(
@@ -78,7 +82,7 @@
     ) -> Poll<io::Result<usize>> {
         let this = self.get_mut();
         let res = Pin::new(&mut this.stream).poll_write_vectored(cx, bufs);
-        this.judge(cx, res)
+        this.check_stall(cx, res)
     }
 
     fn is_write_vectored(&self) -> bool {
@@ -88,7 +92,7 @@
     fn poll_flush(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         let this = self.get_mut();
         let res = Pin::new(&mut this.stream).poll_flush(cx);
-        this.judge(cx, res)
+        this.check_stall(cx, res)
     }
 
     fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
--- a/crates/web/src/sse.rs
+++ b/crates/web/src/sse.rs
@@ -1,7 +1,7 @@
 //! Server-sent events of streamed chat completions.
 //!
-//! A stream is whole only when its last event is `data: [DONE]`; a body whose
-//! framing ends before that was cut by whoever wrote it.
+//! A stream is complete only if its last event is `data: [DONE]`. A body that ends
+//! without it was truncated by its sender, even if its HTTP framing is correct.
 
 use base::{Failure, Refusal, Verdict};
 use bytes::Bytes;
@@ -9,16 +9,16 @@
 
 use crate::reply::{ErrorBody, ErrorInfo};
 
-/// The last event's data.
+/// Data of the last event of a complete stream.
 pub const DONE: &str = "[DONE]";
 
-/// The last event as written.
+/// The last event of a complete stream, encoded.
 pub const DONE_EVENT: &[u8] = b"data: [DONE]\n\n";
 
-/// A comment: a sign of life that readers skip.
+/// A comment, which readers ignore; serves as a keep-alive.
 pub const PING: &[u8] = b": ping\n\n";
 
-/// Largest event taken, in bytes; an engine's events are a few hundred.
+/// Maximum size of an event, in bytes; events of engines have a few hundred.
 pub const EVENT_MAX: usize = 1 << 20;
 
 /// One event.
@@ -28,16 +28,19 @@
     pub data: String,
 }
 
-/// Says that a stream is not made of events.
+/// A stream does not consist of valid events.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BadStream;
 
-/// Reads events from pieces cut anywhere.
+/// Incremental parser; its input may be split at any byte.
 #[derive(Clone, Debug, Default)]
 pub struct Parser {
+    /// The incomplete last line.
     rest: Vec<u8>,
+    /// Data lines of the current event, joined by line feeds.
     data: Vec<u8>,
-    some: bool,
+    /// Whether the current event has any data lines.
+    has_data: bool,
     tokens: u32,
     done: bool,
 }
@@ -87,10 +90,10 @@
             return Ok(());
         };
         let data = data.strip_prefix(b" ").unwrap_or(data);
-        if self.some {
+        if self.has_data {
             self.data.push(b'\n');
         }
-        self.some = true;
+        self.has_data = true;
         self.data.extend_from_slice(data);
         if self.data.len() > EVENT_MAX {
             return Err(BadStream);
@@ -99,7 +102,7 @@
     }
 
     fn dispatch(&mut self, out: &mut Vec<Event>) -> Result<(), BadStream> {
-        if !std::mem::take(&mut self.some) {
+        if !std::mem::take(&mut self.has_data) {
             return Ok(());
         }
         if self.done {
@@ -141,7 +144,7 @@
         self.data == DONE
     }
 
-    /// Returns the token's text, where the event carries one.
+    /// Returns the token's text, if the event contains one.
     #[must_use]
     pub fn token(&self) -> Option<String> {
         let chunk: Chunk = serde_json::from_str(&self.data).ok()?;
@@ -149,7 +152,7 @@
         (!text.is_empty()).then_some(text)
     }
 
-    /// Returns whether this only opens the answer, before its first token.
+    /// Returns whether this event only announces the role, before the first token.
     #[must_use]
     pub fn is_preamble(&self) -> bool {
         let chunk = serde_json::from_str::<Chunk>(&self.data).ok();
@@ -158,8 +161,8 @@
         choice.is_some_and(|choice| choice.delta.role.is_some() && opens(&choice.delta))
     }
 
-    /// Returns the error that the stream ends with, where the event carries
-    /// one: our own shape as it is, an engine's as its failure.
+    /// Returns the error that the stream ends with, if the event contains one. An error
+    /// in an engine's own format becomes [`Refusal::TargetFailed`].
     #[must_use]
     pub fn error(&self) -> Option<ErrorInfo> {
         let value: serde_json::Value = serde_json::from_str(&self.data).ok()?;
@@ -173,14 +176,14 @@
         }))
     }
 
-    /// Writes the event.
+    /// Returns the event encoded.
     #[must_use]
     pub fn to_bytes(&self) -> Bytes {
         data(&self.data)
     }
 }
 
-/// Writes one event.
+/// Encodes an event with the given data.
 #[must_use]
 pub fn data(text: &str) -> Bytes {
     let mut event = String::with_capacity(text.len() + 8);
@@ -193,8 +196,8 @@
     Bytes::from(event)
 }
 
-/// Writes the event by which a stream ends when it can't be continued: no
-/// `[DONE]` follows, so no reader takes it for whole.
+/// Encodes the event that ends a stream which can't be continued. No `[DONE]` follows it,
+/// so no reader takes the stream for complete.
 #[must_use]
 pub fn error(failure: &Failure) -> Bytes {
     let body = serde_json::to_string(&ErrorBody::from(failure));
--- a/crates/web/tests/web/client.rs
+++ b/crates/web/tests/web/client.rs
@@ -1,4 +1,4 @@
-//! The client against targets that fail at each point of an exchange.
+//! The client with targets that fail at each step of an exchange.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -13,7 +13,7 @@
     client::{Broken, Client, Limits, Send},
 };
 
-use super::peer::{Step, Target, hear, sized};
+use super::peer::{Step, Target, read_to_close, sized};
 
 const BODY_MAX: usize = 1 << 16;
 const SHORT: Duration = Duration::from_millis(100);
@@ -34,8 +34,8 @@
     Ok(String::from_utf8(body.to_vec()).unwrap())
 }
 
-/// Each way in which an answer may end: what the target does, and what of it
-/// counts as whole. A part must never be taken for the whole.
+/// Each way in which an answer may end: what the target sends, and whether the answer
+/// counts as complete. A truncated answer must never be taken for a complete one.
 #[gtest]
 #[tokio::test]
 async fn only_a_proper_end_is_whole() {
@@ -58,7 +58,7 @@
             sse(&format!("{CHUNKED}e\r\n{done}\r\n0\r\n\r\n")),
             true,
         ),
-        ("events till the close", sse(&format!("\r\n{done}")), true),
+        ("events until the close", sse(&format!("\r\n{done}")), true),
         ("no content", close("HTTP/1.1 204 No Content\r\n\r\n"), true),
         (
             "length cut",
@@ -80,16 +80,16 @@
             close(&format!("{head}{CHUNKED}zz\r\nhe\r\n0\r\n\r\n")),
             false,
         ),
-        ("till the close", close(&format!("{head}\r\nhello")), false),
+        ("until the close", close(&format!("{head}\r\nhello")), false),
         (
             "events without done",
             sse(&format!("{CHUNKED}9\r\ndata: x\n\n\r\n0\r\n\r\n")),
             false,
         ),
-        ("events cut amid done", sse("\r\ndata: [DONE]\n"), false),
+        ("events cut inside done", sse("\r\ndata: [DONE]\n"), false),
         ("more after done", sse(&format!("\r\n{done}{done}")), false),
         (
-            "silent amid the body",
+            "silent inside the body",
             silent(&format!("{head}content-length: 9\r\n\r\nhel")),
             false,
         ),
@@ -121,8 +121,9 @@
     assert_that!(broken.verdict, eq(Verdict::NotRun));
 }
 
-/// A caller leaves amid an answer. The next request must not meet the rest of
-/// it, so its connection is closed, while a used-up one is kept.
+/// A caller leaves in the middle of an answer. The next request must not read the rest of
+/// it, so that connection is closed. A connection whose answer was read to its end is
+/// kept.
 #[gtest]
 #[tokio::test]
 async fn an_abandoned_connection_is_never_reused() {
@@ -141,8 +142,8 @@
     assert_that!(target.connections(), eq(2));
 }
 
-/// A caller leaves before the head, or amid the answer. The target must see
-/// it by a close, or an engine goes on generating for nobody.
+/// A caller leaves before the head or in the middle of the answer. The connection must be
+/// closed, or an engine would go on generating an answer that nobody reads.
 #[gtest]
 #[tokio::test]
 async fn leaving_closes_the_connection() {
@@ -154,17 +155,17 @@
             std::future::pending::<()>().await;
             drop(answer);
         });
-        let (mut near, _) = listener.accept().await.unwrap();
-        near.read_u8().await.unwrap();
-        near.write_all(head.as_bytes()).await.unwrap();
+        let (mut peer, _) = listener.accept().await.unwrap();
+        peer.read_u8().await.unwrap();
+        peer.write_all(head.as_bytes()).await.unwrap();
         tokio::time::sleep(SHORT).await;
         caller.abort();
-        hear(&mut near).await;
+        read_to_close(&mut peer).await;
     }
 }
 
-/// A target stops reading amid a large request, and the caller leaves. The
-/// rest of it must not arrive when the target reads on.
+/// A target stops reading in the middle of a large request, and the caller leaves. The
+/// rest of the request must not arrive when the target continues to read.
 #[gtest]
 #[tokio::test]
 async fn a_request_given_up_does_not_arrive_later() {
@@ -174,12 +175,12 @@
     let all = send.body.len();
     let left = tokio::time::timeout(SHORT, fetch(&Client::default(), send)).await;
     expect_that!(left.is_err(), eq(true));
-    let (mut near, _) = listener.accept().await.unwrap();
-    assert_that!(hear(&mut near).await.len(), lt(all));
+    let (mut peer, _) = listener.accept().await.unwrap();
+    assert_that!(read_to_close(&mut peer).await.len(), lt(all));
 }
 
-/// Something between the two ends forgot an idle connection: it is open at
-/// both ends and carries nothing. The request goes on on a new one.
+/// A middlebox dropped the state of an idle connection: it is open at both ends but
+/// transfers nothing. The request is sent again on a new connection.
 #[gtest]
 #[tokio::test]
 async fn a_silent_pooled_connection_costs_little() {
@@ -197,7 +198,7 @@
     assert_that!(target.connections(), eq(2));
 }
 
-/// The same with a connection that the target closes when the request comes.
+/// As above, with a connection that the target closes when the request arrives.
 #[gtest]
 #[tokio::test]
 async fn a_closed_pooled_connection_costs_nothing() {
@@ -213,8 +214,8 @@
     assert_that!(fetch(&client, get(target.addr)).await, ok(eq("two")));
 }
 
-/// The same with an application: it could not be sent a second time, so it
-/// never travels on a connection that may be dead.
+/// A marked request must not be sent twice, so it is never sent on an idle connection,
+/// which may be dead.
 #[gtest]
 #[tokio::test]
 async fn a_marked_request_gets_a_new_connection() {
--- a/crates/web/tests/web/main.rs
+++ b/crates/web/tests/web/main.rs
@@ -1,4 +1,4 @@
-//! Both sides of HTTP over real sockets on the loopback interface.
+//! Tests of the HTTP server and client over sockets on the loopback interface.
 
 mod client;
 mod patience;
--- a/crates/web/tests/web/peer.rs
+++ b/crates/web/tests/web/peer.rs
@@ -1,5 +1,4 @@
-//! The other ends: a target that answers by script, and a caller that writes
-//! raw bytes.
+//! Peers for the tests: a target with scripted answers and a caller that writes raw bytes.
 
 use std::{
     collections::VecDeque,
@@ -17,7 +16,7 @@
     time::timeout,
 };
 
-/// Far above anything that a sound run takes.
+/// Timeout far above the duration of any step of a passing test.
 pub(crate) const CEILING: Duration = Duration::from_secs(20);
 
 /// What a target does with one request.
@@ -27,11 +26,11 @@
     Answer(String),
     /// Writes these bytes and closes.
     Close(String),
-    /// Writes these bytes and falls silent.
+    /// Writes these bytes and keeps the connection open without sending anything more.
     Silent(String),
 }
 
-/// A target that takes one step for each request, over all connections.
+/// A target that carries out one step for each request, counted over all connections.
 pub(crate) struct Target {
     pub(crate) addr: SocketAddr,
     connections: Arc<AtomicUsize>,
@@ -102,7 +101,7 @@
     true
 }
 
-/// An answer with a proper length.
+/// Returns an answer with a correct `content-length`.
 pub(crate) fn sized(body: &str) -> String {
     format!(
         "HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{body}",
@@ -111,17 +110,17 @@
 }
 
 /// Opens a connection and writes `text`.
-pub(crate) async fn say(addr: SocketAddr, text: &str) -> TcpStream {
+pub(crate) async fn connect_and_write(addr: SocketAddr, text: &str) -> TcpStream {
     let mut stream = TcpStream::connect(addr).await.unwrap();
     stream.write_all(text.as_bytes()).await.unwrap();
     stream
 }
 
-/// Reads until the other end closes.
-pub(crate) async fn hear(stream: &mut TcpStream) -> String {
+/// Reads until the peer closes the connection.
+pub(crate) async fn read_to_close(stream: &mut TcpStream) -> String {
     let mut text = Vec::new();
     let read = timeout(CEILING, stream.read_to_end(&mut text)).await;
-    // A reset is a close as well.
+    // A reset counts as a close.
     let _ = read.expect("the connection stays open");
     String::from_utf8_lossy(&text).into_owned()
 }
--- a/crates/web/tests/web/server.rs
+++ b/crates/web/tests/web/server.rs
@@ -1,4 +1,4 @@
-//! The server against callers that are careless, hostile or gone.
+//! The server with callers that are faulty, hostile or have left.
 
 use std::{
     net::SocketAddr,
@@ -26,21 +26,21 @@
     sse::PING,
 };
 
-use super::peer::{CEILING, hear, say};
+use super::peer::{CEILING, connect_and_write, read_to_close};
 
 const SHORT: Duration = Duration::from_millis(150);
 const BODY: usize = 1 << 10;
 
-/// What the handler of this test shares with it.
+/// State shared between a test and its handler.
 #[derive(Default)]
 struct Shared {
     /// Lets `/wait` answer.
     go: Notify,
-    /// Notified when `/wait` began.
+    /// Notified when the handler of `/wait` starts.
     began: Notify,
-    /// Notified when the handler of `/wait` was dropped.
+    /// Notified when the handler of `/wait` is dropped.
     dropped: Notify,
-    /// What `/stream` writes to.
+    /// Writer of the body of `/stream` and `/lively`.
     writer: Mutex<Option<Writer>>,
 }
 
@@ -103,14 +103,14 @@
     resp
 }
 
-struct Site {
+struct Server {
     addr: SocketAddr,
     shared: Arc<Shared>,
     stop: CancellationToken,
     task: JoinHandle<Served>,
 }
 
-impl Site {
+impl Server {
     async fn start(limits: Limits) -> Self {
         let listener = TcpListener::bind(("127.0.0.1", 0)).await.unwrap();
         let addr = listener.local_addr().unwrap();
@@ -121,7 +121,7 @@
         };
         let serving = serve(listener, limits, handler, stop.clone());
         let task = tokio::spawn(async move { serving.await.unwrap() });
-        Site {
+        Server {
             addr,
             shared,
             stop,
@@ -129,12 +129,12 @@
         }
     }
 
-    /// Says `text` and returns all that is answered until the close.
-    async fn ask(&self, text: &str) -> String {
-        hear(&mut say(self.addr, text).await).await
+    /// Sends `text` and returns all bytes received until the close.
+    async fn exchange(&self, text: &str) -> String {
+        read_to_close(&mut connect_and_write(self.addr, text).await).await
     }
 
-    /// Another caller still gets its answer.
+    /// Checks that another caller still gets its answer.
     async fn serves_others(&self) {
         let mut send = Send::new(self.addr, Method::POST, "/");
         send.body = Bytes::from_static(b"hello");
@@ -162,7 +162,8 @@
     format!("GET {path} HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n")
 }
 
-/// Each careless or hostile request gets a clear end, and nobody else is hurt.
+/// Each faulty or hostile request gets an error answer or a close, and other callers are
+/// not affected.
 #[gtest]
 #[tokio::test]
 async fn bad_requests_are_bounded() {
@@ -171,7 +172,7 @@
     covers!(silent_sender);
     covers!(slow_sender);
     covers!(handler_panic);
-    let site = Site::start(limits()).await;
+    let server = Server::start(limits()).await;
     let post = "POST / HTTP/1.1\r\nhost: x\r\nconnection: close\r\n";
     let chunked = "transfer-encoding: chunked\r\n\r\n";
     let (long, big) = ("h".repeat(20 << 10), "b".repeat(BODY + 1));
@@ -206,17 +207,17 @@
         ("panic", get("/panic"), "500"),
     ];
     for (name, text, status) in rows {
-        let answer = site.ask(&text).await;
+        let answer = server.exchange(&text).await;
         let got = answer.split(' ').nth(1).unwrap_or_default();
-        // A head that never comes may be answered 408 or not at all.
+        // A head that never arrives may be answered with 408 or not at all.
         expect_that!(
             status.is_empty() || got == status,
             eq(true),
             "{name}: {answer}"
         );
-        site.serves_others().await;
+        server.serves_others().await;
     }
-    let mut slow = say(site.addr, &format!("{post}{chunked}")).await;
+    let mut slow = connect_and_write(server.addr, &format!("{post}{chunked}")).await;
     let trickle = async {
         while slow.write_all(b"1\r\nx\r\n").await.is_ok() {
             tokio::time::sleep(SHORT / 5).await;
@@ -227,8 +228,8 @@
         .expect("a slow sender is never cut");
 }
 
-/// Thousands of connections are opened and say nothing. A caller with a
-/// request must still be served at once, and their number stays bounded.
+/// Thousands of connections are opened and send nothing. A caller with a request must
+/// still be served immediately, and the number of connections stays limited.
 #[gtest]
 #[tokio::test]
 async fn idle_connections_make_room() {
@@ -237,67 +238,67 @@
         header_time: CEILING * 10,
         ..limits()
     };
-    let site = Site::start(patient).await;
+    let server = Server::start(patient).await;
     let mut idle = Vec::new();
     for _ in 0..2_000 {
-        idle.push(TcpStream::connect(site.addr).await.unwrap());
+        idle.push(TcpStream::connect(server.addr).await.unwrap());
     }
-    site.serves_others().await;
+    server.serves_others().await;
     // All but the newest were closed, the longest idle first.
     let bound = idle.len() - patient.connections;
     for stream in &mut idle[..bound] {
-        hear(stream).await;
+        read_to_close(stream).await;
     }
 }
 
-/// Every connection is busy. One more is refused, those under way go on.
+/// Every connection is busy. One more is refused, and running requests continue.
 #[gtest]
 #[tokio::test]
 async fn busy_connections_are_never_closed() {
     covers!(all_connections_busy);
-    let site = Site::start(Limits {
+    let server = Server::start(Limits {
         connections: 1,
         ..limits()
     })
     .await;
-    let mut busy = say(site.addr, &get("/wait")).await;
-    site.shared.began.notified().await;
+    let mut busy = connect_and_write(server.addr, &get("/wait")).await;
+    server.shared.began.notified().await;
     let answer = Client::default()
-        .send(Send::new(site.addr, Method::GET, "/"))
+        .send(Send::new(server.addr, Method::GET, "/"))
         .await
         .unwrap();
     expect_that!(answer.status.as_u16(), eq(429));
     expect_that!(answer.refused(), eq(true));
     expect_that!(answer.whole(BODY).await.is_ok(), eq(true));
-    // A caller that is still writing finds the refusal as well.
-    let mut large = Send::new(site.addr, Method::POST, "/");
+    // A caller that is still writing its request gets the refusal too.
+    let mut large = Send::new(server.addr, Method::POST, "/");
     large.body = vec![b'x'; 16 << 20].into();
     let answer = Client::default().send(large).await.unwrap();
     expect_that!(answer.refused(), eq(true));
-    site.shared.go.notify_one();
-    assert_that!(hear(&mut busy).await, contains_substring("waited"));
+    server.shared.go.notify_one();
+    assert_that!(read_to_close(&mut busy).await, contains_substring("waited"));
 }
 
-/// A caller keeps its connection and sends nothing more.
+/// A caller keeps its connection open and sends nothing more.
 #[gtest]
 #[tokio::test]
 async fn a_kept_connection_is_closed_in_time() {
-    let site = Site::start(limits()).await;
+    let server = Server::start(limits()).await;
     let kept = get("/").replace("connection: close\r\n", "");
-    assert_that!(site.ask(&kept).await, contains_substring("200 OK"));
+    assert_that!(server.exchange(&kept).await, contains_substring("200 OK"));
 }
 
-/// A caller opens a stream and never reads it, so its place and buffers would
-/// be held until the kernel gives up.
+/// A caller opens a stream and never reads it, so its slot and buffers would be occupied
+/// until the kernel gives up.
 #[gtest]
 #[tokio::test]
 async fn a_reader_that_stalls_is_cut() {
     covers!(stalled_reader);
-    let site = Site::start(limits()).await;
-    let _stalled = say(site.addr, &get("/stream")).await;
+    let server = Server::start(limits()).await;
+    let _stalled = connect_and_write(server.addr, &get("/stream")).await;
     let writer = loop {
         tokio::task::yield_now().await;
-        if let Some(writer) = site.shared.writer.lock().unwrap().take() {
+        if let Some(writer) = server.shared.writer.lock().unwrap().take() {
             break writer;
         }
     };
@@ -307,35 +308,35 @@
         .expect("a stalled reader is never cut");
 }
 
-/// A handler dies amid its answer. The caller must not take the part for the
-/// whole.
+/// A handler ends in the middle of its answer. The caller must not take the truncated
+/// answer for a complete one.
 #[gtest]
 #[tokio::test]
 async fn a_writer_that_dies_cuts_the_answer() {
-    let site = Site::start(limits()).await;
+    let server = Server::start(limits()).await;
     let client = Client::default();
     let mut answer = client
-        .send(Send::new(site.addr, Method::GET, "/stream"))
+        .send(Send::new(server.addr, Method::GET, "/stream"))
         .await
         .unwrap();
-    let writer = site.shared.writer.lock().unwrap().take().unwrap();
+    let writer = server.shared.writer.lock().unwrap().take().unwrap();
     writer.piece(Bytes::from_static(b"half")).await.unwrap();
     expect_that!(answer.next().await.unwrap().is_ok(), eq(true));
     drop(writer);
     assert_that!(answer.next().await.unwrap().is_err(), eq(true));
 }
 
-/// A stream waits for its engine far longer than its reader would wait on a
-/// connection that may be dead. Signs of life keep it, and only while it lives.
+/// A stream waits for its engine far longer than its reader's idle timeout. Keep-alives
+/// prevent the timeout, and they stop when the stream ends.
 #[gtest]
 #[tokio::test]
 async fn a_waiting_stream_gives_signs_of_life() {
     covers!(sign_of_life);
-    let site = Site::start(limits()).await;
-    let mut send = Send::new(site.addr, Method::GET, "/lively");
+    let server = Server::start(limits()).await;
+    let mut send = Send::new(server.addr, Method::GET, "/lively");
     send.limits.idle = SHORT * 4;
     let mut answer = Client::default().send(send).await.unwrap();
-    let writer = site.shared.writer.lock().unwrap().take().unwrap();
+    let writer = server.shared.writer.lock().unwrap().take().unwrap();
     for _ in 0..15 {
         let sign = answer.next().await.unwrap().unwrap();
         expect_that!(sign.as_ref(), eq(PING));
@@ -349,63 +350,66 @@
 #[gtest]
 #[tokio::test]
 async fn a_caller_who_leaves_cancels_the_handler() {
-    let site = Site::start(limits()).await;
-    let leaving = say(site.addr, &get("/wait")).await;
-    site.shared.began.notified().await;
+    let server = Server::start(limits()).await;
+    let leaving = connect_and_write(server.addr, &get("/wait")).await;
+    server.shared.began.notified().await;
     drop(leaving);
-    let dropped = timeout(CEILING, site.shared.dropped.notified()).await;
+    let dropped = timeout(CEILING, server.shared.dropped.notified()).await;
     assert_that!(dropped.is_ok(), eq(true));
 }
 
 #[gtest]
 #[tokio::test]
 async fn a_connection_can_be_upgraded() {
-    let site = Site::start(limits()).await;
+    let server = Server::start(limits()).await;
     let text = "GET /upgrade HTTP/1.1\r\nhost: x\r\nconnection: upgrade\r\nupgrade: test\r\n\r\n";
-    let mut stream = say(site.addr, text).await;
+    let mut stream = connect_and_write(server.addr, text).await;
     stream.write_u8(41).await.unwrap();
-    assert_that!(hear(&mut stream).await, ends_with("\r\n\r\n*"));
+    assert_that!(read_to_close(&mut stream).await, ends_with("\r\n\r\n*"));
 }
 
-/// The process is told to stop while a request runs and the balancer still
-/// sends new ones. All of them are answered, none is cut.
+/// The process is told to stop while a request runs and the load balancer still sends new
+/// ones. All of them are answered, and none is cut.
 #[gtest]
 #[tokio::test]
 async fn stopping_cuts_nobody_off() {
-    let site = Site::start(limits()).await;
-    let mut under_way = say(
-        site.addr,
+    let server = Server::start(limits()).await;
+    let mut under_way = connect_and_write(
+        server.addr,
         &get("/wait").replace("connection: close\r\n", ""),
     )
     .await;
-    site.shared.began.notified().await;
-    site.stop.cancel();
-    let late = site
-        .ask(&get("/").replace("connection: close\r\n", ""))
+    server.shared.began.notified().await;
+    server.stop.cancel();
+    let late = server
+        .exchange(&get("/").replace("connection: close\r\n", ""))
         .await;
     expect_that!(late, contains_substring("connection: close"));
-    // The listener is gone once the lingering is over.
-    while TcpStream::connect(site.addr).await.is_ok() {
+    // The listener is closed at the end of the linger time.
+    while TcpStream::connect(server.addr).await.is_ok() {
         tokio::time::sleep(SHORT / 10).await;
     }
-    site.shared.go.notify_one();
-    expect_that!(hear(&mut under_way).await, contains_substring("waited"));
-    assert_that!(site.task.await.unwrap(), eq(Served { cut: 0 }));
+    server.shared.go.notify_one();
+    expect_that!(
+        read_to_close(&mut under_way).await,
+        contains_substring("waited")
+    );
+    assert_that!(server.task.await.unwrap(), eq(Served { cut: 0 }));
 }
 
 #[gtest]
 #[tokio::test]
 async fn stopping_ends_at_last() {
-    let site = Site::start(Limits {
+    let server = Server::start(Limits {
         drain: SHORT,
         ..limits()
     })
     .await;
-    let mut endless = say(site.addr, &get("/wait")).await;
-    site.shared.began.notified().await;
-    site.stop.cancel();
-    expect_that!(hear(&mut endless).await, eq(""));
-    assert_that!(site.task.await.unwrap(), eq(Served { cut: 1 }));
+    let mut endless = connect_and_write(server.addr, &get("/wait")).await;
+    server.shared.began.notified().await;
+    server.stop.cancel();
+    expect_that!(read_to_close(&mut endless).await, eq(""));
+    assert_that!(server.task.await.unwrap(), eq(Served { cut: 1 }));
 }
 
 #[gtest]
--- a/crates/web/tests/web/sse.rs
+++ b/crates/web/tests/web/sse.rs
@@ -1,4 +1,4 @@
-//! Server-sent events, cut at every byte.
+//! Parsing of server-sent events that are split at every byte.
 
 use base::{Failure, Refusal};
 use googletest::prelude::*;
