--- a/crates/base/src/class.rs
+++ b/crates/base/src/class.rs
@@ -1,32 +1,33 @@
-//! How urgent a request is, and whether it may be repeated.
+//! Urgency of a request, and whether it may be sent more than once.
 
 use std::{fmt, str::FromStr};
 
 use thiserror::Error;
 
-/// Says that a text names no class.
+/// A string is not the name of a class.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
-#[error("`{0}` is no class: critical, live or batch")]
+#[error("`{0}` is not a class; expected critical, live or batch")]
 pub struct BadClass(String);
 
 crate::value! {
-    /// How urgent a request is; the greater class goes first.
+    /// Urgency of a request; greater classes go first.
     #[serde(rename_all = "lowercase")]
     pub enum Class {
-        /// Overnight work with a time to finish by.
+        /// Work without a waiting user, such as overnight jobs with a deadline.
         Batch,
-        /// Somebody waits for the answer.
+        /// A user waits for the answer.
         Live,
-        /// Listing pages and receipts: always answered, and first.
+        /// Most urgent, such as listing pages and receipts: answered before all else, also
+        /// under overload.
         Critical,
     }
 
     /// Whether a request may run more than once.
     #[serde(rename_all = "lowercase")]
     pub enum Mark {
-        /// A second run does no harm.
+        /// Running it more than once is harmless.
         Repeatable,
-        /// A second run does harm: at most one, ever.
+        /// A marked request: it must run at most once.
         Once,
     }
 }
@@ -35,7 +36,7 @@
     /// All classes, most urgent first.
     pub const ALL: [Class; 3] = [Class::Critical, Class::Live, Class::Batch];
 
-    /// Returns the class as written in texts and headers.
+    /// Returns the class as written in configuration texts and headers.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
--- a/crates/base/src/derives.rs
+++ b/crates/base/src/derives.rs
@@ -1,9 +1,9 @@
-//! The common sets of derives, written once.
+//! Macros for common sets of derives, and for table-driven tests.
 //!
-//! A plain derive list drifts between types: one forgets `Ord`, the next
-//! `Hash`. These macros keep the sets equal.
+//! Derive lists written out at each type come to differ: one lacks `Ord`, another
+//! `Hash`. These macros keep them the same.
 
-/// Gives each type the derives of a small value that may serve as a key.
+/// Adds the derives of a small `Copy` value that can be used as a key.
 #[macro_export]
 macro_rules! value {
     ($($item:item)+) => {
@@ -18,7 +18,7 @@
     };
 }
 
-/// Gives each type the derives of a record that travels between processes.
+/// Adds the derives of a record that is sent between processes.
 #[macro_export]
 macro_rules! record {
     ($($item:item)+) => {
@@ -33,7 +33,7 @@
     };
 }
 
-/// Names each case of a table-driven test: one `#[test]` per row.
+/// Generates a table-driven test with one named `#[test]` per row.
 ///
 /// ```
 /// fn check((raw, ok): (&str, bool)) {
--- a/crates/base/src/lib.rs
+++ b/crates/base/src/lib.rs
@@ -1,8 +1,7 @@
-//! Types that every part of the system shares: names, sizes, times, request
-//! classes and verdicts.
+//! Basic types shared by all crates: names, sizes, times, request classes and verdicts.
 //!
-//! Nothing here knows a clock, a socket or a thread. A value of [`Time`] is
-//! always handed in by whoever drives the decisions.
+//! This crate uses no clock, socket or thread. A [`Time`] is always passed in by the
+//! caller, so that simulations can drive the decision logic with a clock of their own.
 
 extern crate self as base;
 
--- a/crates/base/src/marks.rs
+++ b/crates/base/src/marks.rs
@@ -1,11 +1,10 @@
-//! Coverage marks: a guard names itself, and a test asks whether the guard
-//! was reached.
+//! Coverage marks, by which a test checks that it reached a certain line of code.
 //!
-//! A test that passes without entering the guard it is meant for proves
-//! nothing. [`hit!`](crate::hit) counts in the guard,
-//! [`covers!`](crate::covers) fails the test if the count stayed where it was.
-//! Counting is per thread, so that tests may run side by side; in a release
-//! build without `debug_assertions` it costs nothing.
+//! A test of a guard (code that handles a certain fault) proves nothing if it passes
+//! without entering the guard. [`hit!`](crate::hit) in the guard increments a counter
+//! with the mark's name, and [`covers!`](crate::covers) in the test fails if the counter
+//! did not change. Counters are per thread, so that tests can run in parallel; without
+//! `debug_assertions` (in release builds) `hit!` does nothing.
 
 use std::{cell::RefCell, collections::BTreeMap};
 
@@ -13,18 +12,18 @@
     static HITS: RefCell<BTreeMap<&'static str, u64>> = const { RefCell::new(BTreeMap::new()) };
 }
 
-/// Counts one pass through the guard named `mark`.
+/// Increments the counter of `mark` on this thread.
 pub fn count(mark: &'static str) {
     HITS.with_borrow_mut(|hits| *hits.entry(mark).or_default() += 1);
 }
 
-/// Returns how often this thread passed the guard named `mark`.
+/// Returns how often this thread has reached `mark`.
 #[must_use]
 pub fn hits(mark: &str) -> u64 {
     HITS.with_borrow(|hits| hits.get(mark).copied().unwrap_or_default())
 }
 
-/// Expects a guard to be passed before it goes out of scope.
+/// Panics when it goes out of scope unless its mark was reached since its creation.
 #[derive(Debug)]
 #[must_use = "the check runs when the value is dropped"]
 pub struct Expected {
@@ -33,7 +32,7 @@
 }
 
 impl Expected {
-    /// Starts watching `mark` on this thread.
+    /// Expects `mark` to be reached on this thread from now on.
     pub fn new(mark: &'static str) -> Self {
         Expected {
             mark,
@@ -45,20 +44,20 @@
 impl Drop for Expected {
     /// # Panics
     ///
-    /// Panics when the guard was not passed since the value was made.
+    /// Panics if the mark was not reached since the value was created.
     fn drop(&mut self) {
         if std::thread::panicking() {
             return;
         }
         assert!(
             hits(self.mark) > self.before,
-            "guard `{}` was not reached",
+            "coverage mark `{}` was not reached",
             self.mark
         );
     }
 }
 
-/// Marks a guard: `base::hit!(stale_term)`.
+/// Records that a coverage mark was reached: `base::hit!(stale_term);`.
 #[macro_export]
 macro_rules! hit {
     ($mark:ident) => {
@@ -68,8 +67,8 @@
     };
 }
 
-/// Fails the surrounding test unless the guard is reached before the end of
-/// the scope: `base::covers!(stale_term);`.
+/// Fails the test unless the coverage mark is reached before the end of the scope:
+/// `base::covers!(stale_term);`.
 #[macro_export]
 macro_rules! covers {
     ($mark:ident) => {
--- a/crates/base/src/name.rs
+++ b/crates/base/src/name.rs
@@ -1,7 +1,7 @@
-//! Names that operators write and that travel between processes.
+//! Names that operators assign and that are sent between processes.
 //!
-//! A name is short, lower case and safe in a URL path, a header and a log
-//! line, so no later code needs to escape it.
+//! A name is short, lower case and safe in URL paths, headers and log lines, so that it
+//! never needs to be escaped.
 
 use std::{fmt, str::FromStr};
 
@@ -9,29 +9,31 @@
 use smol_str::SmolStr;
 use thiserror::Error;
 
-/// Longest accepted name, in bytes; long enough for a UUID with a prefix.
+/// Maximum length of a name, in bytes; long enough for a UUID with a prefix.
 pub const NAME_MAX: usize = 64;
 
-/// Says why a text is no name.
+/// Why a string is not a valid name.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum BadName {
-    /// The text has no characters.
+    /// The string is empty.
     #[error("a name may not be empty")]
     Empty,
-    /// The text has more than [`NAME_MAX`] bytes.
+    /// The string has more than [`NAME_MAX`] bytes.
     #[error("a name has at most {NAME_MAX} bytes, this one has {0}")]
     TooLong(usize),
-    /// The text holds a character outside `a-z`, `0-9`, `-`, `_`.
+    /// The string contains a character other than `a-z`, `0-9`, `-` and `_`, or begins
+    /// with `-` or `_`.
     #[error(
         "`{0}` may not stand in a name: only a-z, 0-9, `-` and `_` may, and a letter or digit first"
     )]
     BadChar(char),
 }
 
-/// A hash that is the same on every machine and in every release.
+/// A hash value that is the same on all machines and in all releases.
 pub type StableHash = u64;
 
-/// Hashes `parts` the same way everywhere; the basis of rendezvous choices.
+/// Hashes `parts` in the same way on all machines and in all releases, as rendezvous
+/// hashing requires.
 #[must_use]
 pub fn stable_hash(parts: &[&[u8]]) -> StableHash {
     let mut hasher = xxhash_rust::xxh3::Xxh3::new();
@@ -50,9 +52,9 @@
         return Err(BadName::TooLong(raw.len()));
     }
     for (i, c) in raw.chars().enumerate() {
-        let plain = c.is_ascii_lowercase() || c.is_ascii_digit();
-        let inner = i > 0 && matches!(c, '-' | '_');
-        if !plain && !inner {
+        let alphanumeric = c.is_ascii_lowercase() || c.is_ascii_digit();
+        let separator = i > 0 && matches!(c, '-' | '_');
+        if !alphanumeric && !separator {
             return Err(BadName::BadChar(c));
         }
     }
@@ -117,22 +119,23 @@
 }
 
 names! {
-    /// Names a brand: one audience or organisation with its own assistants.
+    /// Name of a brand: an audience or organisation with its own assistants.
     BrandName
-    /// Names an adapter; unique over all brands.
+    /// Name of an adapter; unique across all brands.
     AdapterName
-    /// Names a service of a brand.
+    /// Name of a service of a brand.
     ServiceName
-    /// Names a target: an engine or a plain service's replica.
+    /// Name of a target: an engine, or a replica of a plain service (one without
+    /// adapters).
     TargetName
-    /// Names a pool: targets that are alike and stand in for each other.
+    /// Name of a pool: a set of interchangeable targets.
     PoolName
-    /// Names a base model.
+    /// Name of a base model.
     BaseName
-    /// Names an instance: one machine that runs the system's own processes.
+    /// Name of an instance: a machine that runs processes of the serving layer itself.
     InstanceName
-    /// Names an availability zone.
+    /// Name of an availability zone.
     ZoneName
-    /// Names one change by an operator, so that a resend is recognised.
+    /// Id of a change by an operator, by which a retry of the change is recognised.
     ChangeId
 }
--- a/crates/base/src/no.rs
+++ b/crates/base/src/no.rs
@@ -1,35 +1,36 @@
-//! Numbers in place of names, for the decisions made on every request.
+//! Numbers for interned names, which make the decisions on each request cheap.
 //!
-//! A node interns each name once and never gives the number to another name,
-//! so a number may be kept across changes of the text. Numbers have meaning
-//! within one node only; names travel.
+//! A node (one process with its own routing state) assigns a number to each name and
+//! never reuses it for another name, so numbers stay valid across changes of the
+//! configuration text. They are valid within that node only; messages between processes
+//! contain names.
 
 crate::value! {
-    /// An adapter's number within one node.
+    /// Number of an adapter within one node.
     #[derive(Default)]
     pub struct AdapterNo(pub u32);
 
-    /// A brand's number within one node.
+    /// Number of a brand within one node.
     #[derive(Default)]
     pub struct BrandNo(pub u32);
 
-    /// A target's number within one node.
+    /// Number of a target within one node.
     #[derive(Default)]
     pub struct TargetNo(pub u32);
 
-    /// An instance's number within one node.
+    /// Number of an instance within one node.
     #[derive(Default)]
     pub struct InstanceNo(pub u32);
 
-    /// A request's number within one node; never reused while it runs.
+    /// Number of a request within one node; not reused while the request runs.
     #[derive(Default)]
     pub struct Ticket(pub u64);
 
-    /// One version of one adapter: what an engine loads and a request runs on.
+    /// One version of an adapter, as engines load it and requests use it.
     pub struct AdapterKey {
-        /// Which adapter.
+        /// The adapter.
         pub adapter: AdapterNo,
-        /// Which of its versions.
+        /// Its version.
         pub version: crate::Version,
     }
 }
--- a/crates/base/src/size.rs
+++ b/crates/base/src/size.rs
@@ -1,11 +1,11 @@
-//! Sizes, rates and counters as types of their own.
+//! Newtypes for sizes, rates, versions and counters.
 
 use std::{fmt, num::ParseIntError, str::FromStr};
 
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// Says why a text is no number of the wanted kind.
+/// A string is not a valid number of the expected unit.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 #[error("`{raw}` is not a number of {unit}: {source}")]
 pub struct BadNumber {
@@ -26,7 +26,7 @@
             pub struct $name(pub $inner);
 
             impl $name {
-                /// Returns the plain number.
+                /// Returns the inner number.
                 #[must_use]
                 pub fn get(self) -> $inner {
                     self.0
@@ -66,17 +66,19 @@
     Bytes(u64), "bytes"
     /// Tokens of a prompt or an answer.
     Tokens(u32), "tokens"
-    /// Events a second.
+    /// Events per second.
     PerSecond(u32), "events a second"
-    /// The version of an adapter; operators count it up.
+    /// The version of an adapter, incremented by operators.
     Version(u32), "an adapter's version"
-    /// The version of the operators' text; the first accepted one is 1, and 0
-    /// means that none has been accepted yet.
+    /// The version of the operators' configuration text. The first accepted text has
+    /// version 1; 0 means that none has been accepted yet.
     TextVersion(u64), "the text's version"
-    /// A fencing number; every new owner of an engine has a greater one.
+    /// A fencing number. Each new owner of an engine gets a greater one, so that orders of
+    /// former owners can be refused.
     Fence(u64), "a fencing number"
-    /// Tells two lives of one process or target apart; it never repeats.
+    /// Identifies one run of a process or target between its start and its end; never
+    /// reused.
     Incarnation(u64), "an incarnation"
-    /// Seed of all that is random in a run.
+    /// Seed of the random number generators of a run.
     Seed(u64), "a seed"
 }
--- a/crates/base/src/time.rs
+++ b/crates/base/src/time.rs
@@ -1,7 +1,7 @@
-//! Time as it is handed in: microseconds on one process's monotonic clock.
+//! Time on a process's monotonic clock, and the margin for clock drift in leases.
 //!
-//! Two processes' values must never be compared. What travels between
-//! processes is a [`Duration`], and the receiver adds it to its own clock.
+//! Times of two processes must never be compared. Messages between processes contain a
+//! [`Duration`], which the receiver adds to the time of its own clock.
 
 use std::{
     fmt,
@@ -11,8 +11,8 @@
 
 use serde::{Deserialize, Serialize};
 
-/// A moment on one process's monotonic clock, in microseconds since an
-/// arbitrary start.
+/// A point in time on one process's monotonic clock, in microseconds since an arbitrary
+/// start.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -22,7 +22,7 @@
     /// The start of the clock.
     pub const ZERO: Time = Time(0);
 
-    /// Makes a moment `ms` milliseconds after the start of the clock.
+    /// Returns the time `ms` milliseconds after the start of the clock.
     #[must_use]
     pub fn from_millis(ms: u64) -> Self {
         Time(ms * 1_000)
@@ -34,7 +34,7 @@
         self.0 / 1_000
     }
 
-    /// Returns the time since `earlier`, or zero when `earlier` is later.
+    /// Returns the time elapsed since `earlier`, or zero if `earlier` is later than `self`.
     #[must_use]
     pub fn since(self, earlier: Time) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
@@ -65,19 +65,20 @@
     }
 }
 
-/// How far two monotonic clocks may run apart, as parts in a thousand.
+/// Assumed maximum difference between the rates of two monotonic clocks, in thousandths.
 ///
-/// Whoever grants a lease waits longer by this margin than the holder may use
-/// it, so that a holder with a slow clock has stopped before the next begins.
+/// The grantor of a lease waits longer than the lease's duration by this margin before
+/// it grants the next one, so that a lessee with a slow clock has stopped by then.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DriftMargin(pub u32);
 
 impl DriftMargin {
-    /// The margin assumed everywhere: 5% covers any working quartz by far and
-    /// leaves room for a slewed clock.
+    /// The margin used throughout: 5% is far more than the drift of any working quartz
+    /// clock and leaves room for clocks that are being slewed.
     pub const DEFAULT: DriftMargin = DriftMargin(50);
 
-    /// Returns how long the grantor of a lease of `d` waits before the next.
+    /// Returns the time that the grantor of a lease of duration `d` waits before it grants
+    /// the next one.
     #[must_use]
     pub fn stretch(self, d: Duration) -> Duration {
         d * (1_000 + self.0) / 1_000
--- a/crates/base/src/verdict.rs
+++ b/crates/base/src/verdict.rs
@@ -1,26 +1,28 @@
-//! Whether a failed request may have run: the one question that a caller with
-//! an application to hand in needs answered.
+//! Failures of requests, each with the verdict whether the request may have run.
+//!
+//! A caller needs the verdict to decide whether it can safely send a request again that
+//! must not run twice, such as the submission of an application.
 
 use std::{fmt, str::FromStr, time::Duration};
 
 use thiserror::Error;
 
-/// Says that a text names no verdict.
+/// A string is not the name of a verdict.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
-#[error("`{0}` is no verdict: not-run, may-have-run or ran")]
+#[error("`{0}` is not a verdict; expected not-run, may-have-run or ran")]
 pub struct BadVerdict(String);
 
 crate::value! {
     /// Whether a request ran at its target.
     ///
-    /// The order is by certainty of execution, so that `max` of two attempts'
-    /// verdicts is the verdict of both together.
+    /// Verdicts are ordered by how certain it is that the request ran, so that the `max`
+    /// of the verdicts of two attempts is the verdict of both together.
     #[serde(rename_all = "kebab-case")]
     pub enum Verdict {
-        /// It certainly did not run: nothing left for the target, or the
-        /// target itself refused before starting.
+        /// It certainly did not run: nothing was sent to the target, or the target refused
+        /// the request without starting it.
         NotRun,
-        /// It may have run; nobody can tell.
+        /// It may have run: its outcome is unknown.
         MayHaveRun,
         /// It certainly ran.
         Ran,
@@ -58,35 +60,36 @@
 }
 
 crate::value! {
-    /// Why a request failed; each maps to one HTTP status at the boundary.
+    /// Why a request failed. Each reason has one HTTP status; see [`Refusal::status`].
     #[serde(rename_all = "kebab-case")]
     pub enum Refusal {
         /// The request itself is malformed.
         BadRequest,
-        /// The key names no brand.
+        /// The caller's key belongs to no brand.
         BadKey,
         /// The brand has no such assistant or service.
         NotFound,
         /// The body is larger than the limit.
         TooLarge,
-        /// The same idempotency key came with another body.
+        /// The same idempotency key was used with another body.
         KeyReused,
-        /// The same marked request is under way, or was answered before; the
-        /// verdict says which.
+        /// The same marked request is under way or was answered before; the verdict tells
+        /// which.
         Duplicate,
-        /// The brand or class is over its share.
+        /// The brand or class has exceeded its share of the capacity.
         Overloaded,
         /// The deadline can't be met, or has passed.
         Deadline,
-        /// No target can take it now.
+        /// No target can take the request now.
         Unavailable,
-        /// What is needed to claim a marked request can't be reached.
+        /// A marked request could not be claimed, since the control instances that record
+        /// claims can't be reached.
         NoQuorum,
-        /// It gave way to more urgent work and is to be sent again.
+        /// The request was preempted by more urgent work and should be sent again.
         Preempted,
-        /// The engine's owner has just changed; it is to be sent to the new one.
+        /// The engine's owner has just changed; the request should be sent to the new one.
         Moved,
-        /// The target broke off or answered wrongly.
+        /// The target's answer was truncated or invalid.
         TargetFailed,
         /// The caller left.
         CallerGone,
@@ -141,19 +144,20 @@
 }
 
 crate::record! {
-    /// The final answer of a request that the system has given up on.
+    /// The final answer to a request that failed and is not retried any more.
     pub struct Failure {
         /// Why it failed.
         pub reason: Refusal,
         /// Whether it may have run.
         pub verdict: Verdict,
-        /// When the caller may come back, counted from the answer.
+        /// Time after which the caller may retry, counted from the answer.
         pub retry: Option<Duration>,
     }
 }
 
 impl Failure {
-    /// Makes a failure that certainly did not run, with no hint to come back.
+    /// Returns the failure of a request that certainly did not run, without a time for a
+    /// retry.
     #[must_use]
     pub fn not_run(reason: Refusal) -> Self {
         Failure {
@@ -163,7 +167,7 @@
         }
     }
 
-    /// Sets when the caller may come back.
+    /// Sets the time after which the caller may retry.
     #[must_use]
     pub fn retry_after(self, wait: Duration) -> Self {
         Failure {
--- a/crates/base/tests/names.rs
+++ b/crates/base/tests/names.rs
@@ -1,4 +1,4 @@
-//! Names, numbers and times: what is accepted, and what is said otherwise.
+//! Tests of names, numbers, classes, verdicts and times.
 
 use std::time::Duration;
 
@@ -6,7 +6,7 @@
 use googletest::prelude::*;
 
 base::cases! {
-    /// Accepted names come back as written, bad ones say which character.
+    /// Valid names are returned as written; errors name the invalid character.
     name_is_checked: check_name => {
         plain: ("hk-drafting2", None),
         empty: ("", Some("a name may not be empty")),
