--- a/crates/base/src/lib.rs
+++ b/crates/base/src/lib.rs
@@ -9,7 +9,7 @@
 mod derives;
 mod marks;
 mod name;
-mod no;
+mod number;
 mod size;
 mod time;
 mod verdict;
@@ -24,7 +24,7 @@
         AdapterName, BadName, BaseName, BrandName, ChangeId, InstanceName, NAME_MAX, PoolName,
         ServiceName, StableHash, TargetName, ZoneName, stable_hash,
     },
-    no::{AdapterKey, AdapterNo, BrandNo, InstanceNo, TargetNo, Ticket},
+    number::{AdapterKey, AdapterNo, BrandNo, InstanceNo, TargetNo, Ticket},
     size::{BadNumber, Bytes, Fence, Incarnation, PerSecond, Seed, TextVersion, Tokens, Version},
     time::{DriftMargin, Time},
     verdict::{BadVerdict, Failure, Refusal, Verdict},
