--- a/crates/control/src/claims.rs
+++ b/crates/control/src/claims.rs
@@ -118,7 +118,7 @@
     pub fn known(&self, claim: &Claim) -> Option<ClaimReply> {
         let record = self.keys.get(&Key::of(claim))?;
         let reply = record.reply(claim);
-        (!matches!(reply, ClaimReply::Yours | ClaimReply::Running)).then_some(reply)
+        (!matches!(reply, ClaimReply::Granted | ClaimReply::Running)).then_some(reply)
     }
 
     /// Returns the number of keys remembered in full and the number of fingerprints.
@@ -164,7 +164,7 @@
         if !self.has_room(&claim.brand, dated) {
             base::hit!(no_room_for_keys);
             let retry = std::time::Duration::from_millis(self.limits.retry_ms);
-            return ClaimReply::NotNow { retry };
+            return ClaimReply::Deferred { retry };
         }
         self.fingerprints
             .entry(claim.brand.clone())
@@ -172,7 +172,7 @@
             .reserve(dated);
         self.under_way.insert((at, key.clone()));
         self.keys.insert(key, KeyRecord::running(claim, dated, at));
-        ClaimReply::Yours
+        ClaimReply::Granted
     }
 
     /// Applies an outcome at time `at` of the state clock; returns whether it comes from
--- a/crates/control/src/claims/record.rs
+++ b/crates/control/src/claims/record.rs
@@ -84,7 +84,7 @@
             Phase::MayHaveRun => ClaimReply::MayHaveRun,
             // The reply to the first claim was lost and the instance retries. It has not
             // sent the request, as it does so only after a reply.
-            Phase::Running if self.same_attempt(claim) => ClaimReply::Yours,
+            Phase::Running if self.same_attempt(claim) => ClaimReply::Granted,
             Phase::Running => {
                 base::hit!(claimed_by_other);
                 ClaimReply::Running
--- a/crates/control/src/control/calls.rs
+++ b/crates/control/src/control/calls.rs
@@ -192,7 +192,7 @@
             return;
         }
         let retry = Duration::from_millis(RETRY_MS);
-        let reply = Reply::Claim(ClaimReply::NotNow { retry });
+        let reply = Reply::Claim(ClaimReply::Deferred { retry });
         out.push(Output::Reply { ticket, reply });
     }
 }
--- a/crates/control/src/state.rs
+++ b/crates/control/src/state.rs
@@ -168,7 +168,7 @@
         if !self.table.members().contains_key(&claim.instance) {
             base::hit!(unknown_claimer);
             let retry = UNKNOWN_CLAIMER_RETRY;
-            return Some(ClaimReply::NotNow { retry });
+            return Some(ClaimReply::Deferred { retry });
         }
         Some(self.claims.claim(self.at, wall, claim))
     }
--- a/crates/control/tests/control.rs
+++ b/crates/control/tests/control.rs
@@ -209,10 +209,10 @@
     }
     single.hold_writes = false;
     let out = single.input(Input::Wake);
-    let yours = Reply::Claim(ClaimReply::Yours);
+    let granted = Reply::Claim(ClaimReply::Granted);
     let count = replies(&out)
         .iter()
-        .filter(|reply| ***reply == yours)
+        .filter(|reply| ***reply == granted)
         .count();
     assert_that!(count, eq(40));
     let commands = single.disk[before..]
--- a/crates/control/tests/state.rs
+++ b/crates/control/tests/state.rs
@@ -187,8 +187,8 @@
     base::covers!(key_with_other_body);
     base::covers!(fingerprint_found);
     let mut log = Log::new(small());
-    assert_that!(log.claim("a", 1, 1, None), eq(&ClaimReply::Yours));
-    assert_that!(log.claim("a", 1, 1, None), eq(&ClaimReply::Yours));
+    assert_that!(log.claim("a", 1, 1, None), eq(&ClaimReply::Granted));
+    assert_that!(log.claim("a", 1, 1, None), eq(&ClaimReply::Granted));
     assert_that!(log.claim("a", 1, 2, None), eq(&ClaimReply::Running));
     assert_that!(log.claim("b", 1, 1, None), eq(&ClaimReply::Running));
     let mut other = claim("b", 1, 1, None);
@@ -229,13 +229,13 @@
     log.put(What::Lapse(instance_id("a", 1)));
     assert_that!(log.claim("b", 1, 1, None), eq(&ClaimReply::MayHaveRun));
     log.settle("a", 1, 1, Fate::NotRun);
-    assert_that!(log.claim("b", 1, 1, None), eq(&ClaimReply::Yours));
+    assert_that!(log.claim("b", 1, 1, None), eq(&ClaimReply::Granted));
     log.settle("a", 2, 2, Fate::Ran(None));
     assert_that!(log.claim("b", 2, 1, None), eq(&ClaimReply::Ran(None)));
     log.join("b", 2);
     assert_that!(log.claim("a", 1, 3, None), eq(&ClaimReply::MayHaveRun));
     let unknown = log.claim("stranger", 9, 1, None);
-    assert_that!(matches!(unknown, ClaimReply::NotNow { .. }), eq(true));
+    assert_that!(matches!(unknown, ClaimReply::Deferred { .. }), eq(true));
 }
 
 /// Memory is bounded. Keys with a date are forgotten by date and refused from then on;
@@ -251,7 +251,7 @@
     for key in 0..6 {
         log.at += 2_000;
         let dated = Some(u64::from(key) * HOUR);
-        assert_that!(log.claim("a", key, 1, dated), eq(&ClaimReply::Yours));
+        assert_that!(log.claim("a", key, 1, dated), eq(&ClaimReply::Granted));
         log.settle("a", key, 1, Fate::Ran(None));
     }
     log.at += 2_000;
@@ -285,10 +285,10 @@
     );
     log.wall = 6 * HOUR;
     let late = log.claim("b", 13, 2, None);
-    assert_that!(matches!(late, ClaimReply::NotNow { .. }), eq(true));
+    assert_that!(matches!(late, ClaimReply::Deferred { .. }), eq(true));
     assert_that!(
         log.claim("b", 20, 1, Some(6 * HOUR)),
-        eq(&ClaimReply::Yours)
+        eq(&ClaimReply::Granted)
     );
 }
 
--- a/crates/node/src/entry/place.rs
+++ b/crates/node/src/entry/place.rs
@@ -163,13 +163,13 @@
             Ok(Reply::Claim(reply)) => reply,
             Ok(Reply::Elsewhere { leader }) => {
                 shared.leader = leader;
-                ClaimReply::NotNow { retry: CLAIM_RETRY }
+                ClaimReply::Deferred { retry: CLAIM_RETRY }
             }
-            Ok(_) | Err(Verdict::NotRun) => ClaimReply::NotNow { retry: CLAIM_RETRY },
+            Ok(_) | Err(Verdict::NotRun) => ClaimReply::Deferred { retry: CLAIM_RETRY },
             Err(_) => {
                 base::hit!(unknown_claim_released);
                 self.settle_claim(shared, ticket, ClaimOutcome::NotRun, out);
-                ClaimReply::NotNow { retry: CLAIM_RETRY }
+                ClaimReply::Deferred { retry: CLAIM_RETRY }
             }
         }
     }
@@ -404,7 +404,7 @@
 /// Converts the reply to a claim into the input of a [`request::Request`].
 pub(super) fn claim_reply(reply: &ClaimReply) -> Claimed {
     match reply {
-        ClaimReply::Yours => Claimed::Granted,
+        ClaimReply::Granted => Claimed::Granted,
         ClaimReply::Running => Claimed::Running,
         ClaimReply::Ran(answer) => Claimed::Ran {
             kept: answer.is_some(),
@@ -412,6 +412,6 @@
         ClaimReply::MayHaveRun => Claimed::MayHaveRun,
         ClaimReply::OtherBody => Claimed::OtherBody,
         ClaimReply::TooOld => Claimed::TooOld,
-        ClaimReply::NotNow { retry } => Claimed::Deferred { retry: *retry },
+        ClaimReply::Deferred { retry } => Claimed::Deferred { retry: *retry },
     }
 }
--- a/crates/node/tests/node/requests.rs
+++ b/crates/node/tests/node/requests.rs
@@ -121,7 +121,7 @@
     let mut world = World::serving();
     world.arrive(1, "submissions", Some(9));
     let (call, _) = world.held_calls.remove(0);
-    let reply = Ok(Reply::Claim(ClaimReply::Yours));
+    let reply = Ok(Reply::Claim(ClaimReply::Granted));
     world.input(Input::Replied { call, reply });
     let attempt = world.sent.remove(0);
     world.fail(&attempt, Refusal::TargetFailed);
--- a/crates/scenarios/src/world/deliver.rs
+++ b/crates/scenarios/src/world/deliver.rs
@@ -212,7 +212,7 @@
             return;
         };
         match reply {
-            Reply::Claim(ClaimReply::Yours) => {
+            Reply::Claim(ClaimReply::Granted) => {
                 let Some(marked) = entry.marked.get_mut(&id).filter(|m| !m.sent) else {
                     return;
                 };
--- a/crates/wire/src/call.rs
+++ b/crates/wire/src/call.rs
@@ -245,7 +245,8 @@
     /// The answer to a claim.
     pub enum ClaimReply {
         /// The requester, and nobody else, may send the request.
-        Yours,
+        #[serde(rename = "Yours")]
+        Granted,
         /// Another attempt has claimed the key and is under way.
         Running,
         /// The request ran; contains its answer if that was kept.
@@ -257,7 +258,8 @@
         /// The key is dated before the oldest remembered one, so it can never be claimed.
         TooOld,
         /// The key was certainly not claimed; retry later.
-        NotNow {
+        #[serde(rename = "NotNow")]
+        Deferred {
             /// When to retry, counted from the answer.
             retry: Duration,
         },
--- a/xtask/src/capacity/control.rs
+++ b/xtask/src/capacity/control.rs
@@ -329,7 +329,7 @@
                 fate: Fate::Ran(None),
             })
         };
-        let replies = [Reply::Claim(wire::call::ClaimReply::Yours), Reply::Done];
+        let replies = [Reply::Claim(wire::call::ClaimReply::Granted), Reply::Done];
         size = bytes(&claim(0))? + bytes(&settle(0))? + bytes(&replies[0])? + bytes(&replies[1])?;
         let calls = [
             all.clone().map(claim).collect::<Vec<_>>(),
