--- a/crates/control/src/claims.rs
+++ b/crates/control/src/claims.rs
@@ -16,7 +16,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use base::{BrandName, InstanceName, record, stable_hash};
-use wire::call::{Answer, Claim, ClaimReply, Fate, Settle};
+use wire::call::{Answer, Claim, ClaimOutcome, ClaimReply, Settle};
 
 use self::{
     fingerprints::Fingerprints,
@@ -192,10 +192,10 @@
         if matches!(record.phase, Phase::Ran(_)) {
             return true;
         }
-        match &settle.fate {
-            Fate::NotRun => self.free(&key),
-            Fate::Ran(answer) => self.finish(at, &key, Phase::Ran(None), answer.clone()),
-            Fate::MayHaveRun => self.finish(at, &key, Phase::MayHaveRun, None),
+        match &settle.outcome {
+            ClaimOutcome::NotRun => self.free(&key),
+            ClaimOutcome::Ran(answer) => self.finish(at, &key, Phase::Ran(None), answer.clone()),
+            ClaimOutcome::MayHaveRun => self.finish(at, &key, Phase::MayHaveRun, None),
         }
         true
     }
--- a/crates/control/tests/cost.rs
+++ b/crates/control/tests/cost.rs
@@ -9,7 +9,7 @@
 use control::{Command, Item, State, What};
 use googletest::prelude::*;
 use owner::{Change, Config, Grantor, InstanceId, Table};
-use wire::call::{Beat, Call, Claim, Confirm, Fate, Reply, Settle};
+use wire::call::{Beat, Call, Claim, ClaimOutcome, Confirm, Reply, Settle};
 
 fn instance_id(i: usize) -> InstanceId {
     InstanceId {
@@ -177,7 +177,7 @@
                 key: claim.key,
                 instance: claim.instance.clone(),
                 attempt: n,
-                fate: Fate::Ran(None),
+                outcome: ClaimOutcome::Ran(None),
             };
             let items = vec![Item::Claim(claim), Item::Settle(settle)];
             let command = command(n, What::Claims(items));
--- a/crates/control/tests/state.rs
+++ b/crates/control/tests/state.rs
@@ -8,7 +8,7 @@
 use owner::{Change, InstanceId};
 use proptest::prelude::*;
 use wire::{
-    call::{Answer, Claim, ClaimReply, Fate, Settle},
+    call::{Answer, Claim, ClaimOutcome, ClaimReply, Settle},
     operator::{Applied, Why},
 };
 
@@ -76,13 +76,13 @@
         }
     }
 
-    fn settle(&mut self, who: &str, key: u8, attempt: u64, fate: Fate) {
+    fn settle(&mut self, who: &str, key: u8, attempt: u64, outcome: ClaimOutcome) {
         let settle = Settle {
             brand: "brand".parse().unwrap(),
             key: [key; 16],
             instance: who.parse().unwrap(),
             attempt,
-            fate,
+            outcome,
         };
         self.put(What::Claims(vec![Item::Settle(settle)]));
     }
@@ -203,7 +203,7 @@
         content: "text/plain".to_owned(),
         body: b"done".to_vec(),
     });
-    log.settle("a", 1, 1, Fate::Ran(answer.clone()));
+    log.settle("a", 1, 1, ClaimOutcome::Ran(answer.clone()));
     log.reload();
     assert_that!(log.claim("b", 1, 7, None), eq(&ClaimReply::Ran(answer)));
     log.at = 5_000;
@@ -224,13 +224,13 @@
     let mut log = Log::new(small());
     log.claim("a", 1, 1, None);
     log.claim("a", 2, 2, None);
-    log.settle("a", 1, 9, Fate::NotRun);
+    log.settle("a", 1, 9, ClaimOutcome::NotRun);
     assert_that!(log.claim("b", 1, 1, None), eq(&ClaimReply::Running));
     log.put(What::Lapse(instance_id("a", 1)));
     assert_that!(log.claim("b", 1, 1, None), eq(&ClaimReply::MayHaveRun));
-    log.settle("a", 1, 1, Fate::NotRun);
+    log.settle("a", 1, 1, ClaimOutcome::NotRun);
     assert_that!(log.claim("b", 1, 1, None), eq(&ClaimReply::Granted));
-    log.settle("a", 2, 2, Fate::Ran(None));
+    log.settle("a", 2, 2, ClaimOutcome::Ran(None));
     assert_that!(log.claim("b", 2, 1, None), eq(&ClaimReply::Ran(None)));
     log.join("b", 2);
     assert_that!(log.claim("a", 1, 3, None), eq(&ClaimReply::MayHaveRun));
@@ -252,12 +252,12 @@
         log.at += 2_000;
         let dated = Some(u64::from(key) * HOUR);
         assert_that!(log.claim("a", key, 1, dated), eq(&ClaimReply::Granted));
-        log.settle("a", key, 1, Fate::Ran(None));
+        log.settle("a", key, 1, ClaimOutcome::Ran(None));
     }
     log.at += 2_000;
     for key in 10..14 {
         log.claim("a", key, 1, None);
-        log.settle("a", key, 1, Fate::Ran(None));
+        log.settle("a", key, 1, ClaimOutcome::Ran(None));
     }
     for key in 0..6 {
         let want = if key < 4 {
@@ -301,7 +301,7 @@
         let dated = Some(50_000_000_000);
         log.wall = first;
         log.claim("a", 1, 1, dated);
-        log.settle("a", 1, 1, Fate::MayHaveRun);
+        log.settle("a", 1, 1, ClaimOutcome::MayHaveRun);
         log.at = 5_000;
         log.wall = then;
         log.claim("a", 2, 1, None);
@@ -328,9 +328,9 @@
         content: String::new(),
         body: vec![0; 60],
     });
-    log.settle("a", 2, 1, Fate::Ran(answer.clone()));
+    log.settle("a", 2, 1, ClaimOutcome::Ran(answer.clone()));
     log.claim("a", 3, 1, None);
-    log.settle("a", 3, 1, Fate::Ran(answer.clone()));
+    log.settle("a", 3, 1, ClaimOutcome::Ran(answer.clone()));
     assert_that!(log.claim("b", 2, 1, None), eq(&ClaimReply::Ran(None)));
     assert_that!(log.claim("b", 3, 1, None), eq(&ClaimReply::Ran(answer)));
 }
--- a/crates/node/src/entry/place.rs
+++ b/crates/node/src/entry/place.rs
@@ -343,10 +343,10 @@
         let Some(key) = active.key else {
             return;
         };
-        let fate = match outcome {
-            ClaimOutcome::NotRun => call::Fate::NotRun,
-            ClaimOutcome::MayHaveRun => call::Fate::MayHaveRun,
-            ClaimOutcome::Ran => call::Fate::Ran(active.answer.take()),
+        let outcome = match outcome {
+            ClaimOutcome::NotRun => call::ClaimOutcome::NotRun,
+            ClaimOutcome::MayHaveRun => call::ClaimOutcome::MayHaveRun,
+            ClaimOutcome::Ran => call::ClaimOutcome::Ran(active.answer.take()),
         };
         let brand = active.brand.clone();
         let settle = Settle {
@@ -354,7 +354,7 @@
             key: key.hash,
             instance: shared.settings.name.clone(),
             attempt: self.attempt_id(shared, ticket),
-            fate,
+            outcome,
         };
         self.report_outcome(shared, settle, out);
     }
--- a/crates/node/tests/node/requests.rs
+++ b/crates/node/tests/node/requests.rs
@@ -6,7 +6,7 @@
 use googletest::prelude::*;
 use node::{Ending, Event, Input};
 use wire::{
-    call::{Call, ClaimReply, Fate, Reply},
+    call::{Call, ClaimOutcome, ClaimReply, Reply},
     engine::Resident,
 };
 
@@ -110,7 +110,7 @@
     let Call::Settle(settle) = settle else {
         panic!("no settle but {settle:?}");
     };
-    assert_that!(settle.fate, eq(&Fate::NotRun));
+    assert_that!(settle.outcome, eq(&ClaimOutcome::NotRun));
     assert_that!((settle.key, settle.attempt), eq((claim.key, claim.attempt)));
 }
 
@@ -128,7 +128,7 @@
     for _ in 0..3 {
         let (call, settle) = world.held_calls.remove(0);
         assert_that!(
-            matches!(settle, Call::Settle(s) if s.fate == Fate::MayHaveRun),
+            matches!(settle, Call::Settle(s) if s.outcome == ClaimOutcome::MayHaveRun),
             eq(true)
         );
         let reply = Err(Verdict::MayHaveRun);
--- a/crates/scenarios/src/world/act.rs
+++ b/crates/scenarios/src/world/act.rs
@@ -3,7 +3,7 @@
 use base::{TargetName, Time};
 use control::Input;
 use owner::{Input as Holding, Order as Wanted, Output as Told, Ownership};
-use wire::call::{Call, Claim, Fate, Settle};
+use wire::call::{Call, Claim, ClaimOutcome, Settle};
 
 use super::{Msg, Pending, Proc, Step, World};
 use crate::{
@@ -37,7 +37,7 @@
                 self.alias(id);
             }
             Step::SendMarked(id) => self.send_marked(name, id),
-            Step::MarkedLost(id) => self.settle(name, id, Fate::MayHaveRun),
+            Step::MarkedLost(id) => self.settle(name, id, ClaimOutcome::MayHaveRun),
             Step::Sync => {
                 let upto = self.keeper(name).and_then(crate::keeper::Keeper::sync);
                 if let Some(upto) = upto {
@@ -340,7 +340,7 @@
         }
     }
 
-    pub(crate) fn settle(&mut self, name: &str, id: u64, fate: Fate) {
+    pub(crate) fn settle(&mut self, name: &str, id: u64, outcome: ClaimOutcome) {
         let keepers = self.keepers.clone();
         let any = self.pick(&keepers).unwrap();
         let Some(entry) = self.entry(name) else {
@@ -354,7 +354,7 @@
             key: [marked.key; 16],
             instance: name.parse().unwrap(),
             attempt: marked.attempt,
-            fate,
+            outcome,
         };
         let to = entry.leader.clone().unwrap_or(any);
         self.ask(name, &to, Pending::Other, |n| {
--- a/crates/scenarios/src/world/deliver.rs
+++ b/crates/scenarios/src/world/deliver.rs
@@ -7,7 +7,7 @@
 use member::Observation;
 use owner::{Input as Holding, Ownership};
 use wire::{
-    call::{BeatReply, Call, ClaimReply, Fate, Reply},
+    call::{BeatReply, Call, ClaimOutcome, ClaimReply, Reply},
     operator::Applied,
 };
 
@@ -154,7 +154,7 @@
             }
             (Pending::Claim(marked), Msg::Reply(_, reply)) => self.on_claim(name, marked, &reply),
             (Pending::Execute(marked), Msg::Executed(_)) => {
-                self.settle(name, marked, Fate::Ran(None));
+                self.settle(name, marked, ClaimOutcome::Ran(None));
             }
             (Pending::Pass(ticket), Msg::Reply(_, reply)) => self.on_passed(name, ticket, reply),
             (Pending::Change(apply), Msg::Applied(_, applied)) => {
@@ -219,7 +219,7 @@
                 marked.sent = true;
                 let wait = self.roll(0..20);
                 if self.roll(0..10) == 0 {
-                    self.settle(name, id, Fate::NotRun);
+                    self.settle(name, id, ClaimOutcome::NotRun);
                 } else {
                     self.step(name, wait, Step::SendMarked(id));
                 }
--- a/crates/wire/src/call.rs
+++ b/crates/wire/src/call.rs
@@ -286,11 +286,11 @@
         /// The attempt that had claimed the key; see [`Claim::attempt`].
         pub attempt: u64,
         /// The outcome.
-        pub fate: Fate,
+        pub outcome: ClaimOutcome,
     }
 
     /// The outcome of a claimed request.
-    pub enum Fate {
+    pub enum ClaimOutcome {
         /// It certainly did not run: the key can be claimed again.
         NotRun,
         /// It ran; contains its answer if that is small enough to keep.
--- a/xtask/src/capacity/control.rs
+++ b/xtask/src/capacity/control.rs
@@ -7,7 +7,7 @@
 use control::{Checked, Config, Control, Input, Output, Texts};
 use replog::{RawSettings, Record, Replica, ReplicaId, Restored, Settings, Snapshot};
 use wire::{
-    call::{Beat, Call, Claim, Fate, Reply, Settle},
+    call::{Beat, Call, Claim, ClaimOutcome, Reply, Settle},
     operator::{Applied, Apply},
 };
 
@@ -326,7 +326,7 @@
                 key: key(n),
                 instance: instance.clone(),
                 attempt: n,
-                fate: Fate::Ran(None),
+                outcome: ClaimOutcome::Ran(None),
             })
         };
         let replies = [Reply::Claim(wire::call::ClaimReply::Granted), Reply::Done];
