--- a/crates/control/src/control.rs
+++ b/crates/control/src/control.rs
@@ -218,7 +218,7 @@
         for (ticket, _) in std::mem::take(&mut self.claim_queue) {
             if let Some(ticket) = ticket {
                 let leader = leader.clone();
-                let reply = Reply::Elsewhere { leader };
+                let reply = Reply::Redirect { leader };
                 out.push(Output::Reply { ticket, reply });
             }
         }
--- a/crates/control/src/control/answer.rs
+++ b/crates/control/src/control/answer.rs
@@ -117,7 +117,7 @@
                 let leader = self.other_leader();
                 for ticket in tickets.into_iter().flatten() {
                     let leader = leader.clone();
-                    let reply = Reply::Elsewhere { leader };
+                    let reply = Reply::Redirect { leader };
                     out.push(Output::Reply { ticket, reply });
                 }
             }
--- a/crates/control/src/control/calls.rs
+++ b/crates/control/src/control/calls.rs
@@ -30,7 +30,7 @@
             Call::Beat(_) | Call::Claim(_) | Call::Settle(_) if !self.replica.leads(now) => {
                 base::hit!(not_leading);
                 let leader = self.other_leader();
-                Reply::Elsewhere { leader }
+                Reply::Redirect { leader }
             }
             Call::Beat(beat) => Reply::Beat(self.on_beat(now, &beat, out)),
             Call::Claim(claim) => match self.state.claims().known(&claim) {
@@ -41,7 +41,7 @@
             Call::Explain(_) => Reply::Explained(None),
             // The daemon answers these calls itself, from its own knowledge of targets,
             // zones and editions.
-            Call::Sync(_) | Call::Renew { .. } | Call::Edition { .. } => Reply::Elsewhere {
+            Call::Sync(_) | Call::Renew { .. } | Call::Edition { .. } => Reply::Redirect {
                 leader: self.other_leader(),
             },
             Call::Confirm(_) | Call::Residents(_) | Call::Handover(_) | Call::Drain => Reply::Done,
@@ -117,7 +117,7 @@
         let applied = match reply {
             Some(Reply::Applied(applied)) => applied,
             // The called instance doesn't lead, so it has proposed nothing.
-            Some(Reply::Elsewhere { .. }) => Applied::Refused {
+            Some(Reply::Redirect { .. }) => Applied::Refused {
                 why: Why::NoQuorum { retry_ms },
             },
             _ => Applied::Unknown { retry_ms },
@@ -140,7 +140,7 @@
                 requester.answer(Applied::Refused { why })
             }
             (Requester::Control(ticket), leader) => {
-                let reply = Reply::Elsewhere { leader };
+                let reply = Reply::Redirect { leader };
                 Output::Reply { ticket, reply }
             }
         }
--- a/crates/control/tests/control.rs
+++ b/crates/control/tests/control.rs
@@ -155,10 +155,10 @@
 fn an_instance_that_does_not_lead_grants_nothing() {
     base::covers!(not_leading);
     let mut single = SingleInstance::new(Vec::new(), 8 << 20);
-    let elsewhere = Reply::Elsewhere { leader: None };
+    let redirect = Reply::Redirect { leader: None };
     for call in [beat(1, 0), claim(1)] {
         let (_, out) = single.call(call);
-        assert_that!(replies(&out), elements_are![eq(&&elsewhere)]);
+        assert_that!(replies(&out), elements_are![eq(&&redirect)]);
     }
     let out = single.apply("one", 0, "a\n");
     let why = Why::NoQuorum { retry_ms: 1_000 };
--- a/crates/controld/src/peers.rs
+++ b/crates/controld/src/peers.rs
@@ -34,7 +34,7 @@
 async fn take(state: Arc<State>, call: Call) -> Reply {
     let (ticket, reply) = state.expect_reply();
     state.tell(Input::Call { ticket, call });
-    reply.await.unwrap_or(Reply::Elsewhere { leader: None })
+    reply.await.unwrap_or(Reply::Redirect { leader: None })
 }
 
 /// Sends a message of the log in the background.
@@ -56,7 +56,7 @@
     tokio::spawn(async move {
         let reply = match address {
             Some(address) => passed(&state, address, apply).await,
-            None => Some(Reply::Elsewhere { leader: None }),
+            None => Some(Reply::Redirect { leader: None }),
         };
         state.tell(Input::Forwarded { ticket, reply });
     });
@@ -68,7 +68,7 @@
     match link.call(Call::Apply(apply), PASS_LIMIT).await {
         Ok(reply) => Some(reply),
         Err(err) if err.verdict() == base::Verdict::NotRun => {
-            Some(Reply::Elsewhere { leader: None })
+            Some(Reply::Redirect { leader: None })
         }
         Err(_) => None,
     }
--- a/crates/frontd/src/control.rs
+++ b/crates/frontd/src/control.rs
@@ -247,7 +247,7 @@
 async fn forward_call(jobs: mpsc::UnboundedSender<Job>, call: Call) -> Reply {
     let (to, reply) = tokio::sync::oneshot::channel();
     jobs.send(Job::Call { call, to }).ok();
-    reply.await.unwrap_or(Reply::Elsewhere { leader: None })
+    reply.await.unwrap_or(Reply::Redirect { leader: None })
 }
 
 #[cfg(test)]
--- a/crates/frontd/src/control/shell/zones.rs
+++ b/crates/frontd/src/control/shell/zones.rs
@@ -92,7 +92,7 @@
         // the requester's zones to others since.
         if !self.control.leads(now) {
             let leader = self.leader();
-            return Reply::Elsewhere { leader };
+            return Reply::Redirect { leader };
         }
         self.granter.renew(now, instance, zone);
         Reply::Renewed(self.owned_by(instance))
--- a/crates/node/src/entry.rs
+++ b/crates/node/src/entry.rs
@@ -450,7 +450,7 @@
     ) {
         match reply {
             Ok(Reply::Done | Reply::Claim(_)) => return,
-            Ok(Reply::Elsewhere { leader }) => shared.leader = leader,
+            Ok(Reply::Redirect { leader }) => shared.leader = leader,
             _ => self.rotation += 1,
         }
         self.unsettled.push(settle);
--- a/crates/node/src/entry/place.rs
+++ b/crates/node/src/entry/place.rs
@@ -124,7 +124,7 @@
         out: &mut Out,
     ) -> bool {
         match reply {
-            Ok(Reply::Elsewhere { leader }) => shared.leader.clone_from(leader),
+            Ok(Reply::Redirect { leader }) => shared.leader.clone_from(leader),
             Err(Verdict::NotRun) => shared.leader = None,
             _ => return false,
         }
@@ -161,7 +161,7 @@
     ) -> ClaimReply {
         match reply {
             Ok(Reply::Claim(reply)) => reply,
-            Ok(Reply::Elsewhere { leader }) => {
+            Ok(Reply::Redirect { leader }) => {
                 shared.leader = leader;
                 ClaimReply::Deferred { retry: CLAIM_RETRY }
             }
--- a/crates/node/src/heartbeat.rs
+++ b/crates/node/src/heartbeat.rs
@@ -106,7 +106,7 @@
                 self.last_reply = Some(now);
                 broadcast(reply, out);
             }
-            Ok(Reply::Elsewhere { leader }) => {
+            Ok(Reply::Redirect { leader }) => {
                 shared.leader = leader.filter(|name| *name != control);
                 self.try_next(now);
             }
--- a/crates/node/tests/node/requests.rs
+++ b/crates/node/tests/node/requests.rs
@@ -238,7 +238,7 @@
         };
         attempts.push(claim.attempt);
         let leader = Some("control-2".parse().unwrap());
-        let reply = Ok(Reply::Elsewhere { leader });
+        let reply = Ok(Reply::Redirect { leader });
         world.input(Input::Replied { call, reply });
     }
     assert_that!(attempts, each(eq(&attempts[0])));
--- a/crates/scenarios/src/world/deliver.rs
+++ b/crates/scenarios/src/world/deliver.rs
@@ -124,7 +124,7 @@
         }
         match (pending, msg) {
             (Pending::Beat, Msg::Reply(_, Reply::Beat(reply))) => self.on_beat(name, id, reply),
-            (Pending::Beat, Msg::Reply(_, Reply::Elsewhere { leader })) => {
+            (Pending::Beat, Msg::Reply(_, Reply::Redirect { leader })) => {
                 if let (Some(leader), Some(entry)) = (leader, self.entry(name)) {
                     entry.leader = Some(leader.to_string());
                     self.step(name, 20, Step::Beat { again: false });
@@ -224,7 +224,7 @@
                     self.step(name, wait, Step::SendMarked(id));
                 }
             }
-            Reply::Elsewhere { leader } => {
+            Reply::Redirect { leader } => {
                 entry.leader = leader.as_ref().map(ToString::to_string);
             }
             Reply::Claim(_) => {
--- a/crates/wire/src/call.rs
+++ b/crates/wire/src/call.rs
@@ -118,7 +118,8 @@
         /// Answers [`Call::Explain`]; `None` if the text has no such service.
         Explained(Option<Explained>),
         /// The callee can't answer this call; ask the leader instead.
-        Elsewhere {
+        #[serde(rename = "Elsewhere")]
+        Redirect {
             /// The leader, if the callee knows one.
             leader: Option<InstanceName>,
         },
