--- a/crates/control/src/control/calls.rs
+++ b/crates/control/src/control/calls.rs
@@ -5,7 +5,7 @@
 use base::{InstanceName, Ticket, Time};
 use replog::{Message, ReplicaId};
 use wire::{
-    call::{Beat, BeatReply, Call, ClaimReply, Reply},
+    call::{Call, ClaimReply, Heartbeat, HeartbeatReply, Reply},
     operator::{Applied, Apply, Why},
 };
 
@@ -27,12 +27,12 @@
             // Guard: a former leader that was partitioned or frozen would renew leases
             // and grant claims that a newer leader has given to others. So these calls
             // are answered only by an instance that may act as the leader at this moment.
-            Call::Beat(_) | Call::Claim(_) | Call::Settle(_) if !self.replica.leads(now) => {
+            Call::Heartbeat(_) | Call::Claim(_) | Call::Settle(_) if !self.replica.leads(now) => {
                 base::hit!(not_leading);
                 let leader = self.other_leader();
                 Reply::Redirect { leader }
             }
-            Call::Beat(beat) => Reply::Beat(self.on_beat(now, &beat, out)),
+            Call::Heartbeat(beat) => Reply::Heartbeat(self.on_beat(now, &beat, out)),
             Call::Claim(claim) => match self.state.claims().known(&claim) {
                 Some(known) => Reply::Claim(known),
                 None => return self.on_item(ticket, Item::Claim(claim), out),
@@ -173,7 +173,7 @@
         }
     }
 
-    fn on_beat(&mut self, now: Time, beat: &Beat, out: &mut Vec<Output>) -> BeatReply {
+    fn on_beat(&mut self, now: Time, beat: &Heartbeat, out: &mut Vec<Output>) -> HeartbeatReply {
         if !beat.shares.is_empty() {
             let shares = beat.shares.clone();
             self.shares.insert(beat.instance.clone(), shares);
--- a/crates/control/tests/control.rs
+++ b/crates/control/tests/control.rs
@@ -7,7 +7,7 @@
 use googletest::prelude::*;
 use replog::{RawSettings, Record, Replica, ReplicaId, Restored, Settings};
 use wire::{
-    call::{Beat, Call, Claim, ClaimReply, Reply},
+    call::{Call, Claim, ClaimReply, Heartbeat, Reply},
     operator::{Applied, Apply, Why},
 };
 
@@ -105,7 +105,7 @@
 }
 
 fn beat(serial: u64, roster: u64) -> Call {
-    Call::Beat(Beat {
+    Call::Heartbeat(Heartbeat {
         instance: "n1".parse().unwrap(),
         zone: "za".parse().unwrap(),
         incarnation: Incarnation(1),
@@ -176,7 +176,7 @@
     let mut got = None;
     for serial in 1..6 {
         let (_, out) = single.call(beat(serial, roster));
-        let [Reply::Beat(reply)] = replies(&out)[..] else {
+        let [Reply::Heartbeat(reply)] = replies(&out)[..] else {
             panic!("no reply to a heartbeat: {out:?}");
         };
         assert_that!(reply.text, eq(TextVersion(1)));
--- a/crates/control/tests/cost.rs
+++ b/crates/control/tests/cost.rs
@@ -9,7 +9,7 @@
 use control::{Command, Item, State, What};
 use googletest::prelude::*;
 use owner::{Change, Config, Grantor, InstanceId, Table};
-use wire::call::{Beat, Call, Claim, ClaimOutcome, Confirm, Reply, Settle};
+use wire::call::{Call, Claim, ClaimOutcome, Confirm, Heartbeat, Reply, Settle};
 
 fn instance_id(i: usize) -> InstanceId {
     InstanceId {
@@ -18,10 +18,10 @@
     }
 }
 
-fn beat(i: usize, serial: u64, roster: u64, engines: Option<usize>) -> Beat {
+fn beat(i: usize, serial: u64, roster: u64, engines: Option<usize>) -> Heartbeat {
     let id = instance_id(i);
     let names = |count| (0..count).map(|e| format!("engine-{e:04}").parse().unwrap());
-    Beat {
+    Heartbeat {
         instance: id.instance,
         zone: "zone-0".parse().unwrap(),
         incarnation: id.incarnation,
@@ -81,8 +81,8 @@
         let beat = beat(0, serial, roster, engines);
         let now = Time::from_millis(serial * 1_000);
         let part = grantor.heartbeat(now, &beat, &table, &mut Vec::new());
-        let reply = Reply::Beat(part.reply(serial, beat.text));
-        (bytes(&Call::Beat(beat)), bytes(&reply))
+        let reply = Reply::Heartbeat(part.reply(serial, beat.text));
+        (bytes(&Call::Heartbeat(beat)), bytes(&reply))
     };
     let first = size(1, 0, Some(engines));
     (first, size(2, index, None))
--- a/crates/node/src/engines/calls.rs
+++ b/crates/node/src/engines/calls.rs
@@ -6,7 +6,7 @@
 use base::{InstanceName, Time, Verdict};
 use owner::Input as LesseeInput;
 use route::Input as SchedulerInput;
-use wire::call::{Beat, Call, Reply, Share};
+use wire::call::{Call, Heartbeat, Reply, Share};
 
 use super::{Engines, residents};
 use crate::{
@@ -36,7 +36,7 @@
         let changed = self.reported.as_ref() != Some(&engines);
         self.reported = Some(engines.clone());
         let settings = &shared.settings;
-        let beat = Beat {
+        let beat = Heartbeat {
             instance: settings.name.clone(),
             zone: settings.zone.clone(),
             incarnation: settings.incarnation,
@@ -59,7 +59,7 @@
             HEARTBEAT,
             purpose,
             address,
-            Call::Beat(beat),
+            Call::Heartbeat(beat),
             HEARTBEAT_TIMEOUT,
             out,
         );
--- a/crates/node/src/engines/ownership.rs
+++ b/crates/node/src/engines/ownership.rs
@@ -4,7 +4,7 @@
 use base::{Fence, Incarnation, TargetName, TargetNo, Time};
 use owner::{Input as LesseeInput, Output as LesseeOutput, Ownership};
 use route::{Engine as Owned, Input as SchedulerInput, LoadPolicy};
-use wire::call::{BeatReply, Call};
+use wire::call::{Call, HeartbeatReply};
 
 use super::{Engines, orders::Sent};
 use crate::{
@@ -204,7 +204,7 @@
         &mut self,
         shared: &mut Shared,
         now: Time,
-        reply: BeatReply,
+        reply: HeartbeatReply,
         out: &mut Out,
     ) {
         self.leader_heard = now;
--- a/crates/node/src/heartbeat.rs
+++ b/crates/node/src/heartbeat.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use base::{InstanceName, Time, Verdict};
-use wire::call::{BeatReply, Reply};
+use wire::call::{HeartbeatReply, Reply};
 
 use crate::{
     io::{Event, Output},
@@ -101,7 +101,7 @@
     ) {
         self.waiting = false;
         match reply {
-            Ok(Reply::Beat(reply)) if reply.serial == serial => {
+            Ok(Reply::Heartbeat(reply)) if reply.serial == serial => {
                 shared.leader = Some(control);
                 self.last_reply = Some(now);
                 broadcast(reply, out);
@@ -142,7 +142,7 @@
 /// Time limit for a heartbeat's reply.
 pub(crate) const HEARTBEAT_TIMEOUT: Duration = CALL_TIMEOUT;
 
-fn broadcast(reply: BeatReply, out: &mut Out) {
+fn broadcast(reply: HeartbeatReply, out: &mut Out) {
     for name in ALL.into_iter().filter(|name| *name != HEARTBEAT) {
         out.send(name, Msg::HeartbeatReply(Box::new(reply.clone())));
     }
--- a/crates/node/src/msg.rs
+++ b/crates/node/src/msg.rs
@@ -5,7 +5,7 @@
 use base::{AdapterKey, Failure, Fence, Incarnation, InstanceName, TargetNo, Ticket, Verdict};
 use kernel::Name;
 use route::{RequestSpec, RouterUpdate};
-use wire::call::{BeatReply, Call, Reply};
+use wire::call::{Call, HeartbeatReply, Reply};
 
 use crate::{io::Input, shared::Purpose};
 
@@ -44,7 +44,7 @@
     /// Targets or peers changed.
     FleetChanged,
     /// The leader answered a heartbeat.
-    HeartbeatReply(Box<BeatReply>),
+    HeartbeatReply(Box<HeartbeatReply>),
     /// Send a heartbeat at once instead of at the end of the interval.
     HeartbeatNow,
     /// Build a heartbeat and send it to a control instance.
--- a/crates/node/tests/node/world.rs
+++ b/crates/node/tests/node/world.rs
@@ -11,7 +11,7 @@
     Arrival, Attempt, Ending, Event, Input, Node, Order, OrderEnd, Output, Progress, Settings,
 };
 use wire::{
-    call::{Beat, BeatReply, Call, Lease, Peer, Reply},
+    call::{Call, Heartbeat, HeartbeatReply, Lease, Peer, Reply},
     engine::Report,
     patch::{self, Patch},
     platform,
@@ -385,7 +385,7 @@
             self.asked = Some(*have);
         }
         let reply = match body {
-            Call::Beat(beat) => Reply::Beat(self.beat(&beat)),
+            Call::Heartbeat(beat) => Reply::Heartbeat(self.beat(&beat)),
             Call::Version => Reply::Version(self.text.0),
             Call::Text { .. } if !self.held_text => Reply::Text {
                 version: self.text.0,
@@ -400,7 +400,7 @@
         Some(Input::Replied { call, reply })
     }
 
-    fn beat(&self, beat: &Beat) -> BeatReply {
+    fn beat(&self, beat: &Heartbeat) -> HeartbeatReply {
         let owns: Vec<(TargetName, Fence)> = self
             .owned
             .iter()
@@ -428,7 +428,7 @@
                 .map(|(target, fence)| (name(target), *fence))
                 .collect(),
         });
-        BeatReply {
+        HeartbeatReply {
             serial: beat.serial,
             text: self.text.0,
             leases: leases.collect(),
--- a/crates/owner/src/grantor.rs
+++ b/crates/owner/src/grantor.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use base::{Fence, InstanceName, PerSecond, TargetName, TextVersion, Time, ZoneName};
-use wire::call::{Beat, BeatReply, Lease, Peer};
+use wire::call::{Heartbeat, HeartbeatReply, Lease, Peer};
 
 use crate::{Change, Config, InstanceId, Table, store};
 
@@ -41,8 +41,8 @@
     /// Returns the complete reply to the heartbeat `serial`, where `text` is the newest
     /// accepted version of the operators' configuration text.
     #[must_use]
-    pub fn reply(self, serial: u64, text: TextVersion) -> BeatReply {
-        BeatReply {
+    pub fn reply(self, serial: u64, text: TextVersion) -> HeartbeatReply {
+        HeartbeatReply {
             serial,
             text,
             leases: self.leases,
@@ -170,7 +170,7 @@
     pub fn heartbeat(
         &mut self,
         now: Time,
-        beat: &Beat,
+        beat: &Heartbeat,
         table: &Table,
         out: &mut Vec<Change>,
     ) -> Grant {
@@ -229,7 +229,7 @@
 
     /// Records a heartbeat; returns the sender, and whether the heartbeat contains
     /// anything that may require a change of owners.
-    fn note(&mut self, now: Time, beat: &Beat) -> (InstanceId, bool) {
+    fn note(&mut self, now: Time, beat: &Heartbeat) -> (InstanceId, bool) {
         let id = InstanceId {
             instance: beat.instance.clone(),
             incarnation: beat.incarnation,
@@ -260,7 +260,13 @@
         (id, urgent)
     }
 
-    fn leases(&mut self, now: Time, beat: &Beat, id: &InstanceId, table: &Table) -> Vec<Lease> {
+    fn leases(
+        &mut self,
+        now: Time,
+        beat: &Heartbeat,
+        id: &InstanceId,
+        table: &Table,
+    ) -> Vec<Lease> {
         if beat.leaving {
             return Vec::new();
         }
--- a/crates/owner/src/lessee.rs
+++ b/crates/owner/src/lessee.rs
@@ -7,7 +7,7 @@
 
 use base::{Fence, InstanceName, TargetName, Time, ZoneName};
 use wire::{
-    call::{BeatReply, Confirm, Handover, Lease, Peer},
+    call::{Confirm, Handover, HeartbeatReply, Lease, Peer},
     engine::Resident,
 };
 
@@ -61,7 +61,7 @@
         serial: u64,
     },
     /// The leader's reply to a heartbeat.
-    Reply(BeatReply),
+    Reply(HeartbeatReply),
     /// A zone peer answered [`Output::Ask`].
     Confirmed {
         /// The zone peer.
--- a/crates/owner/src/lessee/held.rs
+++ b/crates/owner/src/lessee/held.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use super::{
-    BeatReply, Confirm, EARLY_HANDOVERS_MAX, Fence, Handover, InstanceName, Lease, Lessee, Lost,
-    Output, Ownership, Resident, SENT_MAX, TargetName, Time, confirm_time, fence_of,
+    Confirm, EARLY_HANDOVERS_MAX, Fence, Handover, HeartbeatReply, InstanceName, Lease, Lessee,
+    Lost, Output, Ownership, Resident, SENT_MAX, TargetName, Time, confirm_time, fence_of,
 };
 
 /// A lease on one engine.
@@ -103,7 +103,7 @@
         }
     }
 
-    pub(super) fn on_reply(&mut self, now: Time, reply: BeatReply) {
+    pub(super) fn on_reply(&mut self, now: Time, reply: HeartbeatReply) {
         // Guard: a reply that arrives out of order, or from a leader that has been
         // replaced since, must not restore a lease. Only replies with a higher serial are
         // accepted, and a lease counts from when its heartbeat was sent.
@@ -137,7 +137,7 @@
         }
     }
 
-    fn take_roster(&mut self, reply: &BeatReply) {
+    fn take_roster(&mut self, reply: &HeartbeatReply) {
         if reply.roster < self.roster && !reply.whole {
             return;
         }
--- a/crates/owner/tests/grantor.rs
+++ b/crates/owner/tests/grantor.rs
@@ -5,7 +5,7 @@
 use base::{Fence, Incarnation, PerSecond, TextVersion, Time};
 use googletest::prelude::*;
 use owner::{Change, Config, Grant, Grantor, InstanceId, Table, fixed_share, shares};
-use wire::call::Beat;
+use wire::call::Heartbeat;
 
 /// A leader and its log; every proposal is applied at once.
 struct Leader {
@@ -31,7 +31,7 @@
 
     fn heartbeat(&mut self, ms: u64, name: &str, engines: &[&str], leaving: bool) -> Grant {
         self.serial += 1;
-        let beat = Beat {
+        let beat = Heartbeat {
             instance: name.parse().unwrap(),
             zone: "za".parse().unwrap(),
             incarnation: Incarnation(1),
--- a/crates/owner/tests/lessee.rs
+++ b/crates/owner/tests/lessee.rs
@@ -5,7 +5,7 @@
 use base::{Fence, Time};
 use googletest::prelude::*;
 use owner::{Config, Input, Lessee, Order, Output, Ownership};
-use wire::call::{BeatReply, Confirm, Handover, Lease, Peer};
+use wire::call::{Confirm, Handover, HeartbeatReply, Lease, Peer};
 
 /// Milliseconds after its start at which a lessee certainly accepts engines; before, it
 /// might break a promise that its previous incarnation gave.
@@ -24,14 +24,14 @@
     }
 }
 
-fn reply(serial: u64, leases: &[(&str, u64, &[u64])]) -> BeatReply {
+fn reply(serial: u64, leases: &[(&str, u64, &[u64])]) -> HeartbeatReply {
     let leases = leases.iter().map(|(target, fence, former)| Lease {
         target: target.parse().unwrap(),
         fence: Fence(*fence),
         lasts: Duration::from_secs(3),
         former: former.iter().copied().map(Fence).collect(),
     });
-    BeatReply {
+    HeartbeatReply {
         serial,
         text: base::TextVersion(0),
         leases: leases.collect(),
@@ -55,7 +55,7 @@
     out
 }
 
-fn heartbeat(lessee: &mut Lessee, ms: u64, reply: BeatReply) -> Vec<Output> {
+fn heartbeat(lessee: &mut Lessee, ms: u64, reply: HeartbeatReply) -> Vec<Output> {
     let serial = reply.serial;
     step(lessee, ms, Input::Sent { serial });
     step(lessee, ms + 5, Input::Reply(reply))
--- a/crates/quetzalarch/examples/embed.rs
+++ b/crates/quetzalarch/examples/embed.rs
@@ -15,7 +15,7 @@
     base::{Fence, Incarnation, Seed, TextVersion, Ticket, Time, Tokens},
     request::Part,
     wire::{
-        call::{Beat, BeatReply, Call, Lease, Peer, Reply},
+        call::{Call, Heartbeat, HeartbeatReply, Lease, Peer, Reply},
         engine::Report,
         platform,
     },
@@ -177,7 +177,7 @@
 
     fn leader(&self, call: Call) -> Reply {
         match call {
-            Call::Beat(beat) => Reply::Beat(leases(&beat)),
+            Call::Heartbeat(beat) => Reply::Heartbeat(leases(&beat)),
             Call::Version => Reply::Version(TextVersion(1)),
             Call::Text { .. } => Reply::Text {
                 version: TextVersion(1),
@@ -193,10 +193,10 @@
 }
 
 /// Plays the leader's answer to a heartbeat: the node owns the engine `e-1`.
-fn leases(beat: &Beat) -> BeatReply {
+fn leases(beat: &Heartbeat) -> HeartbeatReply {
     let target: quetzalarch::base::TargetName = "e-1".parse().expect("a name");
     let fence = Fence(7);
-    BeatReply {
+    HeartbeatReply {
         serial: beat.serial,
         text: TextVersion(1),
         leases: vec![Lease {
--- a/crates/scenarios/src/entry.rs
+++ b/crates/scenarios/src/entry.rs
@@ -5,7 +5,7 @@
 use base::{ChangeId, Fence, Incarnation, TargetName, TextVersion, Time};
 use member::Targets;
 use owner::{Config, Lessee};
-use wire::{call::Beat, engine::Resident};
+use wire::{call::Heartbeat, engine::Resident};
 
 /// What the instance knows of one engine.
 #[derive(Debug, Default)]
@@ -69,10 +69,10 @@
         }
     }
 
-    pub(crate) fn beat(&mut self) -> Beat {
+    pub(crate) fn beat(&mut self) -> Heartbeat {
         self.serial += 1;
         let tell = std::mem::take(&mut self.tell);
-        Beat {
+        Heartbeat {
             instance: self.name.parse().unwrap(),
             zone: self.zone.parse().unwrap(),
             incarnation: Incarnation(self.life),
--- a/crates/scenarios/src/world/act.rs
+++ b/crates/scenarios/src/world/act.rs
@@ -127,7 +127,7 @@
         let beat = entry.beat();
         // The hint is used once: without answer the next beat goes elsewhere.
         let to = entry.leader.take().unwrap_or(any);
-        let call = Call::Beat(beat);
+        let call = Call::Heartbeat(beat);
         self.ask(name, &to, Pending::Beat, |id| Msg::Call(id, call));
     }
 
--- a/crates/scenarios/src/world/deliver.rs
+++ b/crates/scenarios/src/world/deliver.rs
@@ -7,7 +7,7 @@
 use member::Observation;
 use owner::{Input as Holding, Ownership};
 use wire::{
-    call::{BeatReply, Call, ClaimOutcome, ClaimReply, Reply},
+    call::{Call, ClaimOutcome, ClaimReply, HeartbeatReply, Reply},
     operator::Applied,
 };
 
@@ -123,7 +123,9 @@
             return;
         }
         match (pending, msg) {
-            (Pending::Beat, Msg::Reply(_, Reply::Beat(reply))) => self.on_beat(name, id, reply),
+            (Pending::Beat, Msg::Reply(_, Reply::Heartbeat(reply))) => {
+                self.on_beat(name, id, reply)
+            }
             (Pending::Beat, Msg::Reply(_, Reply::Redirect { leader })) => {
                 if let (Some(leader), Some(entry)) = (leader, self.entry(name)) {
                     entry.leader = Some(leader.to_string());
@@ -181,7 +183,7 @@
         }
     }
 
-    fn on_beat(&mut self, name: &str, id: u64, reply: BeatReply) {
+    fn on_beat(&mut self, name: &str, id: u64, reply: HeartbeatReply) {
         let from = self.last_sender(id);
         let Some(entry) = self.entry(name) else {
             return;
--- a/crates/wire/src/call.rs
+++ b/crates/wire/src/call.rs
@@ -25,7 +25,8 @@
     /// A call from one process to another.
     pub enum Call {
         /// Entry to control: heartbeat, which also renews leases on engines.
-        Beat(Beat),
+        #[serde(rename = "Beat")]
+        Heartbeat(Heartbeat),
         /// Any instance to any other: asks which version of the configuration text is in
         /// force there.
         Version,
@@ -79,8 +80,9 @@
     pub enum Reply {
         /// The call was carried out; there is nothing to return.
         Done,
-        /// Answers [`Call::Beat`].
-        Beat(BeatReply),
+        /// Answers [`Call::Heartbeat`].
+        #[serde(rename = "Beat")]
+        Heartbeat(HeartbeatReply),
         /// Answers [`Call::Version`].
         Version(TextVersion),
         /// Answers [`Call::Text`] with a newer text.
@@ -126,7 +128,7 @@
     }
 
     /// A heartbeat of an entry instance.
-    pub struct Beat {
+    pub struct Heartbeat {
         /// The sender.
         pub instance: InstanceName,
         /// The sender's zone.
@@ -144,7 +146,7 @@
         /// The greatest serial among the replies processed so far.
         pub heard: u64,
         /// The state of the roster that the sender has, from the last
-        /// [`BeatReply::roster`].
+        /// [`HeartbeatReply::roster`].
         pub roster: u64,
         /// Engines of its own zone that the sender can reach, from the platform's list.
         /// Sent when they change or when the leader asks for them, otherwise absent.
@@ -178,7 +180,7 @@
     }
 
     /// The leader's answer to a heartbeat.
-    pub struct BeatReply {
+    pub struct HeartbeatReply {
         /// The serial of the heartbeat; leases count from the time it was sent.
         pub serial: u64,
         /// The newest accepted version of the configuration text.
@@ -198,7 +200,7 @@
         pub peers: Vec<Peer>,
         /// Entry instances that were removed since the requester's roster.
         pub gone: Vec<InstanceName>,
-        /// Whether the next heartbeat should contain [`Beat::engines`].
+        /// Whether the next heartbeat should contain [`Heartbeat::engines`].
         pub tell: bool,
     }
 
--- a/xtask/src/capacity/control.rs
+++ b/xtask/src/capacity/control.rs
@@ -7,7 +7,7 @@
 use control::{Checked, Config, Control, Input, Output, Texts};
 use replog::{RawSettings, Record, Replica, ReplicaId, Restored, Settings, Snapshot};
 use wire::{
-    call::{Beat, Call, Claim, ClaimOutcome, Reply, Settle},
+    call::{Call, Claim, ClaimOutcome, Heartbeat, Reply, Settle},
     operator::{Applied, Apply},
 };
 
@@ -170,8 +170,8 @@
     serial: u64,
     roster: u64,
     engines: Option<Vec<base::TargetName>>,
-) -> Result<Beat> {
-    Ok(Beat {
+) -> Result<Heartbeat> {
+    Ok(Heartbeat {
         instance: format!("instance-{i:04}").parse()?,
         zone: format!("zone-{}", i % 8).parse()?,
         incarnation: Incarnation(1_700_000_000_000 + i as u64),
@@ -226,17 +226,17 @@
         self.sizes.1 = 0.0;
         for i in 0..self.rosters.len() {
             let engines = if self.tell[i] { Some(reach(i)?) } else { None };
-            let call = Call::Beat(beat(i, self.serial, self.rosters[i], engines)?);
+            let call = Call::Heartbeat(beat(i, self.serial, self.rosters[i], engines)?);
             self.sizes.0 = bytes(&call)?;
             let began = Instant::now();
             let reply = self.alone.call(call);
             self.spent += began.elapsed();
-            let Some(Reply::Beat(reply)) = reply else {
+            let Some(Reply::Heartbeat(reply)) = reply else {
                 continue;
             };
             self.rosters[i] = reply.roster;
             self.tell[i] = reply.tell;
-            self.sizes.1 += bytes(&Reply::Beat(reply))?;
+            self.sizes.1 += bytes(&Reply::Heartbeat(reply))?;
         }
         let began = Instant::now();
         self.alone.pass(1_000);
@@ -276,7 +276,7 @@
     let steady = fleet.spent.as_secs_f64() * 1e3 / MEASURED as f64;
     let reply = fleet.sizes.1 / count;
     let serial = fleet.serial + 1;
-    let first = fleet.alone.call(Call::Beat(beat(0, serial, 0, None)?));
+    let first = fleet.alone.call(Call::Heartbeat(beat(0, serial, 0, None)?));
     let first = bytes(&first.context("no reply to a first beat")?)?;
     Ok(vec![
         steady,
@@ -300,7 +300,7 @@
     let mut alone = Alone::new(1, None, Vec::new())?;
     alone.lead()?;
     for round in 1..4 {
-        alone.call(Call::Beat(beat(0, round, 0, Some(reach(0)?))?));
+        alone.call(Call::Heartbeat(beat(0, round, 0, Some(reach(0)?))?));
         alone.pass(1_000);
     }
     let instance: base::InstanceName = "instance-0000".parse()?;
--- a/xtask/src/capacity/world.rs
+++ b/xtask/src/capacity/world.rs
@@ -11,7 +11,7 @@
 use node::{Arrival, Attempt, Input, Node, Order, OrderEnd, Output, Progress, Settings};
 use request::Part;
 use wire::{
-    call::{Beat, BeatReply, Call, Lease, Peer, Reply, Residents},
+    call::{Call, Heartbeat, HeartbeatReply, Lease, Peer, Reply, Residents},
     engine::{Report, Resident},
     patch::{self, Patch},
     platform,
@@ -273,8 +273,8 @@
     fn call(&mut self, body: Call) -> Result<Reply> {
         let size = rmp_serde::to_vec(&body)?.len() as u64;
         let reply = match body {
-            Call::Beat(beat) => {
-                let reply = Reply::Beat(self.beat(&beat));
+            Call::Heartbeat(beat) => {
+                let reply = Reply::Heartbeat(self.beat(&beat));
                 count(&mut self.beats, size);
                 count(&mut self.replies, rmp_serde::to_vec(&reply)?.len() as u64);
                 reply
@@ -310,7 +310,7 @@
         Ok(reply)
     }
 
-    fn beat(&self, beat: &Beat) -> BeatReply {
+    fn beat(&self, beat: &Heartbeat) -> HeartbeatReply {
         let owns = &self.peers[0].owns;
         let leases = owns.iter().map(|(target, fence)| Lease {
             target: target.clone(),
@@ -319,7 +319,7 @@
             former: Vec::new(),
         });
         let whole = beat.roster == 0;
-        BeatReply {
+        HeartbeatReply {
             serial: beat.serial,
             text: self.text.0,
             leases: leases.collect(),
