--- a/crates/frontd/src/entry/sync.rs
+++ b/crates/frontd/src/entry/sync.rs
@@ -143,7 +143,7 @@
     /// older update would undo a newer one, and changes since an update that was reset
     /// leave out what is not known here.
     fn accepts(&self, known: u64, synced: &Synced) -> bool {
-        if synced.whole {
+        if synced.full {
             return known == self.update || synced.news > self.update;
         }
         known <= self.update && synced.news >= self.update
@@ -321,7 +321,7 @@
     drop(inner);
     state.view().set_versions(state.now(), synced.versions);
     match synced.targets {
-        Some(targets) if fits && synced.whole => {
+        Some(targets) if fits && synced.full => {
             state.set_targets(now, &synced.zones, targets);
         }
         targets if fits => {
--- a/crates/frontd/tests/unit/sync.rs
+++ b/crates/frontd/tests/unit/sync.rs
@@ -13,7 +13,7 @@
     };
     let synced = Synced {
         news: update,
-        whole: full,
+        full,
         ..Synced::default()
     };
     assert_that!(inner.accepts(known, &synced), eq(accepted));
--- a/crates/gateway/src/zone_owner.rs
+++ b/crates/gateway/src/zone_owner.rs
@@ -516,7 +516,7 @@
         let mut synced = Synced {
             news: self.updates.last(),
             targets: delta.targets,
-            whole: delta.full,
+            full: delta.full,
             gone: delta.gone,
             waits: self.waits(&sync.wants),
             zones: zones.to_vec(),
--- a/crates/gateway/tests/zone_owner/target_updates.rs
+++ b/crates/gateway/tests/zone_owner/target_updates.rs
@@ -38,14 +38,14 @@
 fn only_what_has_changed_is_told() {
     let mut world = World::new(50);
     let all = ask(&mut world, 0);
-    assert_that!((all.whole, ids(&all).len()), eq((true, 50)));
+    assert_that!((all.full, ids(&all).len()), eq((true, 50)));
     let same = ask(&mut world, all.news);
-    assert_that!(same.whole, eq(false));
+    assert_that!(same.full, eq(false));
     assert_that!(same.targets, none());
     world.want(&["m/x"]);
     let order = world.end(OrderOutcome::Accepted);
     let one = ask(&mut world, all.news);
-    assert_that!(one.whole, eq(false));
+    assert_that!(one.full, eq(false));
     assert_that!(ids(&one), eq(&vec![order.id.as_str()]));
     // The platform's list says the same again.
     world.list(&[]);
@@ -62,7 +62,7 @@
     for other in [1, own - 1_000, own + 1_000, u64::MAX] {
         let all = ask(&mut world, other);
         expect_that!(
-            (all.whole, ids(&all).len()),
+            (all.full, ids(&all).len()),
             eq((true, 3)),
             "number {other}"
         );
@@ -79,7 +79,7 @@
     world.list(&[]);
     let less = ask(&mut world, all.news);
     assert_that!(less.gone, eq(&vec!["e3".to_owned()]));
-    assert_that!((less.whole, ids(&less).len()), eq((false, 0)));
+    assert_that!((less.full, ids(&less).len()), eq((false, 0)));
     world.engines = 3;
     world.list(&[]);
     let back = ask(&mut world, all.news);
@@ -100,7 +100,7 @@
     };
     let told = asked(&mut world, again);
     assert_that!(ids(&told), eq(&vec!["e2"]));
-    assert_that!(told.whole, eq(false));
+    assert_that!(told.full, eq(false));
 }
 
 /// The owner loses its zone and gets it back. What changed meanwhile was numbered by
@@ -111,10 +111,10 @@
     let news = ask(&mut world, 0).news;
     world.pass(9_000);
     let lost = ask(&mut world, news);
-    assert_that!((lost.whole, ids(&lost).len()), eq((true, 0)));
+    assert_that!((lost.full, ids(&lost).len()), eq((true, 0)));
     world.own_zone();
     let back = ask(&mut world, lost.news);
-    assert_that!((back.whole, ids(&back).len()), eq((true, 2)));
+    assert_that!((back.full, ids(&back).len()), eq((true, 2)));
 }
 
 /// An exchange that only asks for adapters carries no load, and the load reported before
--- a/crates/node/src/engines/residents.rs
+++ b/crates/node/src/engines/residents.rs
@@ -121,7 +121,7 @@
             return true;
         }
         let next = message.fence.get() == last.fence && message.serial == last.serial + 1;
-        if !message.whole && !next {
+        if !message.full && !next {
             base::hit!(gap_in_residents);
             return false;
         }
@@ -139,7 +139,7 @@
         let residents = Residents {
             target,
             fence: message.fence,
-            full: message.whole,
+            full: message.full,
             added: keys(message.added),
             removed: keys(message.removed),
             running: message.in_flight,
@@ -184,7 +184,7 @@
             target: name.clone(),
             fence,
             serial: self.serials.get(&target).copied().unwrap_or(0),
-            whole: change.full,
+            full: change.full,
             added: named(&change.added),
             removed: named(&change.removed),
             in_flight: change.running,
--- a/crates/node/tests/node/guards.rs
+++ b/crates/node/tests/node/guards.rs
@@ -115,13 +115,13 @@
     assert_that!(world.sent.len(), eq(1));
 }
 
-fn residents(fence: u64, serial: u64, whole: bool) -> Call {
+fn residents(fence: u64, serial: u64, full: bool) -> Call {
     Call::Residents(Residents {
         owner: "blato-1".parse().unwrap(),
         target: "e-2".parse().unwrap(),
         fence: Fence(fence),
         serial,
-        whole,
+        full,
         added: Vec::new(),
         removed: Vec::new(),
         in_flight: 0,
--- a/crates/node/tests/node/world.rs
+++ b/crates/node/tests/node/world.rs
@@ -434,7 +434,7 @@
             leases: leases.collect(),
             loads: 5_000,
             roster: 1,
-            whole: true,
+            full: true,
             peers: [me].into_iter().chain(zone_peers).collect(),
             gone: Vec::new(),
             tell: false,
--- a/crates/owner/src/grantor.rs
+++ b/crates/owner/src/grantor.rs
@@ -48,7 +48,7 @@
             leases: self.leases,
             loads: self.loads,
             roster: self.roster,
-            whole: self.full,
+            full: self.full,
             peers: self.peers,
             gone: self.gone,
             tell: self.want_engines,
--- a/crates/owner/src/lessee/held.rs
+++ b/crates/owner/src/lessee/held.rs
@@ -138,10 +138,10 @@
     }
 
     fn take_roster(&mut self, reply: &HeartbeatReply) {
-        if reply.roster < self.roster && !reply.whole {
+        if reply.roster < self.roster && !reply.full {
             return;
         }
-        if reply.whole {
+        if reply.full {
             self.peers.clear();
         }
         for name in &reply.gone {
--- a/crates/owner/tests/lessee.rs
+++ b/crates/owner/tests/lessee.rs
@@ -37,7 +37,7 @@
         leases: leases.collect(),
         loads: 0,
         roster: serial,
-        whole: true,
+        full: true,
         peers: vec![peer("me"), peer("mate")],
         gone: Vec::new(),
         tell: false,
--- a/crates/quetzalarch/examples/embed.rs
+++ b/crates/quetzalarch/examples/embed.rs
@@ -207,7 +207,7 @@
         }],
         loads: 5_000,
         roster: 1,
-        whole: true,
+        full: true,
         peers: vec![Peer {
             instance: beat.instance.clone(),
             zone: beat.zone.clone(),
--- a/crates/wire/src/call.rs
+++ b/crates/wire/src/call.rs
@@ -195,7 +195,7 @@
         pub roster: u64,
         /// Whether `peers` lists all entry instances rather than the changes since the
         /// requester's roster.
-        pub whole: bool,
+        pub full: bool,
         /// Entry instances that are new or changed.
         pub peers: Vec<Peer>,
         /// Entry instances that were removed since the requester's roster.
@@ -326,7 +326,7 @@
         /// asks for the full state.
         pub serial: u64,
         /// Whether `added` is the full state rather than a delta.
-        pub whole: bool,
+        pub full: bool,
         /// Adapters loaded since the previous message.
         pub added: Vec<(AdapterName, Version)>,
         /// Adapters unloaded since the previous message.
--- a/crates/wire/src/fleet.rs
+++ b/crates/wire/src/fleet.rs
@@ -106,7 +106,7 @@
         /// has.
         pub targets: Option<Vec<Target>>,
         /// Whether [`Self::targets`] is the full list for those zones rather than a delta.
-        pub whole: bool,
+        pub full: bool,
         /// Targets removed since [`Sync::news`], by id.
         pub gone: Vec<String>,
         /// Requests under way at each target, summed over all other entry instances;
--- a/xtask/src/capacity/calls.rs
+++ b/xtask/src/capacity/calls.rs
@@ -56,7 +56,7 @@
             target: "engine-0000".parse()?,
             fence: Fence(1_234_567),
             serial: 1_000,
-            whole: false,
+            full: false,
             added: Vec::new(),
             removed: Vec::new(),
             in_flight: 170,
--- a/xtask/src/capacity/entry.rs
+++ b/xtask/src/capacity/entry.rs
@@ -320,7 +320,7 @@
                 target: target.clone(),
                 fence: *fence,
                 serial,
-                whole: serial == 1,
+                full: serial == 1,
                 added: vec![adapter(serial)?],
                 removed: vec![adapter(serial - 1)?],
                 in_flight: 170,
--- a/xtask/src/capacity/world.rs
+++ b/xtask/src/capacity/world.rs
@@ -201,7 +201,7 @@
         }
         self.progress(&attempt, Progress::Piece(Part::Last))?;
         let end = Progress::End {
-            whole: true,
+            full: true,
             answer: None,
         };
         self.progress(&attempt, end)?;
@@ -318,19 +318,15 @@
             lasts: Duration::from_secs(3),
             former: Vec::new(),
         });
-        let whole = beat.roster == 0;
+        let full = beat.roster == 0;
         HeartbeatReply {
             serial: beat.serial,
             text: self.text.0,
             leases: leases.collect(),
             loads: 5_000,
             roster: 1,
-            whole,
-            peers: if whole {
-                self.peers.clone()
-            } else {
-                Vec::new()
-            },
+            full,
+            peers: if full { self.peers.clone() } else { Vec::new() },
             gone: Vec::new(),
             tell: false,
         }
