--- a/crates/frontd/src/entry/sync.rs
+++ b/crates/frontd/src/entry/sync.rs
@@ -144,9 +144,9 @@
     /// leave out what is not known here.
     fn accepts(&self, known: u64, synced: &Synced) -> bool {
         if synced.full {
-            return known == self.update || synced.news > self.update;
+            return known == self.update || synced.update > self.update;
         }
-        known <= self.update && synced.news >= self.update
+        known <= self.update && synced.update >= self.update
     }
 }
 
@@ -232,7 +232,7 @@
 /// load and demand; any other is made early to request a load.
 async fn exchange(state: &Arc<State>, peer: &ControlPeer, regular: bool) -> bool {
     let sync = next_sync(state, peer, regular);
-    let asked = (sync.news, sync.brief);
+    let asked = (sync.update, sync.brief);
     let link = state.links.to(peer.address);
     let answer = link.call(Call::Sync(Box::new(sync)), SYNC_TIMEOUT).await;
     let Ok(Reply::Sync(synced)) = answer else {
@@ -275,8 +275,8 @@
         instance: Some(state.name.clone()),
         edition: state.edition(),
         revision: inner.revision,
-        news: inner.update,
-        again: view.take_stale(&inner.zones),
+        update: inner.update,
+        resend: view.take_stale(&inner.zones),
         brief: !regular,
         running: load.0,
         unread: load.1,
@@ -284,13 +284,14 @@
         demand: demand.into_iter().collect(),
         wants: std::mem::take(&mut inner.wants),
         failing: view.failing(state.now()),
-        firsts: view.take_firsts(&inner.zones),
-        paces: if regular {
+        first_uses: view.take_firsts(&inner.zones),
+        prompt_times: if regular {
             view.take_paces(&inner.zones)
         } else {
             Vec::new()
         },
-        elsewhere: (!state.settling()).then(|| view.loading_outside(state.now(), &inner.zones)),
+        loading_elsewhere: (!state.settling())
+            .then(|| view.loading_outside(state.now(), &inner.zones)),
     }
 }
 
@@ -316,7 +317,7 @@
     inner.revision = synced.revision;
     let fits = inner.accepts(known, &synced);
     if fits {
-        inner.update = synced.news;
+        inner.update = synced.update;
     }
     drop(inner);
     state.view().set_versions(state.now(), synced.versions);
@@ -325,7 +326,7 @@
             state.set_targets(now, &synced.zones, targets);
         }
         targets if fits => {
-            state.change_targets(now, targets.unwrap_or_default(), &synced.gone);
+            state.change_targets(now, targets.unwrap_or_default(), &synced.removed);
         }
         _ => {}
     }
--- a/crates/frontd/tests/unit/sync.rs
+++ b/crates/frontd/tests/unit/sync.rs
@@ -12,7 +12,7 @@
         ..Inner::default()
     };
     let synced = Synced {
-        news: update,
+        update,
         full,
         ..Synced::default()
     };
--- a/crates/gateway/src/view.rs
+++ b/crates/gateway/src/view.rs
@@ -11,7 +11,7 @@
 };
 
 use base::{Seed, Time};
-use wire::fleet::{First, Pace, Running, Target};
+use wire::fleet::{FirstUse, PromptTime, Running, Target};
 
 pub use self::backup::{Backup, Origin, Unused};
 use self::{
@@ -76,9 +76,9 @@
     /// when that was announced.
     expected: BTreeMap<String, (Time, Time)>,
     /// Outcomes of first requests after a load, by zone, since they were last taken.
-    firsts: BTreeMap<String, Vec<First>>,
+    firsts: BTreeMap<String, Vec<FirstUse>>,
     /// Time that targets took to read prompts, since it was last taken.
-    paces: BTreeMap<String, Pace>,
+    paces: BTreeMap<String, PromptTime>,
     /// Targets for which an announced adapter was dropped from this view, as they refused
     /// a request for it.
     stale: BTreeSet<String>,
--- a/crates/gateway/src/view/backlog.rs
+++ b/crates/gateway/src/view/backlog.rs
@@ -4,7 +4,7 @@
 use std::{collections::BTreeMap, time::Duration};
 
 use base::Time;
-use wire::fleet::Pace;
+use wire::fleet::PromptTime;
 
 use super::{TargetState, View};
 
@@ -75,7 +75,7 @@
     }
 
     fn note_pace(&mut self, id: &str, tokens: u64, after: Duration) {
-        let new = || Pace {
+        let new = || PromptTime {
             target: id.to_owned(),
             tokens: 0,
             took: Duration::ZERO,
@@ -86,7 +86,7 @@
     }
 
     /// Removes and returns the time that targets of `zones` took to read prompts.
-    pub fn take_paces(&mut self, zones: &[String]) -> Vec<Pace> {
+    pub fn take_paces(&mut self, zones: &[String]) -> Vec<PromptTime> {
         let targets = &self.targets;
         let in_zones = |id: &String| !known_outside(targets, zones, id);
         let (due, rest) = std::mem::take(&mut self.paces)
--- a/crates/gateway/src/view/held.rs
+++ b/crates/gateway/src/view/held.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use base::Time;
-use wire::fleet::{First, Resident};
+use wire::fleet::{FirstUse, Resident};
 
 use super::View;
 
@@ -95,7 +95,7 @@
 
     fn note_first(&mut self, zone: String, id: &str, adapter: &str, held: bool) {
         let firsts = self.firsts.entry(zone).or_default();
-        firsts.push(First {
+        firsts.push(FirstUse {
             target: id.to_owned(),
             adapter: adapter.to_owned(),
             held,
@@ -103,7 +103,7 @@
     }
 
     /// Removes and returns the outcomes of first requests in `zones`.
-    pub fn take_firsts(&mut self, zones: &[String]) -> Vec<First> {
+    pub fn take_firsts(&mut self, zones: &[String]) -> Vec<FirstUse> {
         let lists = zones.iter().filter_map(|zone| self.firsts.remove(zone));
         lists.flatten().collect()
     }
--- a/crates/gateway/src/zone_owner.rs
+++ b/crates/gateway/src/zone_owner.rs
@@ -23,7 +23,7 @@
 };
 
 use base::{InstanceName, Ticket, Time};
-use wire::fleet::{First, Resident, Sync, Synced, Target, Weights};
+use wire::fleet::{FirstUse, Resident, Sync, Synced, Target, Weights};
 
 pub use self::message::{Action, Held, Input, ListedTarget, Order, OrderOutcome, Output, Report};
 use self::{
@@ -367,13 +367,13 @@
                 self.plan_due = true;
             }
         }
-        for pace in &sync.paces {
+        for pace in &sync.prompt_times {
             self.slowness.add_sample(now, pace);
         }
-        for first in &sync.firsts {
+        for first in &sync.first_uses {
             self.first_use(now, first);
         }
-        if let Some(loads) = sync.elsewhere {
+        if let Some(loads) = sync.loading_elsewhere {
             self.elsewhere = Some((now, loads));
         }
         if let Some(instance) = &sync.instance {
@@ -385,8 +385,8 @@
         self.pending.push(PendingSync {
             ticket,
             requester: sync.instance,
-            known: sync.news,
-            resend: sync.again,
+            known: sync.update,
+            resend: sync.resend,
             brief: sync.brief,
             wants: sync.wants,
             until: now + SYNC_WAIT,
@@ -413,7 +413,7 @@
 
     /// Updates the load estimates from the outcome of the first request for an adapter
     /// that was just loaded.
-    fn first_use(&mut self, now: Time, first: &First) {
+    fn first_use(&mut self, now: Time, first: &FirstUse) {
         let Some(engine) = self.engines.get_mut(&first.target) else {
             return;
         };
@@ -514,10 +514,10 @@
         let delta = self.updates.since(now, sync.known, &sync.resend);
         let requester = sync.requester.as_ref();
         let mut synced = Synced {
-            news: self.updates.last(),
+            update: self.updates.last(),
             targets: delta.targets,
             full: delta.full,
-            gone: delta.gone,
+            removed: delta.gone,
             waits: self.waits(&sync.wants),
             zones: zones.to_vec(),
             entries: u32::try_from(self.traffic.entries()).unwrap_or(u32::MAX),
--- a/crates/gateway/src/zone_owner/engine.rs
+++ b/crates/gateway/src/zone_owner/engine.rs
@@ -6,7 +6,7 @@
 };
 
 use base::Time;
-use wire::fleet::{First, Resident, Weights};
+use wire::fleet::{FirstUse, Resident, Weights};
 
 use super::{Action, Config, Held, ListedTarget, OrderOutcome, Report};
 
@@ -292,7 +292,7 @@
     pub(super) fn first_use(
         &mut self,
         now: Time,
-        first: &First,
+        first: &FirstUse,
         load: Duration,
     ) -> Option<(Source, Time)> {
         let slot = self.adapters.get_mut(&first.adapter)?;
--- a/crates/gateway/src/zone_owner/slowness.rs
+++ b/crates/gateway/src/zone_owner/slowness.rs
@@ -10,7 +10,7 @@
 use std::{collections::BTreeMap, time::Duration};
 
 use base::Time;
-use wire::fleet::Pace;
+use wire::fleet::PromptTime;
 
 /// Half-life of the samples of an engine.
 const SAMPLE_HALF_LIFE: Duration = Duration::from_millis(700);
@@ -54,7 +54,7 @@
 
 impl Slowness {
     /// Adds a sample reported by an entry instance.
-    pub(super) fn add_sample(&mut self, now: Time, pace: &Pace) {
+    pub(super) fn add_sample(&mut self, now: Time, pace: &PromptTime) {
         let samples = self.engines.entry(pace.target.clone()).or_default();
         samples.decay(now);
         samples.tokens += pace.tokens as f64;
--- a/crates/gateway/tests/zone_owner.rs
+++ b/crates/gateway/tests/zone_owner.rs
@@ -223,7 +223,7 @@
         let mut world = World::with(4, config);
         let sync = Sync {
             wants: (0..12).map(|n| format!("m/a{n}")).collect(),
-            elsewhere,
+            loading_elsewhere: elsewhere,
             ..Sync::default()
         };
         world.give(Input::Sync(Ticket(6), sync));
--- a/crates/gateway/tests/zone_owner/loads.rs
+++ b/crates/gateway/tests/zone_owner/loads.rs
@@ -6,7 +6,7 @@
 use base::Ticket;
 use gateway::zone_owner::{Action, Config, Input, OrderOutcome};
 use googletest::prelude::*;
-use wire::fleet::{First, Sync};
+use wire::fleet::{FirstUse, Sync};
 
 use crate::world::{World, announced_wait, answer_orders, load};
 
@@ -38,14 +38,14 @@
 fn say_firsts(world: &mut World, round: usize, count: usize, held: bool) {
     let mut firsts = Vec::new();
     for engine in 1..=world.engines {
-        firsts.extend((0..count).map(|n| First {
+        firsts.extend((0..count).map(|n| FirstUse {
             target: format!("e{engine}"),
             adapter: format!("m/r{round}-{n}"),
             held,
         }));
     }
     let sync = Sync {
-        firsts,
+        first_uses: firsts,
         ..Sync::default()
     };
     world.give(Input::Sync(Ticket(9), sync));
@@ -203,14 +203,14 @@
             let held = wait > quick || 36 < there;
             wrong += usize::from(!held);
             let target = "e1".to_owned();
-            let first = First {
+            let first = FirstUse {
                 target,
                 adapter,
                 held,
             };
             let firsts = vec![first];
             let sync = Sync {
-                firsts,
+                first_uses: firsts,
                 ..Sync::default()
             };
             world.give(Input::Sync(Ticket(13), sync));
--- a/crates/gateway/tests/zone_owner/slowness.rs
+++ b/crates/gateway/tests/zone_owner/slowness.rs
@@ -5,7 +5,7 @@
 use base::Ticket;
 use gateway::zone_owner::Input;
 use googletest::prelude::*;
-use wire::fleet::{Pace, Sync};
+use wire::fleet::{PromptTime, Sync};
 
 use crate::world::World;
 
@@ -26,7 +26,7 @@
             let paces = paces.map(|n| {
                 let tokens = 1_000 + 300 * (entry % 4);
                 let usual = tokens * (10 + entry % 3) / 11 / SPEED;
-                Pace {
+                PromptTime {
                     target: format!("e{n}"),
                     tokens,
                     took: Duration::from_millis(usual * if n == 1 { times } else { 1 }),
@@ -34,7 +34,7 @@
             });
             let sync = Sync {
                 instance: Some(format!("n{entry}").parse().unwrap()),
-                paces: paces.collect(),
+                prompt_times: paces.collect(),
                 ..Sync::default()
             };
             world.give(Input::Sync(Ticket(entry), sync));
@@ -92,13 +92,13 @@
     let mut world = World::new(ENGINES);
     for round in 0..8 {
         for entry in 0..ENTRIES {
-            let paces = (1..=ENGINES).map(|n| Pace {
+            let paces = (1..=ENGINES).map(|n| PromptTime {
                 target: format!("e{n}"),
                 tokens: 1_000,
                 took: Duration::from_millis(2_000 + 100 * (entry + round) % 500),
             });
             let sync = Sync {
-                paces: paces.collect(),
+                prompt_times: paces.collect(),
                 ..Sync::default()
             };
             world.give(Input::Sync(Ticket(entry), sync));
--- a/crates/gateway/tests/zone_owner/target_updates.rs
+++ b/crates/gateway/tests/zone_owner/target_updates.rs
@@ -11,11 +11,11 @@
 
 use crate::world::{World, held};
 
-fn ask(world: &mut World, news: u64) -> Synced {
+fn ask(world: &mut World, update: u64) -> Synced {
     asked(
         world,
         Sync {
-            news,
+            update,
             ..Sync::default()
         },
     )
@@ -39,17 +39,17 @@
     let mut world = World::new(50);
     let all = ask(&mut world, 0);
     assert_that!((all.full, ids(&all).len()), eq((true, 50)));
-    let same = ask(&mut world, all.news);
+    let same = ask(&mut world, all.update);
     assert_that!(same.full, eq(false));
     assert_that!(same.targets, none());
     world.want(&["m/x"]);
     let order = world.end(OrderOutcome::Accepted);
-    let one = ask(&mut world, all.news);
+    let one = ask(&mut world, all.update);
     assert_that!(one.full, eq(false));
     assert_that!(ids(&one), eq(&vec![order.id.as_str()]));
     // The platform's list says the same again.
     world.list(&[]);
-    let same = ask(&mut world, one.news);
+    let same = ask(&mut world, one.update);
     assert_that!(same.targets, none());
 }
 
@@ -58,14 +58,10 @@
 #[gtest]
 fn a_number_of_another_incarnation_gets_the_full_state() {
     let mut world = World::new(3);
-    let own = ask(&mut world, 0).news;
+    let own = ask(&mut world, 0).update;
     for other in [1, own - 1_000, own + 1_000, u64::MAX] {
         let all = ask(&mut world, other);
-        expect_that!(
-            (all.full, ids(&all).len()),
-            eq((true, 3)),
-            "number {other}"
-        );
+        expect_that!((all.full, ids(&all).len()), eq((true, 3)), "number {other}");
     }
 }
 
@@ -77,13 +73,13 @@
     let all = ask(&mut world, 0);
     world.engines = 2;
     world.list(&[]);
-    let less = ask(&mut world, all.news);
-    assert_that!(less.gone, eq(&vec!["e3".to_owned()]));
+    let less = ask(&mut world, all.update);
+    assert_that!(less.removed, eq(&vec!["e3".to_owned()]));
     assert_that!((less.full, ids(&less).len()), eq((false, 0)));
     world.engines = 3;
     world.list(&[]);
-    let back = ask(&mut world, all.news);
-    assert_that!(back.gone, is_empty());
+    let back = ask(&mut world, all.update);
+    assert_that!(back.removed, is_empty());
     assert_that!(ids(&back), eq(&vec!["e3"]));
 }
 
@@ -92,10 +88,10 @@
 #[gtest]
 fn what_was_dropped_is_told_again() {
     let mut world = World::new(3);
-    let news = ask(&mut world, 0).news;
+    let update = ask(&mut world, 0).update;
     let again = Sync {
-        news,
-        again: vec!["e2".to_owned()],
+        update,
+        resend: vec!["e2".to_owned()],
         ..Sync::default()
     };
     let told = asked(&mut world, again);
@@ -108,12 +104,12 @@
 #[gtest]
 fn a_zone_that_comes_back_is_sent_in_full() {
     let mut world = World::new(2);
-    let news = ask(&mut world, 0).news;
+    let update = ask(&mut world, 0).update;
     world.pass(9_000);
-    let lost = ask(&mut world, news);
+    let lost = ask(&mut world, update);
     assert_that!((lost.full, ids(&lost).len()), eq((true, 0)));
     world.own_zone();
-    let back = ask(&mut world, lost.news);
+    let back = ask(&mut world, lost.update);
     assert_that!((back.full, ids(&back).len()), eq((true, 2)));
 }
 
--- a/crates/node/src/engines/ownership.rs
+++ b/crates/node/src/engines/ownership.rs
@@ -208,7 +208,7 @@
         out: &mut Out,
     ) {
         self.leader_heard = now;
-        if reply.tell {
+        if reply.want_engines {
             self.reported = None;
         }
         self.drive_scheduler(shared, now, SchedulerInput::Budget(reply.loads), out);
--- a/crates/node/src/engines/residents.rs
+++ b/crates/node/src/engines/residents.rs
@@ -144,7 +144,7 @@
             removed: keys(message.removed),
             running: message.in_flight,
             queued: message.queued,
-            evict_cost: message.worth,
+            evict_cost: message.evict_cost,
         };
         self.publish_new_adapters(shared, now, out);
         out.send(ENTRY, Msg::TargetUpdate(RouterUpdate::Residents(residents)));
@@ -189,7 +189,7 @@
             removed: named(&change.removed),
             in_flight: change.running,
             queued: change.queued,
-            worth: change.worth,
+            evict_cost: change.worth,
         })
     }
 }
--- a/crates/node/tests/node/guards.rs
+++ b/crates/node/tests/node/guards.rs
@@ -126,7 +126,7 @@
         removed: Vec::new(),
         in_flight: 0,
         queued: 0,
-        worth: 0,
+        evict_cost: 0,
     })
 }
 
--- a/crates/node/tests/node/world.rs
+++ b/crates/node/tests/node/world.rs
@@ -436,8 +436,8 @@
             roster: 1,
             full: true,
             peers: [me].into_iter().chain(zone_peers).collect(),
-            gone: Vec::new(),
-            tell: false,
+            removed: Vec::new(),
+            want_engines: false,
         }
     }
 
--- a/crates/owner/src/grantor.rs
+++ b/crates/owner/src/grantor.rs
@@ -50,8 +50,8 @@
             roster: self.roster,
             full: self.full,
             peers: self.peers,
-            gone: self.gone,
-            tell: self.want_engines,
+            removed: self.gone,
+            want_engines: self.want_engines,
         }
     }
 }
--- a/crates/owner/src/lessee/held.rs
+++ b/crates/owner/src/lessee/held.rs
@@ -144,7 +144,7 @@
         if reply.full {
             self.peers.clear();
         }
-        for name in &reply.gone {
+        for name in &reply.removed {
             self.peers.remove(name);
         }
         for peer in &reply.peers {
--- a/crates/owner/tests/lessee.rs
+++ b/crates/owner/tests/lessee.rs
@@ -39,8 +39,8 @@
         roster: serial,
         full: true,
         peers: vec![peer("me"), peer("mate")],
-        gone: Vec::new(),
-        tell: false,
+        removed: Vec::new(),
+        want_engines: false,
     }
 }
 
--- a/crates/quetzalarch/examples/embed.rs
+++ b/crates/quetzalarch/examples/embed.rs
@@ -214,8 +214,8 @@
             address: beat.peer.clone(),
             owns: vec![(target, fence)],
         }],
-        gone: Vec::new(),
-        tell: false,
+        removed: Vec::new(),
+        want_engines: false,
     }
 }
 
--- a/crates/scenarios/src/world/deliver.rs
+++ b/crates/scenarios/src/world/deliver.rs
@@ -188,7 +188,7 @@
         let Some(entry) = self.entry(name) else {
             return;
         };
-        entry.tell |= reply.tell;
+        entry.tell |= reply.want_engines;
         let have = entry.text;
         let newer = reply.text > have;
         entry.leader.clone_from(&from);
--- a/crates/wire/src/call.rs
+++ b/crates/wire/src/call.rs
@@ -199,9 +199,9 @@
         /// Entry instances that are new or changed.
         pub peers: Vec<Peer>,
         /// Entry instances that were removed since the requester's roster.
-        pub gone: Vec<InstanceName>,
+        pub removed: Vec<InstanceName>,
         /// Whether the next heartbeat should contain [`Heartbeat::engines`].
-        pub tell: bool,
+        pub want_engines: bool,
     }
 
     /// A lease on one engine.
@@ -339,7 +339,7 @@
         /// Cost of the next load there: how often the adapter that it would evict is
         /// used by live requests, in thousandths of a use a second. Zero if a slot is
         /// free.
-        pub worth: u32,
+        pub evict_cost: u32,
     }
 
     /// A planned handover of an engine to its next owner.
--- a/crates/wire/src/fleet.rs
+++ b/crates/wire/src/fleet.rs
@@ -27,10 +27,10 @@
         /// control instance; see [`Synced::revision`].
         pub revision: u64,
         /// Number of the newest target update that the entry instance has; see
-        /// [`Synced::news`].
-        pub news: u64,
+        /// [`Synced::update`].
+        pub update: u64,
         /// Targets whose state the entry instance has dropped and needs again, by id.
-        pub again: Vec<String>,
+        pub resend: Vec<String>,
         /// Whether this only asks for adapters: it contains no load figures, and neither
         /// does the answer.
         pub brief: bool,
@@ -49,16 +49,16 @@
         pub failing: Vec<String>,
         /// Number of adapters being loaded at targets of other control instances; absent
         /// unless all of these were heard from.
-        pub elsewhere: Option<u32>,
+        pub loading_elsewhere: Option<u32>,
         /// Results of the first requests for newly loaded adapters, since the last
         /// exchange.
-        pub firsts: Vec<First>,
+        pub first_uses: Vec<FirstUse>,
         /// Time that targets took to begin their answers, since the last exchange.
-        pub paces: Vec<Pace>,
+        pub prompt_times: Vec<PromptTime>,
     }
 
     /// Time that a target took to process prompts, summed over some requests.
-    pub struct Pace {
+    pub struct PromptTime {
         /// The target.
         pub target: String,
         /// Prompt tokens that the target had to process.
@@ -68,7 +68,7 @@
     }
 
     /// Result of one instance's first request for an adapter after it was loaded.
-    pub struct First {
+    pub struct FirstUse {
         /// The target.
         pub target: String,
         /// The adapter.
@@ -99,16 +99,16 @@
         /// within one incarnation of the control instance.
         pub revision: u64,
         /// Number of the newest change of [`Synced::targets`].
-        pub news: u64,
+        pub update: u64,
         /// Zones that this control instance owns.
         pub zones: Vec<String>,
-        /// Targets of those zones that have changed since [`Sync::news`]; `None` if none
+        /// Targets of those zones that have changed since [`Sync::update`]; `None` if none
         /// has.
         pub targets: Option<Vec<Target>>,
         /// Whether [`Self::targets`] is the full list for those zones rather than a delta.
         pub full: bool,
-        /// Targets removed since [`Sync::news`], by id.
-        pub gone: Vec<String>,
+        /// Targets removed since [`Sync::update`], by id.
+        pub removed: Vec<String>,
         /// Requests under way at each target, summed over all other entry instances;
         /// empty in the answer to a [`Sync::brief`] request.
         pub running: Vec<(String, u32)>,
--- a/xtask/src/capacity/calls.rs
+++ b/xtask/src/capacity/calls.rs
@@ -61,7 +61,7 @@
             removed: Vec::new(),
             in_flight: 170,
             queued: 3,
-            worth: 120,
+            evict_cost: 120,
         });
         let body = bytes(&call)? + bytes(&Reply::Done)?;
         link.call(call.clone(), LIMIT).await?;
--- a/xtask/src/capacity/control.rs
+++ b/xtask/src/capacity/control.rs
@@ -235,7 +235,7 @@
                 continue;
             };
             self.rosters[i] = reply.roster;
-            self.tell[i] = reply.tell;
+            self.tell[i] = reply.want_engines;
             self.sizes.1 += bytes(&Reply::Heartbeat(reply))?;
         }
         let began = Instant::now();
--- a/xtask/src/capacity/entry.rs
+++ b/xtask/src/capacity/entry.rs
@@ -325,7 +325,7 @@
                 removed: vec![adapter(serial - 1)?],
                 in_flight: 170,
                 queued: 3,
-                worth: 120,
+                evict_cost: 120,
             };
             size = super::bytes(&wire::call::Call::Residents(news.clone()))?;
             let began = Instant::now();
--- a/xtask/src/capacity/world.rs
+++ b/xtask/src/capacity/world.rs
@@ -201,7 +201,7 @@
         }
         self.progress(&attempt, Progress::Piece(Part::Last))?;
         let end = Progress::End {
-            full: true,
+            whole: true,
             answer: None,
         };
         self.progress(&attempt, end)?;
@@ -327,8 +327,8 @@
             roster: 1,
             full,
             peers: if full { self.peers.clone() } else { Vec::new() },
-            gone: Vec::new(),
-            tell: false,
+            removed: Vec::new(),
+            want_engines: false,
         }
     }
 
