--- a/crates/peer/src/link.rs
+++ b/crates/peer/src/link.rs
@@ -10,7 +10,7 @@
 use tarpc::client::RpcError;
 use thiserror::Error;
 use tokio::{net::TcpStream, sync::Mutex, time::Instant};
-use web::patience::{MOST, answer_by};
+use web::timeout::{MAX_EXTENSION, answer_by};
 use wire::call::{Call, Reply};
 
 use crate::rpc::{CallerClient, PATH, PROTOCOL, transport};
@@ -104,7 +104,7 @@
             Err(_) => return Err(CallError::Connect("no connection in time".to_owned())),
         };
         let mut context = tarpc::context::current();
-        context.deadline = (until + MOST).into_std();
+        context.deadline = (until + MAX_EXTENSION).into_std();
         let reply = client.call(context, self.inner.from.clone(), call);
         match answer_by(until, reply).await {
             Some(Ok(reply)) => Ok(reply),
--- a/crates/web/src/lib.rs
+++ b/crates/web/src/lib.rs
@@ -4,14 +4,14 @@
 //! [`client`] knows for each failure whether any byte of the request was sent to the
 //! target. [`server`] limits the resources that a faulty or hostile caller can take.
 //! [`body`], [`reply`] and [`sse`] create and read bodies, answers and event streams,
-//! and [`patience`] has a timeout that tolerates a busy process.
+//! and [`timeout`] has a timeout that tolerates a busy process.
 
 pub mod body;
 pub mod client;
-pub mod patience;
 pub mod reply;
 pub mod server;
 pub mod sse;
+pub mod timeout;
 
 pub use hyper::{HeaderMap, Method, Request, Response, StatusCode, body::Incoming};
 
--- a/crates/web/tests/web/main.rs
+++ b/crates/web/tests/web/main.rs
@@ -1,7 +1,7 @@
 //! Tests of the HTTP server and client over sockets on the loopback interface.
 
 mod client;
-mod patience;
 mod peer;
 mod server;
 mod sse;
+mod timeout;
--- a/crates/web/tests/web/patience.rs
+++ b/crates/web/tests/web/timeout.rs
@@ -7,7 +7,7 @@
     sync::oneshot,
     time::{Instant, sleep},
 };
-use web::patience::{MOST, answer_by};
+use web::timeout::{MAX_EXTENSION, answer_by};
 
 const LIMIT: Duration = Duration::from_millis(30);
 
@@ -36,6 +36,6 @@
     let (answer, received) = oneshot::channel::<u8>();
     let got = answer_by(start + LIMIT, received).await;
     assert_that!(got, none());
-    assert_that!(start.elapsed(), lt(LIMIT + MOST * 2));
+    assert_that!(start.elapsed(), lt(LIMIT + MAX_EXTENSION * 2));
     drop(answer);
 }
