--- a/crates/entryd/src/exchange.rs
+++ b/crates/entryd/src/exchange.rs
@@ -237,7 +237,7 @@
 fn open_body(headers: &HeaderMap) -> (Writer, Body) {
     let kind = headers.get(hyper::header::CONTENT_TYPE);
     if kind.is_some_and(|kind| kind.as_bytes().starts_with(b"text/event-stream")) {
-        return body::lively(1, SIGN_EVERY, Bytes::from_static(sse::PING));
+        return body::keepalive_channel(1, SIGN_EVERY, Bytes::from_static(sse::PING));
     }
     body::channel(1)
 }
--- a/crates/web/src/body.rs
+++ b/crates/web/src/body.rs
@@ -68,7 +68,7 @@
 ///
 /// Panics when `depth` is zero.
 #[must_use]
-pub fn lively(depth: usize, every: Duration, sign: Bytes) -> (Writer, Body) {
+pub fn keepalive_channel(depth: usize, every: Duration, sign: Bytes) -> (Writer, Body) {
     let (tx, rx) = mpsc::channel(depth);
     (Writer(tx), body_of(rx, Some((every, sign))))
 }
--- a/crates/web/tests/web/server.rs
+++ b/crates/web/tests/web/server.rs
@@ -19,7 +19,7 @@
 use tokio_util::sync::CancellationToken;
 use web::{
     Incoming, Method, Request, Response, StatusCode,
-    body::{Body, ReadLimits, Writer, channel, lively, read},
+    body::{Body, ReadLimits, Writer, channel, keepalive_channel, read},
     client::{Client, Send},
     reply,
     server::{Limits, Served, serve},
@@ -40,7 +40,7 @@
     began: Notify,
     /// Notified when the handler of `/wait` is dropped.
     dropped: Notify,
-    /// Writer of the body of `/stream` and `/lively`.
+    /// Writer of the body of `/stream` and `/keepalive`.
     writer: Mutex<Option<Writer>>,
 }
 
@@ -66,8 +66,8 @@
             *shared.writer.lock().unwrap() = Some(writer);
             Response::new(body)
         }
-        "/lively" => {
-            let (writer, body) = lively(1, SHORT / 3, Bytes::from_static(PING));
+        "/keepalive" => {
+            let (writer, body) = keepalive_channel(1, SHORT / 3, Bytes::from_static(PING));
             *shared.writer.lock().unwrap() = Some(writer);
             Response::new(body)
         }
@@ -333,7 +333,7 @@
 async fn a_waiting_stream_gives_signs_of_life() {
     covers!(sign_of_life);
     let server = Server::start(limits()).await;
-    let mut send = Send::new(server.addr, Method::GET, "/lively");
+    let mut send = Send::new(server.addr, Method::GET, "/keepalive");
     send.limits.idle = SHORT * 4;
     let mut answer = Client::default().send(send).await.unwrap();
     let writer = server.shared.writer.lock().unwrap().take().unwrap();
