--- a/crates/web/src/client.rs
+++ b/crates/web/src/client.rs
@@ -99,7 +99,7 @@
 pub enum Ending {
     /// By `content-length` or the last chunk, and by `[DONE]` in event streams.
     #[default]
-    Marked,
+    Explicit,
     /// By the rules of HTTP/1.1: also by an orderly close of the connection, if the
     /// answer has neither a length nor chunks.
     Framed,
--- a/crates/web/src/client/answer.rs
+++ b/crates/web/src/client/answer.rs
@@ -64,7 +64,7 @@
             headers: parts.headers,
             body,
             framed,
-            events: (sse && !bodiless && ending == Ending::Marked).then(Parser::default),
+            events: (sse && !bodiless && ending == Ending::Explicit).then(Parser::default),
             ending,
             link: Some(link),
             pool,
@@ -154,7 +154,7 @@
             base::hit!(stream_without_done);
             return Some(self.broken(Cause::NotDone));
         }
-        if !self.framed && self.events.is_none() && self.ending == Ending::Marked {
+        if !self.framed && self.events.is_none() && self.ending == Ending::Explicit {
             base::hit!(unframed_body);
             return Some(self.broken(Cause::Unframed));
         }
