--- a/crates/cli/src/remote.rs
+++ b/crates/cli/src/remote.rs
@@ -150,7 +150,7 @@
         };
         let answer = self.client.send(send).await?;
         let (status, refused) = (answer.status, answer.refused());
-        let body = answer.whole(ANSWER_MOST).await?;
+        let body = answer.read_all(ANSWER_MOST).await?;
         Ok(Reply {
             status,
             refused,
@@ -194,7 +194,7 @@
         connect: CONNECT.min(silent),
         first: silent,
         idle: silent,
-        whole: silent * 4,
+        total: silent * 4,
         reuse: Duration::ZERO,
         hedge: Duration::ZERO,
     }
--- a/crates/controld/src/shell.rs
+++ b/crates/controld/src/shell.rs
@@ -167,7 +167,7 @@
     let mut send = Send::new(platform, hyper::Method::GET, "/v1/list");
     send.limits = Limits::within(LOOK_EVERY);
     let answer = client.send(send).await.ok()?;
-    let body = answer.whole(LIST_MAX).await.ok()?;
+    let body = answer.read_all(LIST_MAX).await.ok()?;
     serde_json::from_slice(&body).ok()
 }
 
--- a/crates/entryd/src/attempts.rs
+++ b/crates/entryd/src/attempts.rs
@@ -352,7 +352,7 @@
             Route::Owner { .. } => HOP_IDLE,
             Route::Target { .. } => idle(attempt),
         },
-        whole: attempt.timeout,
+        total: attempt.timeout,
         reuse,
         ..Limits::default()
     }
--- a/crates/entryd/src/outside.rs
+++ b/crates/entryd/src/outside.rs
@@ -93,7 +93,7 @@
     send.mark = Mark::Once;
     send.limits = Limits {
         first: ORDER_LIMIT,
-        whole: ORDER_LIMIT,
+        total: ORDER_LIMIT,
         ..Limits::default()
     };
     send.headers = json_headers();
@@ -114,7 +114,7 @@
 /// Tells a load of something resident, which engines answer as an error, from
 /// one that failed: what was ordered is so.
 async fn already_loaded(answer: Answer) -> bool {
-    let body = answer.whole(READ_MAX).await.unwrap_or_default();
+    let body = answer.read_all(READ_MAX).await.unwrap_or_default();
     String::from_utf8_lossy(&body).contains(ALREADY)
 }
 
@@ -125,7 +125,7 @@
     if !answer.status.is_success() {
         return None;
     }
-    let body = answer.whole(READ_MAX).await.ok()?;
+    let body = answer.read_all(READ_MAX).await.ok()?;
     serde_json::from_slice(&body).ok()
 }
 
--- a/crates/frontd/src/entry/forward/send.rs
+++ b/crates/frontd/src/entry/forward/send.rs
@@ -366,7 +366,7 @@
             connect: CONNECT_TIMEOUT.min(left),
             first,
             idle: silent,
-            whole: left,
+            total: left,
             reuse: REUSE_IDLE_MAX,
             hedge: left,
         }
--- a/crates/frontd/tests/memory/deployment.rs
+++ b/crates/frontd/tests/memory/deployment.rs
@@ -187,7 +187,7 @@
         if answer.status != StatusCode::OK {
             return None;
         }
-        let body = answer.whole(1 << 20).await.ok()?;
+        let body = answer.read_all(1 << 20).await.ok()?;
         Some(String::from_utf8_lossy(&body).into_owned())
     }
 
--- a/crates/lab/src/http.rs
+++ b/crates/lab/src/http.rs
@@ -156,7 +156,7 @@
         send.limits = Limits {
             first: CEILING,
             idle: CEILING,
-            whole: CEILING * 2,
+            total: CEILING * 2,
             ..Limits::default()
         };
         let bearer = header_value(&format!("Bearer {}", self.key));
--- a/crates/standin/src/engine/orders.rs
+++ b/crates/standin/src/engine/orders.rs
@@ -169,7 +169,7 @@
         ..Limits::default()
     };
     match engine.client.send(send).await {
-        Ok(answer) if answer.status.is_success() => answer.whole(WEIGHTS_MAX).await.is_ok(),
+        Ok(answer) if answer.status.is_success() => answer.read_all(WEIGHTS_MAX).await.is_ok(),
         _ => false,
     }
 }
--- a/crates/standin/tests/engine.rs
+++ b/crates/standin/tests/engine.rs
@@ -47,7 +47,7 @@
 async fn stats(addr: SocketAddr) -> engine::Stats {
     let send = Send::new(addr, Method::GET, "/admin/stats");
     let answer = Client::default().send(send).await.unwrap();
-    serde_json::from_slice(&answer.whole(BODY_MAX).await.unwrap()).unwrap()
+    serde_json::from_slice(&answer.read_all(BODY_MAX).await.unwrap()).unwrap()
 }
 
 fn chat(model: &str, n: usize, stream: bool) -> Value {
@@ -90,7 +90,7 @@
         &[],
     )
     .await;
-    let body: Value = serde_json::from_slice(&answer.whole(BODY_MAX).await.unwrap()).unwrap();
+    let body: Value = serde_json::from_slice(&answer.read_all(BODY_MAX).await.unwrap()).unwrap();
     assert_that!(
         body["choices"][0]["message"]["content"].as_str(),
         some(eq(&text))
@@ -225,7 +225,7 @@
         .send(send.clone())
         .await
         .unwrap()
-        .whole(BODY_MAX)
+        .read_all(BODY_MAX)
         .await
         .unwrap();
     post(engine.addr, "/admin/freeze-connections", json!({}), &[]).await;
--- a/crates/standin/tests/others.rs
+++ b/crates/standin/tests/others.rs
@@ -42,7 +42,7 @@
         .send(Send::new(addr, Method::GET, path))
         .await
         .unwrap();
-    serde_json::from_slice(&answer.whole(BODY_MAX).await.unwrap()).unwrap()
+    serde_json::from_slice(&answer.read_all(BODY_MAX).await.unwrap()).unwrap()
 }
 
 async fn call(addr: SocketAddr, key: &str) -> std::result::Result<Bytes, Broken> {
@@ -50,7 +50,7 @@
     send.headers
         .insert(wire::header::IDEMPOTENCY_KEY, web::header_value(key));
     send.limits.first = Duration::from_millis(200);
-    Client::default().send(send).await?.whole(BODY_MAX).await
+    Client::default().send(send).await?.read_all(BODY_MAX).await
 }
 
 /// Ten loads at once: they start at the store's rate, and two at most are at
@@ -67,7 +67,7 @@
     let loads = (0..10).map(|i| async move {
         let send = Send::new(store.addr, Method::GET, format!("/weights/{i}"));
         let answer = Client::default().send(send).await.unwrap();
-        answer.whole(BODY_MAX).await.is_ok()
+        answer.read_all(BODY_MAX).await.is_ok()
     });
     let done = futures::future::join_all(loads).await;
     expect_that!(done, each(eq(&true)));
--- a/crates/web/src/client.rs
+++ b/crates/web/src/client.rs
@@ -32,7 +32,7 @@
     /// Time between two pieces of the answer's body.
     pub idle: Duration,
     /// Time for the complete exchange.
-    pub whole: Duration,
+    pub total: Duration,
     /// Longest idle time after which a pooled connection is reused; zero for a new
     /// connection each time.
     pub reuse: Duration,
@@ -50,7 +50,7 @@
             connect: Duration::from_millis(1_500),
             first: Duration::from_secs(30),
             idle: Duration::from_secs(10),
-            whole: Duration::from_secs(300),
+            total: Duration::from_secs(300),
             // Middleboxes drop the state of idle connections after minutes, not seconds.
             reuse: Duration::from_secs(2),
             hedge: Duration::from_millis(300),
@@ -67,7 +67,7 @@
             connect: limit,
             first: limit,
             idle: limit,
-            whole: limit,
+            total: limit,
             ..Limits::default()
         }
     }
@@ -148,7 +148,7 @@
     /// Fails when no head arrives. The verdict is "not run" only if no byte of the
     /// request was written to any socket.
     pub async fn send(&self, send: Send) -> Result<Answer, Broken> {
-        let end = Instant::now() + send.limits.whole;
+        let end = Instant::now() + send.limits.total;
         let Some(link) = self.reusable(&send).await else {
             return self.fresh(&send, end).await;
         };
--- a/crates/web/src/client/answer.rs
+++ b/crates/web/src/client/answer.rs
@@ -118,7 +118,7 @@
     /// # Errors
     ///
     /// Fails when the body is incomplete or larger than `max`.
-    pub async fn whole(mut self, max: usize) -> Result<Bytes, Broken> {
+    pub async fn read_all(mut self, max: usize) -> Result<Bytes, Broken> {
         let mut whole = BytesMut::new();
         while let Some(piece) = self.next().await {
             let piece = piece?;
--- a/crates/web/tests/web/client.rs
+++ b/crates/web/tests/web/client.rs
@@ -30,7 +30,7 @@
 }
 
 async fn fetch(client: &Client, send: Send) -> Result<String, Broken> {
-    let body = client.send(send).await?.whole(BODY_MAX).await?;
+    let body = client.send(send).await?.read_all(BODY_MAX).await?;
     Ok(String::from_utf8(body.to_vec()).unwrap())
 }
 
--- a/crates/web/tests/web/server.rs
+++ b/crates/web/tests/web/server.rs
@@ -140,7 +140,7 @@
         send.body = Bytes::from_static(b"hello");
         let answer = Client::default().send(send).await.unwrap();
         assert_eq!(
-            answer.whole(BODY).await.unwrap(),
+            answer.read_all(BODY).await.unwrap(),
             Bytes::from_static(b"hello")
         );
     }
@@ -269,7 +269,7 @@
         .unwrap();
     expect_that!(answer.status.as_u16(), eq(429));
     expect_that!(answer.refused(), eq(true));
-    expect_that!(answer.whole(BODY).await.is_ok(), eq(true));
+    expect_that!(answer.read_all(BODY).await.is_ok(), eq(true));
     // A caller that is still writing its request gets the refusal too.
     let mut large = Send::new(server.addr, Method::POST, "/");
     large.body = vec![b'x'; 16 << 20].into();
--- a/xtask/src/load/send.rs
+++ b/xtask/src/load/send.rs
@@ -82,7 +82,7 @@
             "the listing answered {}",
             answer.status
         );
-        answer.whole(BODY_MAX).await?;
+        answer.read_all(BODY_MAX).await?;
         Ok(u64::try_from(start.elapsed().as_micros())?)
     }
 
@@ -138,7 +138,7 @@
         send.limits = Limits {
             first: Duration::from_secs(40),
             idle: Duration::from_secs(25),
-            whole: Duration::from_secs(55),
+            total: Duration::from_secs(55),
             ..Limits::default()
         };
         send
@@ -154,7 +154,7 @@
             return (End::Failed(verdict, reason.to_owned()), None);
         }
         if ask.kind != Kind::Stream {
-            return match answer.whole(BODY_MAX).await {
+            return match answer.read_all(BODY_MAX).await {
                 Ok(_) => (End::Whole, Some(start.elapsed())),
                 Err(_) => (End::Cut, None),
             };
