--- a/crates/web/src/body.rs
+++ b/crates/web/src/body.rs
@@ -56,7 +56,7 @@
     (Writer(tx), body_of(rx, None))
 }
 
-/// Creates a streamed body that sends `sign` as a keep-alive whenever its writer has
+/// Creates a streamed body that sends `ping` as a keep-alive whenever its writer has
 /// written nothing for `every`. Each written piece must be complete in itself (such as a
 /// whole event), since a keep-alive may follow it.
 ///
@@ -68,26 +68,26 @@
 ///
 /// Panics when `depth` is zero.
 #[must_use]
-pub fn keepalive_channel(depth: usize, every: Duration, sign: Bytes) -> (Writer, Body) {
+pub fn keepalive_channel(depth: usize, every: Duration, ping: Bytes) -> (Writer, Body) {
     let (tx, rx) = mpsc::channel(depth);
-    (Writer(tx), body_of(rx, Some((every, sign))))
+    (Writer(tx), body_of(rx, Some((every, ping))))
 }
 
-fn body_of(rx: mpsc::Receiver<Step>, life: Option<(Duration, Bytes)>) -> Body {
-    let steps = futures::stream::unfold(Some((rx, life)), |state| async move {
-        let (mut rx, life) = state?;
-        let step = match &life {
+fn body_of(rx: mpsc::Receiver<Step>, keepalive: Option<(Duration, Bytes)>) -> Body {
+    let steps = futures::stream::unfold(Some((rx, keepalive)), |state| async move {
+        let (mut rx, keepalive) = state?;
+        let step = match &keepalive {
             None => rx.recv().await,
-            Some((every, sign)) => match timeout(*every, rx.recv()).await {
+            Some((every, ping)) => match timeout(*every, rx.recv()).await {
                 Ok(step) => step,
                 Err(_) => {
                     base::hit!(sign_of_life);
-                    Some(Step::Piece(sign.clone()))
+                    Some(Step::Piece(ping.clone()))
                 }
             },
         };
         match step {
-            Some(Step::Piece(bytes)) => Some((Ok(Frame::data(bytes)), Some((rx, life)))),
+            Some(Step::Piece(bytes)) => Some((Ok(Frame::data(bytes)), Some((rx, keepalive)))),
             Some(Step::End) => None,
             None => Some((
                 Err(anyhow!(
@@ -157,7 +157,7 @@
 /// is "not run" in all cases.
 pub async fn read(mut body: hyper::body::Incoming, limits: ReadLimits) -> Result<Bytes, Failure> {
     let start = Instant::now();
-    let mut whole = BytesMut::new();
+    let mut bytes = BytesMut::new();
     while !body.is_end_stream() {
         let Ok(next) = timeout(limits.grace, body.frame()).await else {
             base::hit!(silent_sender);
@@ -168,17 +168,17 @@
         let Ok(data) = frame.into_data() else {
             continue;
         };
-        if whole.len() + data.len() > limits.bytes {
+        if bytes.len() + data.len() > limits.bytes {
             base::hit!(body_too_large);
             return Err(Failure::not_run(Refusal::TooLarge));
         }
-        whole.extend_from_slice(&data);
-        if too_slow(start.elapsed(), whole.len(), limits) {
+        bytes.extend_from_slice(&data);
+        if too_slow(start.elapsed(), bytes.len(), limits) {
             base::hit!(slow_sender);
             return Err(Failure::not_run(Refusal::BadRequest));
         }
     }
-    Ok(whole.freeze())
+    Ok(bytes.freeze())
 }
 
 /// Returns whether the average rate of a body is below the limit.
--- a/crates/web/src/client/answer.rs
+++ b/crates/web/src/client/answer.rs
@@ -119,15 +119,15 @@
     ///
     /// Fails when the body is incomplete or larger than `max`.
     pub async fn read_all(mut self, max: usize) -> Result<Bytes, Broken> {
-        let mut whole = BytesMut::new();
+        let mut bytes = BytesMut::new();
         while let Some(piece) = self.next().await {
             let piece = piece?;
-            if whole.len() + piece.len() > max {
+            if bytes.len() + piece.len() > max {
                 return self.broken(Cause::TooLarge);
             }
-            whole.extend_from_slice(&piece);
+            bytes.extend_from_slice(&piece);
         }
-        Ok(whole.freeze())
+        Ok(bytes.freeze())
     }
 
     fn piece(&mut self, data: Bytes) -> Result<Bytes, Broken> {
--- a/crates/wire/src/call.rs
+++ b/crates/wire/src/call.rs
@@ -6,6 +6,10 @@
 //! A marked request is an at-most-once request: its caller gave it an idempotency key,
 //! and an entry instance must claim the key at the leader before it sends the request
 //! to a target.
+//!
+//! Enum variants are encoded by name. Some keep an older name in the encoding (by
+//! `serde(rename)`), so that instances of different builds understand each other. Structs
+//! are encoded by position.
 
 use std::time::Duration;
 
