--- a/crates/web/src/client/link/tests.rs
+++ b/crates/web/src/client/link/tests.rs
@@ -15,7 +15,7 @@
 /// written.
 #[gtest]
 #[tokio::test]
-async fn nothing_leaves_after_not_run_was_said() {
+async fn nothing_is_sent_after_the_verdict_not_run() {
     covers!(nothing_was_written);
     let listener = TcpListener::bind(("127.0.0.1", 0)).await.unwrap();
     let until = Instant::now() + Duration::from_secs(20);
@@ -49,7 +49,7 @@
 
 #[gtest]
 #[tokio::test]
-async fn a_written_request_is_in_doubt() {
+async fn a_written_request_may_have_run() {
     let listener = TcpListener::bind(("127.0.0.1", 0)).await.unwrap();
     let until = Instant::now() + Duration::from_secs(20);
     let addr = listener.local_addr().unwrap();
--- a/crates/web/tests/web/client.rs
+++ b/crates/web/tests/web/client.rs
@@ -38,7 +38,7 @@
 /// counts as complete. A truncated answer must never be taken for a complete one.
 #[gtest]
 #[tokio::test]
-async fn only_a_proper_end_is_whole() {
+async fn only_a_proper_end_is_complete() {
     covers!(unframed_body);
     covers!(stream_without_done);
     let silent = |text: &str| Step::Silent(text.to_owned());
--- a/crates/web/tests/web/server.rs
+++ b/crates/web/tests/web/server.rs
@@ -330,7 +330,7 @@
 /// prevent the timeout, and they stop when the stream ends.
 #[gtest]
 #[tokio::test]
-async fn a_waiting_stream_gives_signs_of_life() {
+async fn a_waiting_stream_sends_keepalives() {
     covers!(sign_of_life);
     let server = Server::start(limits()).await;
     let mut send = Send::new(server.addr, Method::GET, "/keepalive");
@@ -399,7 +399,7 @@
 
 #[gtest]
 #[tokio::test]
-async fn stopping_ends_at_last() {
+async fn stopping_ends_at_the_drain_limit() {
     let server = Server::start(Limits {
         drain: SHORT,
         ..limits()
@@ -414,7 +414,7 @@
 
 #[gtest]
 #[tokio::test]
-async fn a_failure_says_all_it_knows() {
+async fn a_failure_has_its_reason_verdict_and_retry_time() {
     let failure = Failure::not_run(Refusal::NoQuorum).retry_after(Duration::from_millis(1_200));
     let resp = reply::failure(&failure);
     let header = |name: &str| resp.headers()[name].to_str().unwrap().to_owned();
