--- a/crates/web/src/client/broken.rs
+++ b/crates/web/src/client/broken.rs
@@ -64,14 +64,18 @@
 impl fmt::Display for Cause {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Cause::BadRequest => f.write_str("the request can't be written"),
+            Cause::BadRequest => {
+                f.write_str("the path or the host header of the request is invalid")
+            }
             Cause::Connect(err) => write!(f, "no connection: {err}"),
             Cause::ConnectTimeout => f.write_str("no connection in time"),
             Cause::FirstByte => f.write_str("no answer in time"),
-            Cause::Idle => f.write_str("the answer fell silent"),
+            Cause::Idle => f.write_str("no data of the answer within the idle timeout"),
             Cause::Deadline => f.write_str("the deadline passed"),
             Cause::Cut(err) => write!(f, "the connection broke: {err}"),
-            Cause::Unframed => f.write_str("the answer's end can't be told"),
+            Cause::Unframed => {
+                f.write_str("the answer has neither a length nor chunks, so it may be truncated")
+            }
             Cause::NotDone => f.write_str("the stream ended before its last event"),
             Cause::TooLarge => f.write_str("the answer is too large"),
         }
--- a/crates/web/tests/web/client.rs
+++ b/crates/web/tests/web/client.rs
@@ -97,14 +97,14 @@
         ("closed unanswered", close(""), false),
         ("no HTTP", close("SSH-2.0-x\r\n\r\n"), false),
     ];
-    for (name, step, whole) in rows {
+    for (name, step, complete) in rows {
         let target = Target::start([step]).await;
         let mut send = get(target.addr);
         (send.limits.idle, send.limits.first) = (SHORT, SHORT);
         match fetch(&Client::default(), send).await {
-            Ok(_) => expect_that!(whole, eq(true), "{name} counts as whole"),
+            Ok(_) => expect_that!(complete, eq(true), "{name} counts as complete"),
             Err(broken) => {
-                expect_that!(whole, eq(false), "{name}: {broken}");
+                expect_that!(complete, eq(false), "{name}: {broken}");
                 expect_that!(broken.verdict, eq(Verdict::MayHaveRun), "{name}");
             }
         }
--- a/crates/wire/src/platform.rs
+++ b/crates/wire/src/platform.rs
@@ -6,7 +6,7 @@
 use base::{InstanceName, PoolName, TargetName, ZoneName, record};
 
 record! {
-    /// The whole list. `GET /v1/list`.
+    /// The full list. `GET /v1/list`.
     pub struct List {
         /// Incremented with each change of the list.
         pub serial: u64,
