--- a/crates/control/src/control/calls.rs
+++ b/crates/control/src/control/calls.rs
@@ -5,7 +5,7 @@
 use base::{InstanceName, Ticket, Time};
 use replog::{Message, ReplicaId};
 use wire::{
-    call::{Beat, BeatReply, Call, ClaimReply, Reply},
+    call::{Call, ClaimReply, Heartbeat, HeartbeatReply, Reply},
     operator::{Applied, Apply, Why},
 };
 
@@ -27,12 +27,12 @@
             // Guard: a former leader that was partitioned or frozen would renew leases
             // and grant claims that a newer leader has given to others. So these calls
             // are answered only by an instance that may act as the leader at this moment.
-            Call::Beat(_) | Call::Claim(_) | Call::Settle(_) if !self.replica.leads(now) => {
+            Call::Heartbeat(_) | Call::Claim(_) | Call::Settle(_) if !self.replica.leads(now) => {
                 base::hit!(not_leading);
                 let leader = self.other_leader();
-                Reply::Elsewhere { leader }
+                Reply::Redirect { leader }
             }
-            Call::Beat(beat) => Reply::Beat(self.on_beat(now, &beat, out)),
+            Call::Heartbeat(beat) => Reply::Heartbeat(self.on_beat(now, &beat, out)),
             Call::Claim(claim) => match self.state.claims().known(&claim) {
                 Some(known) => Reply::Claim(known),
                 None => return self.on_item(ticket, Item::Claim(claim), out),
@@ -41,7 +41,7 @@
             Call::Explain(_) => Reply::Explained(None),
             // The daemon answers these calls itself, from its own knowledge of targets,
             // zones and editions.
-            Call::Sync(_) | Call::Renew { .. } | Call::Edition { .. } => Reply::Elsewhere {
+            Call::Sync(_) | Call::Renew { .. } | Call::Edition { .. } => Reply::Redirect {
                 leader: self.other_leader(),
             },
             Call::Confirm(_) | Call::Residents(_) | Call::Handover(_) | Call::Drain => Reply::Done,
@@ -117,7 +117,7 @@
         let applied = match reply {
             Some(Reply::Applied(applied)) => applied,
             // The called instance doesn't lead, so it has proposed nothing.
-            Some(Reply::Elsewhere { .. }) => Applied::Refused {
+            Some(Reply::Redirect { .. }) => Applied::Refused {
                 why: Why::NoQuorum { retry_ms },
             },
             _ => Applied::Unknown { retry_ms },
@@ -140,7 +140,7 @@
                 requester.answer(Applied::Refused { why })
             }
             (Requester::Control(ticket), leader) => {
-                let reply = Reply::Elsewhere { leader };
+                let reply = Reply::Redirect { leader };
                 Output::Reply { ticket, reply }
             }
         }
@@ -173,7 +173,7 @@
         }
     }
 
-    fn on_beat(&mut self, now: Time, beat: &Beat, out: &mut Vec<Output>) -> BeatReply {
+    fn on_beat(&mut self, now: Time, beat: &Heartbeat, out: &mut Vec<Output>) -> HeartbeatReply {
         if !beat.shares.is_empty() {
             let shares = beat.shares.clone();
             self.shares.insert(beat.instance.clone(), shares);
@@ -192,7 +192,7 @@
             return;
         }
         let retry = Duration::from_millis(RETRY_MS);
-        let reply = Reply::Claim(ClaimReply::NotNow { retry });
+        let reply = Reply::Claim(ClaimReply::Deferred { retry });
         out.push(Output::Reply { ticket, reply });
     }
 }
--- a/crates/control/tests/control.rs
+++ b/crates/control/tests/control.rs
@@ -7,7 +7,7 @@
 use googletest::prelude::*;
 use replog::{RawSettings, Record, Replica, ReplicaId, Restored, Settings};
 use wire::{
-    call::{Beat, Call, Claim, ClaimReply, Reply},
+    call::{Call, Claim, ClaimReply, Heartbeat, Reply},
     operator::{Applied, Apply, Why},
 };
 
@@ -108,7 +108,7 @@
 }
 
 fn beat(serial: u64, roster: u64) -> Call {
-    Call::Beat(Beat {
+    Call::Heartbeat(Heartbeat {
         instance: "n1".parse().unwrap(),
         zone: "za".parse().unwrap(),
         incarnation: Incarnation(1),
@@ -158,10 +158,10 @@
 fn an_instance_that_does_not_lead_grants_nothing() {
     base::covers!(not_leading);
     let mut single = SingleInstance::new(Vec::new(), 8 << 20);
-    let elsewhere = Reply::Elsewhere { leader: None };
+    let redirect = Reply::Redirect { leader: None };
     for call in [beat(1, 0), claim(1)] {
         let (_, out) = single.call(call);
-        assert_that!(replies(&out), elements_are![eq(&&elsewhere)]);
+        assert_that!(replies(&out), elements_are![eq(&&redirect)]);
     }
     let out = single.apply("one", 0, "a\n");
     let why = Why::NoQuorum { retry_ms: 1_000 };
@@ -179,7 +179,7 @@
     let mut got = None;
     for serial in 1..6 {
         let (_, out) = single.call(beat(serial, roster));
-        let [Reply::Beat(reply)] = replies(&out)[..] else {
+        let [Reply::Heartbeat(reply)] = replies(&out)[..] else {
             panic!("no reply to a heartbeat: {out:?}");
         };
         assert_that!(reply.text, eq(TextVersion(1)));
@@ -212,10 +212,10 @@
     }
     single.hold_writes = false;
     let out = single.input(Input::Wake);
-    let yours = Reply::Claim(ClaimReply::Yours);
+    let granted = Reply::Claim(ClaimReply::Granted);
     let count = replies(&out)
         .iter()
-        .filter(|reply| ***reply == yours)
+        .filter(|reply| ***reply == granted)
         .count();
     assert_that!(count, eq(40));
     let commands = single.disk[before..]
--- a/crates/controld/src/peers.rs
+++ b/crates/controld/src/peers.rs
@@ -35,7 +35,7 @@
 async fn handle(state: Arc<State>, call: Call) -> Reply {
     let (ticket, reply) = state.register_call();
     state.send_input(Input::Call { ticket, call });
-    reply.await.unwrap_or(Reply::Elsewhere { leader: None })
+    reply.await.unwrap_or(Reply::Redirect { leader: None })
 }
 
 /// Sends a message of the replicated log in the background.
@@ -62,7 +62,7 @@
     tokio::spawn(async move {
         let reply = match address {
             Some(address) => call_leader(&state, address, apply).await,
-            None => Some(Reply::Elsewhere { leader: None }),
+            None => Some(Reply::Redirect { leader: None }),
         };
         state.send_input(Input::Forwarded { ticket, reply });
     });
@@ -74,7 +74,7 @@
     match link.call(Call::Apply(apply), FORWARD_TIMEOUT).await {
         Ok(reply) => Some(reply),
         Err(err) if err.verdict() == base::Verdict::NotRun => {
-            Some(Reply::Elsewhere { leader: None })
+            Some(Reply::Redirect { leader: None })
         }
         Err(_) => None,
     }
--- a/crates/entryd/src/attempts.rs
+++ b/crates/entryd/src/attempts.rs
@@ -363,7 +363,7 @@
             Route::Owner { .. } => HOP_IDLE_TIMEOUT,
             Route::Target { .. } => idle_timeout(attempt),
         },
-        whole: attempt.timeout,
+        total: attempt.timeout,
         reuse,
         ..Limits::default()
     }
--- a/crates/entryd/src/external.rs
+++ b/crates/entryd/src/external.rs
@@ -96,7 +96,7 @@
     send.mark = Mark::Once;
     send.limits = Limits {
         first: ORDER_TIMEOUT,
-        whole: ORDER_TIMEOUT,
+        total: ORDER_TIMEOUT,
         ..Limits::default()
     };
     send.headers = json_headers();
@@ -117,7 +117,7 @@
 /// Returns whether a load was refused because the adapter is already resident. Engines
 /// answer that with an error, although the adapter is loaded as ordered.
 async fn already_loaded(answer: Answer) -> bool {
-    let body = answer.whole(MAX_READ_BYTES).await.unwrap_or_default();
+    let body = answer.read_all(MAX_READ_BYTES).await.unwrap_or_default();
     String::from_utf8_lossy(&body).contains(ALREADY_LOADED)
 }
 
@@ -128,7 +128,7 @@
     if !answer.status.is_success() {
         return None;
     }
-    let body = answer.whole(MAX_READ_BYTES).await.ok()?;
+    let body = answer.read_all(MAX_READ_BYTES).await.ok()?;
     serde_json::from_slice(&body).ok()
 }
 
--- a/crates/frontd/tests/unit/sync.rs
+++ b/crates/frontd/tests/unit/sync.rs
@@ -12,8 +12,8 @@
         ..Inner::default()
     };
     let synced = Synced {
-        news: update,
-        whole: full,
+        update,
+        full,
         ..Synced::default()
     };
     assert_that!(inner.accepts(known, &synced), eq(accepted));
--- a/crates/node/src/engines/residents.rs
+++ b/crates/node/src/engines/residents.rs
@@ -121,7 +121,7 @@
             return true;
         }
         let next = message.fence.get() == last.fence && message.serial == last.serial + 1;
-        if !message.whole && !next {
+        if !message.full && !next {
             base::hit!(gap_in_residents);
             return false;
         }
@@ -139,12 +139,12 @@
         let residents = Residents {
             target,
             fence: message.fence,
-            full: message.whole,
+            full: message.full,
             added: keys(message.added),
             removed: keys(message.removed),
             running: message.in_flight,
             queued: message.queued,
-            evict_cost: message.worth,
+            evict_cost: message.evict_cost,
         };
         self.publish_new_adapters(shared, now, out);
         out.send(ENTRY, Msg::TargetUpdate(RouterUpdate::Residents(residents)));
@@ -184,12 +184,12 @@
             target: name.clone(),
             fence,
             serial: self.serials.get(&target).copied().unwrap_or(0),
-            whole: change.full,
+            full: change.full,
             added: named(&change.added),
             removed: named(&change.removed),
             in_flight: change.running,
             queued: change.queued,
-            worth: change.worth,
+            evict_cost: change.worth,
         })
     }
 }
--- a/crates/node/src/entry/place.rs
+++ b/crates/node/src/entry/place.rs
@@ -124,7 +124,7 @@
         out: &mut Out,
     ) -> bool {
         match reply {
-            Ok(Reply::Elsewhere { leader }) => shared.leader.clone_from(leader),
+            Ok(Reply::Redirect { leader }) => shared.leader.clone_from(leader),
             Err(Verdict::NotRun) => shared.leader = None,
             _ => return false,
         }
@@ -161,15 +161,15 @@
     ) -> ClaimReply {
         match reply {
             Ok(Reply::Claim(reply)) => reply,
-            Ok(Reply::Elsewhere { leader }) => {
+            Ok(Reply::Redirect { leader }) => {
                 shared.leader = leader;
-                ClaimReply::NotNow { retry: CLAIM_RETRY }
+                ClaimReply::Deferred { retry: CLAIM_RETRY }
             }
-            Ok(_) | Err(Verdict::NotRun) => ClaimReply::NotNow { retry: CLAIM_RETRY },
+            Ok(_) | Err(Verdict::NotRun) => ClaimReply::Deferred { retry: CLAIM_RETRY },
             Err(_) => {
                 base::hit!(unknown_claim_released);
                 self.settle_claim(shared, ticket, ClaimOutcome::NotRun, out);
-                ClaimReply::NotNow { retry: CLAIM_RETRY }
+                ClaimReply::Deferred { retry: CLAIM_RETRY }
             }
         }
     }
@@ -343,10 +343,10 @@
         let Some(key) = active.key else {
             return;
         };
-        let fate = match outcome {
-            ClaimOutcome::NotRun => call::Fate::NotRun,
-            ClaimOutcome::MayHaveRun => call::Fate::MayHaveRun,
-            ClaimOutcome::Ran => call::Fate::Ran(active.answer.take()),
+        let outcome = match outcome {
+            ClaimOutcome::NotRun => call::ClaimOutcome::NotRun,
+            ClaimOutcome::MayHaveRun => call::ClaimOutcome::MayHaveRun,
+            ClaimOutcome::Ran => call::ClaimOutcome::Ran(active.answer.take()),
         };
         let brand = active.brand.clone();
         let settle = Settle {
@@ -354,7 +354,7 @@
             key: key.hash,
             instance: shared.settings.name.clone(),
             attempt: self.attempt_id(shared, ticket),
-            fate,
+            outcome,
         };
         self.report_outcome(shared, settle, out);
     }
@@ -404,7 +404,7 @@
 /// Converts the reply to a claim into the input of a [`request::Request`].
 pub(super) fn claim_reply(reply: &ClaimReply) -> Claimed {
     match reply {
-        ClaimReply::Yours => Claimed::Granted,
+        ClaimReply::Granted => Claimed::Granted,
         ClaimReply::Running => Claimed::Running,
         ClaimReply::Ran(answer) => Claimed::Ran {
             kept: answer.is_some(),
@@ -412,6 +412,6 @@
         ClaimReply::MayHaveRun => Claimed::MayHaveRun,
         ClaimReply::OtherBody => Claimed::OtherBody,
         ClaimReply::TooOld => Claimed::TooOld,
-        ClaimReply::NotNow { retry } => Claimed::Deferred { retry: *retry },
+        ClaimReply::Deferred { retry } => Claimed::Deferred { retry: *retry },
     }
 }
--- a/crates/node/tests/node/requests.rs
+++ b/crates/node/tests/node/requests.rs
@@ -6,7 +6,7 @@
 use googletest::prelude::*;
 use node::{Ending, Event, Input};
 use wire::{
-    call::{Call, ClaimReply, Fate, Reply},
+    call::{Call, ClaimOutcome, ClaimReply, Reply},
     engine::Resident,
 };
 
@@ -110,7 +110,7 @@
     let Call::Settle(settle) = settle else {
         panic!("no settle but {settle:?}");
     };
-    assert_that!(settle.fate, eq(&Fate::NotRun));
+    assert_that!(settle.outcome, eq(&ClaimOutcome::NotRun));
     assert_that!((settle.key, settle.attempt), eq((claim.key, claim.attempt)));
 }
 
@@ -121,14 +121,14 @@
     let mut world = World::serving();
     world.arrive(1, "submissions", Some(9));
     let (call, _) = world.held_calls.remove(0);
-    let reply = Ok(Reply::Claim(ClaimReply::Yours));
+    let reply = Ok(Reply::Claim(ClaimReply::Granted));
     world.input(Input::Replied { call, reply });
     let attempt = world.sent.remove(0);
     world.fail(&attempt, Refusal::TargetFailed);
     for _ in 0..3 {
         let (call, settle) = world.held_calls.remove(0);
         assert_that!(
-            matches!(settle, Call::Settle(s) if s.fate == Fate::MayHaveRun),
+            matches!(settle, Call::Settle(s) if s.outcome == ClaimOutcome::MayHaveRun),
             eq(true)
         );
         let reply = Err(Verdict::MayHaveRun);
@@ -238,7 +238,7 @@
         };
         attempts.push(claim.attempt);
         let leader = Some("control-2".parse().unwrap());
-        let reply = Ok(Reply::Elsewhere { leader });
+        let reply = Ok(Reply::Redirect { leader });
         world.input(Input::Replied { call, reply });
     }
     assert_that!(attempts, each(eq(&attempts[0])));
--- a/crates/scenarios/src/world/deliver.rs
+++ b/crates/scenarios/src/world/deliver.rs
@@ -7,7 +7,7 @@
 use member::Observation;
 use owner::{Input as Holding, Ownership};
 use wire::{
-    call::{BeatReply, Call, ClaimReply, Fate, Reply},
+    call::{Call, ClaimOutcome, ClaimReply, HeartbeatReply, Reply},
     operator::Applied,
 };
 
@@ -123,8 +123,10 @@
             return;
         }
         match (pending, msg) {
-            (Pending::Beat, Msg::Reply(_, Reply::Beat(reply))) => self.on_beat(name, id, reply),
-            (Pending::Beat, Msg::Reply(_, Reply::Elsewhere { leader })) => {
+            (Pending::Beat, Msg::Reply(_, Reply::Heartbeat(reply))) => {
+                self.on_beat(name, id, reply)
+            }
+            (Pending::Beat, Msg::Reply(_, Reply::Redirect { leader })) => {
                 if let (Some(leader), Some(entry)) = (leader, self.entry(name)) {
                     entry.leader = Some(leader.to_string());
                     self.step(name, 20, Step::Beat { again: false });
@@ -154,7 +156,7 @@
             }
             (Pending::Claim(marked), Msg::Reply(_, reply)) => self.on_claim(name, marked, &reply),
             (Pending::Execute(marked), Msg::Executed(_)) => {
-                self.settle(name, marked, Fate::Ran(None));
+                self.settle(name, marked, ClaimOutcome::Ran(None));
             }
             (Pending::Pass(ticket), Msg::Reply(_, reply)) => self.on_passed(name, ticket, reply),
             (Pending::Change(apply), Msg::Applied(_, applied)) => {
@@ -181,12 +183,12 @@
         }
     }
 
-    fn on_beat(&mut self, name: &str, id: u64, reply: BeatReply) {
+    fn on_beat(&mut self, name: &str, id: u64, reply: HeartbeatReply) {
         let from = self.last_sender(id);
         let Some(entry) = self.entry(name) else {
             return;
         };
-        entry.tell |= reply.tell;
+        entry.tell |= reply.want_engines;
         let have = entry.text;
         let newer = reply.text > have;
         entry.leader.clone_from(&from);
@@ -212,19 +214,19 @@
             return;
         };
         match reply {
-            Reply::Claim(ClaimReply::Yours) => {
+            Reply::Claim(ClaimReply::Granted) => {
                 let Some(marked) = entry.marked.get_mut(&id).filter(|m| !m.sent) else {
                     return;
                 };
                 marked.sent = true;
                 let wait = self.roll(0..20);
                 if self.roll(0..10) == 0 {
-                    self.settle(name, id, Fate::NotRun);
+                    self.settle(name, id, ClaimOutcome::NotRun);
                 } else {
                     self.step(name, wait, Step::SendMarked(id));
                 }
             }
-            Reply::Elsewhere { leader } => {
+            Reply::Redirect { leader } => {
                 entry.leader = leader.as_ref().map(ToString::to_string);
             }
             Reply::Claim(_) => {
--- a/xtask/src/capacity/calls.rs
+++ b/xtask/src/capacity/calls.rs
@@ -56,12 +56,12 @@
             target: "engine-0000".parse()?,
             fence: Fence(1_234_567),
             serial: 1_000,
-            whole: false,
+            full: false,
             added: Vec::new(),
             removed: Vec::new(),
             in_flight: 170,
             queued: 3,
-            worth: 120,
+            evict_cost: 120,
         });
         let body = bytes(&call)? + bytes(&Reply::Done)?;
         link.call(call.clone(), LIMIT).await?;
--- a/xtask/src/capacity/entry.rs
+++ b/xtask/src/capacity/entry.rs
@@ -320,12 +320,12 @@
                 target: target.clone(),
                 fence: *fence,
                 serial,
-                whole: serial == 1,
+                full: serial == 1,
                 added: vec![adapter(serial)?],
                 removed: vec![adapter(serial - 1)?],
                 in_flight: 170,
                 queued: 3,
-                worth: 120,
+                evict_cost: 120,
             };
             size = super::bytes(&wire::call::Call::Residents(news.clone()))?;
             let began = Instant::now();
