--- a/crates/cli/src/args.rs
+++ b/crates/cli/src/args.rs
@@ -5,7 +5,7 @@
 use base::{AdapterName, BrandName, ChangeId, InstanceName, ServiceName, TextVersion};
 use clap::{Arg, ArgAction, ArgGroup, Command, value_parser};
 
-use crate::story::RequestId;
+use crate::timeline::RequestId;
 
 pub(crate) const JSON: &str = "json";
 pub(crate) const CONTROL: &str = "control";
--- a/crates/cli/src/command.rs
+++ b/crates/cli/src/command.rs
@@ -13,7 +13,7 @@
 use anyhow::{Context, Result, bail};
 use clap::ArgMatches;
 
-use crate::done::Done;
+use crate::outcome::Done;
 
 /// Runs the command that was given.
 ///
--- a/crates/cli/src/command/apply.rs
+++ b/crates/cli/src/command/apply.rs
@@ -13,7 +13,7 @@
 use crate::{
     args,
     command::{local, read, show},
-    done::{Done, Exit, Stop},
+    outcome::{Done, Exit, Stop},
     remote::{Lost, Remote, Reply, unreachable},
 };
 
--- a/crates/cli/src/command/local.rs
+++ b/crates/cli/src/command/local.rs
@@ -10,7 +10,7 @@
 use crate::{
     args,
     command::{read, show},
-    done::{Done, Exit},
+    outcome::{Done, Exit},
     remote::Remote,
 };
 
--- a/crates/cli/src/command/show.rs
+++ b/crates/cli/src/command/show.rs
@@ -8,7 +8,7 @@
 
 use crate::{
     args,
-    done::{Done, Exit, Stop},
+    outcome::{Done, Exit, Stop},
     remote::{Remote, unreachable},
     table::table,
 };
--- a/crates/cli/src/command/trace.rs
+++ b/crates/cli/src/command/trace.rs
@@ -13,9 +13,9 @@
 
 use crate::{
     args,
-    done::{Done, Exit, Stop},
-    story::{Ending, Gathered, Line, RequestId, Skipped, Story, Told},
+    outcome::{Done, Exit, Stop},
     table::table,
+    timeline::{Ending, Gathered, Line, RequestId, Skipped, Story, Told},
 };
 
 pub(super) fn run(args: &ArgMatches) -> Result<Done> {
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,18 +1,18 @@
 //! The operators' command line `quetzalarch`.
 //!
-//! Each command ends in a [`done::Done`]: what to print, as text and as JSON,
+//! Each command ends in a [`outcome::Done`]: what to print, as text and as JSON,
 //! and the exit code that scripts go by.
 
 mod args;
 mod command;
-mod done;
+mod outcome;
 mod remote;
-mod story;
 mod table;
+mod timeline;
 
 use std::process::ExitCode;
 
-use done::Done;
+use outcome::Done;
 
 #[tokio::main(flavor = "current_thread")]
 async fn main() -> ExitCode {
--- a/crates/cli/src/remote.rs
+++ b/crates/cli/src/remote.rs
@@ -16,7 +16,7 @@
 
 use crate::{
     args::TIMEOUT,
-    done::{Exit, Stop},
+    outcome::{Exit, Stop},
 };
 
 /// Largest answer that is read: a text of 48,000 adapters has 2 MB.
--- a/crates/cli/src/story.rs
+++ b/crates/cli/src/timeline.rs
@@ -289,5 +289,5 @@
 }
 
 #[cfg(test)]
-#[path = "../tests/unit/story.rs"]
+#[path = "../tests/unit/timeline.rs"]
 mod tests;
