--- a/crates/cli/src/args.rs
+++ b/crates/cli/src/args.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Definition of the command line: subcommands, flags and their help.
 
 use std::{net::SocketAddr, path::PathBuf};
 
@@ -14,18 +14,18 @@
 pub(crate) const TIMEOUT: &str = "timeout";
 pub(crate) const AROUND: &str = "around";
 
-/// Seconds for which `apply` resends a change whose outcome is unknown.
-const WAIT_DEFAULT: &str = "15";
-/// Seconds that a silent instance costs before the next is asked; a change
-/// takes three at most.
-const TIMEOUT_DEFAULT: &str = "8";
+/// Seconds for which `apply` retries a change whose outcome is unknown.
+const DEFAULT_WAIT: &str = "15";
+/// Seconds to wait for an instance that doesn't answer before the next one is
+/// asked; accepting a change takes three at most.
+const DEFAULT_TIMEOUT: &str = "8";
 /// Seconds of context that `trace` shows before and after a request.
-const AROUND_DEFAULT: &str = "2";
+const DEFAULT_AROUND: &str = "2";
 
 /// Builds the command line.
 pub(crate) fn command() -> Command {
     Command::new("quetzalarch")
-        .about("Checks and applies the operators' text, and shows what the system does")
+        .about("Checks and applies the operators' configuration text, and shows the system's state")
         .version(env!("CARGO_PKG_VERSION"))
         .after_help(
             "Exit codes: 0 done, 1 refused, 2 wrong usage, 3 nobody reached, 4 unknown outcome",
@@ -36,7 +36,7 @@
         .arg(urls(
             CONTROL,
             "QUETZAL_CONTROL",
-            "Control instances' operators' addresses",
+            "Addresses of the control instances' operator listeners",
         ))
         .subcommands([
             Command::new("check")
@@ -68,9 +68,9 @@
         .long(TIMEOUT)
         .global(true)
         .value_name("SECONDS")
-        .default_value(TIMEOUT_DEFAULT)
+        .default_value(DEFAULT_TIMEOUT)
         .value_parser(value_parser!(u64).range(1..=600))
-        .help("How long an instance may stay silent")
+        .help("How long to wait for an answer from an instance")
 }
 
 fn urls(name: &'static str, env: &'static str, help: &'static str) -> Arg {
@@ -104,7 +104,7 @@
 
 fn apply() -> Command {
     Command::new("apply")
-        .about("Brings a text into force; run it again after an unknown outcome, it applies once")
+        .about("Applies a text; safe to run again after an unknown outcome, as it is applied only once")
         .arg(file("file"))
         .arg(
             Arg::new("base")
@@ -118,7 +118,7 @@
                 .long("change")
                 .value_name("ID")
                 .value_parser(value_parser!(ChangeId))
-                .help("Id by which a resend is recognised; made of base, author and text if not given"),
+                .help("Id by which a retry is recognised; derived from base, author and text if not given"),
         )
         .arg(
             Arg::new("by")
@@ -132,15 +132,15 @@
             Arg::new(WAIT)
                 .long(WAIT)
                 .value_name("SECONDS")
-                .default_value(WAIT_DEFAULT)
+                .default_value(DEFAULT_WAIT)
                 .value_parser(value_parser!(u64).range(0..=3_600))
-                .help("How long a change with unknown outcome is sent again"),
+                .help("How long a change with an unknown outcome is retried"),
         )
 }
 
 fn explain() -> Command {
     Command::new("explain")
-        .about("Says why requests of a brand's service, or of an adapter, go where they do")
+        .about("Shows how requests of a brand's service, or of an adapter, are routed, and why")
         .arg(urls(
             ENTRY,
             "QUETZAL_ENTRY",
@@ -174,7 +174,7 @@
 
 fn drain() -> Command {
     Command::new("drain")
-        .about("Asks an instance to stop in order")
+        .about("Asks an instance to shut down gracefully")
         .arg(
             Arg::new("instance")
                 .value_name("INSTANCE")
@@ -185,13 +185,13 @@
 
 fn trace() -> Command {
     Command::new("trace")
-        .about("Tells the story of one request from log lines of any instances")
+        .about("Shows the timeline of one request from log lines of any instances")
         .arg(
             Arg::new("id")
                 .value_name("ID")
                 .required(true)
                 .value_parser(value_parser!(RequestId))
-                .help("The request's id, as its lines name it"),
+                .help("The request's id, as its log lines have it"),
         )
         .arg(
             Arg::new("files")
@@ -205,9 +205,9 @@
             Arg::new(AROUND)
                 .long(AROUND)
                 .value_name("SECONDS")
-                .default_value(AROUND_DEFAULT)
+                .default_value(DEFAULT_AROUND)
                 .value_parser(value_parser!(u32).range(0..=3_600))
-                .help("How long before and after the request context is shown"),
+                .help("Seconds of context shown before and after the request"),
         )
 }
 
--- a/crates/cli/src/command.rs
+++ b/crates/cli/src/command.rs
@@ -1,4 +1,4 @@
-//! One module for each command.
+//! The subcommands and their dispatch.
 
 mod apply;
 mod local;
@@ -13,14 +13,15 @@
 use anyhow::{Context, Result, bail};
 use clap::ArgMatches;
 
-use crate::outcome::Done;
+use crate::outcome::Outcome;
 
 /// Runs the command that was given.
 ///
 /// # Errors
 ///
-/// Fails on wrong usage, and when no instance answers.
-pub(crate) async fn run(matches: &ArgMatches) -> Result<Done> {
+/// Fails on wrong usage, when an instance refuses the request, and when no
+/// instance answers.
+pub(crate) async fn run(matches: &ArgMatches) -> Result<Outcome> {
     match matches.subcommand() {
         Some(("check", args)) => local::check(args),
         Some(("diff", args)) => local::diff(args).await,
@@ -36,7 +37,7 @@
     }
 }
 
-/// Reads the text that an argument names.
+/// Reads the file that the argument `name` gives, or standard input for `-`.
 fn read(args: &ArgMatches, name: &str) -> Result<String> {
     let path = args.get_one::<PathBuf>(name).context("no file given")?;
     if path == Path::new("-") {
--- a/crates/cli/src/command/apply.rs
+++ b/crates/cli/src/command/apply.rs
@@ -1,4 +1,5 @@
-//! `apply FILE`: brings a text into force, once, whatever gets lost.
+//! `apply FILE`: applies a text exactly once, also when requests or answers get
+//! lost and are retried.
 
 use std::time::Duration;
 
@@ -13,14 +14,14 @@
 use crate::{
     args,
     command::{local, read, show},
-    outcome::{Done, Exit, Stop},
-    remote::{Lost, Remote, Reply, unreachable},
+    outcome::{CommandError, Exit, Outcome},
+    remote::{NoResponse, Remote, Reply, unreachable},
 };
 
-/// Time between two rounds where no instance says when to come back.
-const ROUND: Duration = Duration::from_millis(500);
+/// Pause between two rounds over all instances when none names a retry time.
+const RETRY_PAUSE: Duration = Duration::from_millis(500);
 
-pub(super) async fn run(args: &ArgMatches) -> Result<Done> {
+pub(super) async fn run(args: &ArgMatches) -> Result<Outcome> {
     let text = read(args, "file")?;
     if let Err(errors) = Model::try_from(text.as_str()) {
         return Ok(local::bad_text(&errors));
@@ -46,7 +47,7 @@
         .clone();
     let change = match args.get_one::<ChangeId>("change") {
         Some(change) => change.clone(),
-        None => derived(base, &by, &text)?,
+        None => change_id(base, &by, &text)?,
     };
     let wait = args.get_one::<u64>(args::WAIT).copied().unwrap_or_default();
     let apply = Apply {
@@ -58,127 +59,131 @@
     send(&remote, &apply, Duration::from_secs(wait)).await
 }
 
-/// Makes a change id of what is changed.
+/// Derives a change id from the base version, the author and the text.
 ///
-/// Failure: an operator's connection breaks, and the command is run again
-/// under a fresh id: the change would be refused as losing against itself, or
-/// be in the history twice. The same command always makes the same id.
-fn derived(base: TextVersion, by: &str, text: &str) -> Result<ChangeId> {
+/// The same command always gives the same id. With a fresh id, a command that is
+/// run again after a broken connection would be refused because of a conflict with
+/// its own first run, or be in the history twice.
+fn change_id(base: TextVersion, by: &str, text: &str) -> Result<ChangeId> {
     let parts = [&base.get().to_le_bytes(), by.as_bytes(), text.as_bytes()];
     Ok(ChangeId::try_from(
         format!("cli-{:016x}", stable_hash(&parts)).as_str(),
     )?)
 }
 
-/// What the tries so far have shown, short of a final answer.
+/// What the attempts of a round have shown as long as none gave a final answer.
 #[derive(Default)]
-struct Tries {
-    /// Whether one of them may have been accepted.
-    maybe: bool,
-    /// Whether a control instance certainly refused for want of a majority.
-    alone: bool,
-    /// When an instance asked to come back.
+struct Attempts {
+    /// Whether any attempt so far, also of earlier rounds, has an unknown outcome.
+    unknown: bool,
+    /// Whether a control instance refused because it reaches no majority.
+    no_quorum: bool,
+    /// How long to wait before the next round, as an instance asked.
     retry: Option<Duration>,
-    lost: Vec<String>,
+    failures: Vec<String>,
 }
 
 /// Sends a change to one instance after the other until one gives a final
-/// answer, and again while the outcome is unknown and time is left.
-async fn send(remote: &Remote, apply: &Apply, wait: Duration) -> Result<Done> {
+/// answer; retries while the outcome is unknown and `wait` has not passed.
+async fn send(remote: &Remote, apply: &Apply, wait: Duration) -> Result<Outcome> {
     let end = Instant::now() + wait;
-    let mut maybe = false;
+    let mut unknown = false;
     loop {
-        let mut tries = Tries {
-            maybe,
-            ..Tries::default()
+        let mut attempts = Attempts {
+            unknown,
+            ..Attempts::default()
         };
         for addr in remote.addrs() {
-            let tried = remote.post(*addr, "/v1/apply", apply).await;
-            if let Some(done) = judge(tried, apply, &mut tries)? {
-                return Ok(done);
+            let sent = remote.post(*addr, "/v1/apply", apply).await;
+            if let Some(outcome) = evaluate(sent, apply, &mut attempts)? {
+                return Ok(outcome);
             }
         }
-        maybe = tries.maybe;
-        let pause = tries.retry.unwrap_or(ROUND);
-        if !maybe || Instant::now() + pause > end {
-            return finish(&tries, apply);
+        unknown = attempts.unknown;
+        let pause = attempts.retry.unwrap_or(RETRY_PAUSE);
+        if !unknown || Instant::now() + pause > end {
+            return finish(&attempts, apply);
         }
         sleep(pause).await;
     }
 }
 
-/// Takes one instance's answer; returns the end of the command if it is final.
+/// Evaluates one instance's answer; returns the command's result if it is final.
 ///
-/// A refusal for want of a majority is final for the instance that gave it
-/// only: another one may reach the majority. And it says nothing about an
-/// earlier try, so it never turns an unknown outcome into `not accepted`.
-fn judge(tried: Result<Reply, Lost>, apply: &Apply, tries: &mut Tries) -> Result<Option<Done>> {
-    let reply = match tried {
+/// A refusal for lack of a majority is final only for the instance that gave it:
+/// another one may reach the majority. It says nothing about an earlier attempt,
+/// so it never turns an unknown outcome into `not accepted`.
+fn evaluate(
+    sent: Result<Reply, NoResponse>,
+    apply: &Apply,
+    attempts: &mut Attempts,
+) -> Result<Option<Outcome>> {
+    let reply = match sent {
         Ok(reply) => reply,
-        Err(lost) => {
-            tries.maybe |= lost.verdict != Verdict::NotRun;
-            tries.lost.push(lost.to_string());
+        Err(err) => {
+            attempts.unknown |= err.verdict != Verdict::NotRun;
+            attempts.failures.push(err.to_string());
             return Ok(None);
         }
     };
     match serde_json::from_slice::<Applied>(&reply.body) {
         Ok(Applied::Unknown { retry_ms }) => {
-            tries.maybe = true;
-            tries.retry = Some(Duration::from_millis(retry_ms));
+            attempts.unknown = true;
+            attempts.retry = Some(Duration::from_millis(retry_ms));
             Ok(None)
         }
         Ok(Applied::Refused {
             why: Why::NoQuorum { retry_ms },
         }) => {
-            tries.alone = true;
-            tries.retry = Some(Duration::from_millis(retry_ms));
+            attempts.no_quorum = true;
+            attempts.retry = Some(Duration::from_millis(retry_ms));
             Ok(None)
         }
-        Ok(applied) => Ok(Some(last(&applied, apply))),
-        Err(_) if reply.status.is_client_error() => Err(Stop {
+        Ok(applied) => Ok(Some(result(&applied, apply))),
+        Err(_) if reply.status.is_client_error() => Err(CommandError {
             exit: Exit::Refused,
-            what: reply.said(),
+            message: reply.error_text(),
         }
         .into()),
         Err(_) => {
-            tries.maybe |= !reply.refused;
-            tries.lost.push(reply.said());
+            attempts.unknown |= !reply.refused;
+            attempts.failures.push(reply.error_text());
             Ok(None)
         }
     }
 }
 
-/// Ends the command where no instance gave a final answer.
-fn finish(tries: &Tries, apply: &Apply) -> Result<Done> {
-    if tries.maybe {
+/// Returns the command's result when no instance gave a final answer.
+fn finish(attempts: &Attempts, apply: &Apply) -> Result<Outcome> {
+    if attempts.unknown {
         let applied = Applied::Unknown {
-            retry_ms: millis(tries.retry.unwrap_or(ROUND)),
+            retry_ms: millis(attempts.retry.unwrap_or(RETRY_PAUSE)),
         };
-        return Ok(last(&applied, apply));
+        return Ok(result(&applied, apply));
     }
-    if tries.alone {
+    if attempts.no_quorum {
         let why = Why::NoQuorum {
-            retry_ms: millis(tries.retry.unwrap_or(ROUND)),
+            retry_ms: millis(attempts.retry.unwrap_or(RETRY_PAUSE)),
         };
-        return Ok(last(&Applied::Refused { why }, apply));
+        return Ok(result(&Applied::Refused { why }, apply));
     }
-    Err(unreachable(&tries.lost).into())
+    Err(unreachable(&attempts.failures).into())
 }
 
 fn millis(wait: Duration) -> u64 {
     u64::try_from(wait.as_millis()).unwrap_or(u64::MAX)
 }
 
-fn unchanged(version: TextVersion) -> Done {
+fn unchanged(version: TextVersion) -> Outcome {
     let json = json!({ "outcome": "unchanged", "version": version });
-    Done::new(
+    Outcome::new(
         Exit::Ok,
         format!("unchanged: version {version} says the same"),
         &json,
     )
 }
 
-fn last(applied: &Applied, apply: &Apply) -> Done {
+fn result(applied: &Applied, apply: &Apply) -> Outcome {
     let (exit, text) = match applied {
         Applied::Accepted { version } => (Exit::Ok, format!("accepted as version {version}")),
         Applied::Refused { why } => (Exit::Refused, format!("refused: {}", reason(why))),
@@ -191,7 +196,7 @@
         ),
     };
     let json = json!({ "result": applied, "base": apply.base, "change": apply.change });
-    Done::new(exit, text, &json)
+    Outcome::new(exit, text, &json)
 }
 
 fn reason(why: &Why) -> String {
--- a/crates/cli/src/command/local.rs
+++ b/crates/cli/src/command/local.rs
@@ -1,4 +1,4 @@
-//! Commands that need no instance, or only to read the text in force.
+//! Commands that run locally; only `diff NEW` reads the text in force from an instance.
 
 use std::io::Read;
 
@@ -10,12 +10,12 @@
 use crate::{
     args,
     command::{read, show},
-    outcome::{Done, Exit},
+    outcome::{Exit, Outcome},
     remote::Remote,
 };
 
 /// `check FILE`
-pub(super) fn check(args: &ArgMatches) -> Result<Done> {
+pub(super) fn check(args: &ArgMatches) -> Result<Outcome> {
     let source = read(args, "file")?;
     match Model::try_from(source.as_str()) {
         Err(errors) => Ok(bad_text(&errors)),
@@ -26,13 +26,13 @@
             let json = json!({
                 "outcome": "ok", "brands": brands, "adapters": adapters, "services": services,
             });
-            Ok(Done::new(Exit::Ok, text, &json))
+            Ok(Outcome::new(Exit::Ok, text, &json))
         }
     }
 }
 
 /// `diff OLD NEW` or `diff NEW`
-pub(super) async fn diff(args: &ArgMatches) -> Result<Done> {
+pub(super) async fn diff(args: &ArgMatches) -> Result<Outcome> {
     let (old, new) = if args.contains_id("new") {
         (read(args, "old")?, read(args, "new")?)
     } else {
@@ -53,11 +53,11 @@
     } else {
         diff.to_string()
     };
-    Ok(Done::new(Exit::Ok, text, &diff))
+    Ok(Outcome::new(Exit::Ok, text, &diff))
 }
 
 /// `key`
-pub(super) fn key() -> Result<Done> {
+pub(super) fn key() -> Result<Outcome> {
     let mut key = String::new();
     std::io::stdin()
         .read_to_string(&mut key)
@@ -68,15 +68,15 @@
         .iter()
         .map(|byte| format!("{byte:02x}"))
         .collect();
-    Ok(Done::new(
+    Ok(Outcome::new(
         Exit::Ok,
         hash.as_str(),
         &json!({ "sha256": hash }),
     ))
 }
 
-/// Ends a command by all errors of a text.
-pub(super) fn bad_text(errors: &Errors) -> Done {
+/// Returns a refusal that lists all errors of a text.
+pub(super) fn bad_text(errors: &Errors) -> Outcome {
     let list: Vec<_> = errors
         .iter()
         .map(|error| {
@@ -86,5 +86,5 @@
         })
         .collect();
     let json = json!({ "outcome": "refused", "why": "bad-text", "errors": list });
-    Done::new(Exit::Refused, errors.to_string(), &json)
+    Outcome::new(Exit::Refused, errors.to_string(), &json)
 }
--- a/crates/cli/src/command/show.rs
+++ b/crates/cli/src/command/show.rs
@@ -1,4 +1,4 @@
-//! Commands that ask instances what they see.
+//! Commands that query instances for their state, and `drain`.
 
 use anyhow::{Context, Result};
 use base::{AdapterName, BrandName, InstanceName, ServiceName};
@@ -8,18 +8,18 @@
 
 use crate::{
     args,
-    outcome::{Done, Exit, Stop},
+    outcome::{CommandError, Exit, Outcome},
     remote::{Remote, unreachable},
     table::table,
 };
 
-/// Reads the newest text that any control instance knows.
+/// Reads the newest text that any control instance has.
 ///
-/// An isolated control instance answers readily with an old text; the version
-/// tells which answer is the newest.
+/// An isolated control instance still answers, but with an old text; so all are
+/// asked and the highest version is taken.
 pub(super) async fn current(remote: &Remote) -> Result<Current> {
     let mut newest: Option<Current> = None;
-    let mut lost = Vec::new();
+    let mut failures = Vec::new();
     for (_, read) in remote.all::<Current>("/v1/text").await {
         match read {
             Ok(found)
@@ -30,20 +30,20 @@
                 newest = Some(found);
             }
             Ok(_) => {}
-            Err(stop) => lost.push(stop.what),
+            Err(err) => failures.push(err.message),
         }
     }
-    newest.ok_or_else(|| unreachable(&lost).into())
+    newest.ok_or_else(|| unreachable(&failures).into())
 }
 
 /// `text`
-pub(super) async fn text(args: &ArgMatches) -> Result<Done> {
+pub(super) async fn text(args: &ArgMatches) -> Result<Outcome> {
     let current = current(&Remote::new(args, args::CONTROL)?).await?;
-    Ok(Done::new(Exit::Ok, current.text.as_str(), &current))
+    Ok(Outcome::new(Exit::Ok, current.text.as_str(), &current))
 }
 
 /// `history`
-pub(super) async fn history(args: &ArgMatches) -> Result<Done> {
+pub(super) async fn history(args: &ArgMatches) -> Result<Outcome> {
     let remote = Remote::new(args, args::CONTROL)?;
     let entries: Vec<Entry> = remote.first("/v1/history").await?;
     let rows: Vec<Vec<String>> = entries
@@ -59,46 +59,46 @@
         })
         .collect();
     let text = table(&["VERSION", "LINES", "BY", "CHANGE"], &rows);
-    Ok(Done::new(Exit::Ok, text, &entries))
+    Ok(Outcome::new(Exit::Ok, text, &entries))
 }
 
-/// `status`: the view of the control instance that knows the newest text, and
-/// how the others' views differ from it.
-pub(super) async fn status(args: &ArgMatches) -> Result<Done> {
+/// `status`: the state as the control instance with the newest text reports it,
+/// and how the other instances' reports differ.
+pub(super) async fn status(args: &ArgMatches) -> Result<Outcome> {
     let remote = Remote::new(args, args::CONTROL)?;
-    let mut views = Vec::new();
+    let mut reports = Vec::new();
     let mut silent = Vec::new();
     for (addr, read) in remote.all::<Status>("/v1/status").await {
         match read {
-            Ok(status) => views.push(status),
-            Err(stop) => silent.push((addr, stop.what)),
+            Ok(status) => reports.push(status),
+            Err(err) => silent.push((addr, err.message)),
         }
     }
-    // An isolated instance that still thinks it leads has the older text, or
-    // no leader to name.
-    views.sort_by_key(|view| (view.version, view.leader.is_some()));
-    let Some(best) = views.pop() else {
-        let lost: Vec<String> = silent.into_iter().map(|(_, what)| what).collect();
-        return Err(unreachable(&lost).into());
+    // The report of an isolated instance sorts lower: it has an older text, or
+    // names no leader.
+    reports.sort_by_key(|report| (report.version, report.leader.is_some()));
+    let Some(best) = reports.pop() else {
+        let failures: Vec<String> = silent.into_iter().map(|(_, message)| message).collect();
+        return Err(unreachable(&failures).into());
     };
-    let odd: Vec<&Status> = views
+    let differing: Vec<&Status> = reports
         .iter()
-        .filter(|view| view.leader != best.leader || view.version != best.version)
+        .filter(|report| report.leader != best.leader || report.version != best.version)
         .collect();
     let mut text = render(&best);
-    for view in &odd {
-        let (name, version) = (&view.instance, view.version);
+    for report in &differing {
+        let (name, version) = (&report.instance, report.version);
         text += &format!(
             "\n{name} sees otherwise: leader {}, text {version}",
-            leader(view)
+            leader(report)
         );
     }
-    for (_, what) in &silent {
-        text += &format!("\nno answer from {what}");
+    for (_, message) in &silent {
+        text += &format!("\nno answer from {message}");
     }
     let silent: Vec<String> = silent.iter().map(|(addr, _)| addr.to_string()).collect();
-    let json = json!({ "status": best, "differing": odd, "silent": silent });
-    Ok(Done::new(Exit::Ok, text, &json))
+    let json = json!({ "status": best, "differing": differing, "silent": silent });
+    Ok(Outcome::new(Exit::Ok, text, &json))
 }
 
 fn render(status: &Status) -> String {
@@ -126,7 +126,7 @@
     let brands: Vec<Vec<String>> = status.brands.iter().map(brand_row).collect();
     let shares = match brands.is_empty() {
         true => String::new(),
-        false => format!("\n\n{}", table(BRAND_HEAD, &brands)),
+        false => format!("\n\n{}", table(BRAND_HEADERS, &brands)),
     };
     format!(
         "text {}, leader {}, as {} sees it\n\n{}\n\n{}{shares}",
@@ -138,8 +138,8 @@
     )
 }
 
-/// Heads of the table of brands' shares.
-const BRAND_HEAD: &[&str] = &[
+/// Column headers of the table of brands' shares.
+const BRAND_HEADERS: &[&str] = &[
     "BRAND", "SHARE", "TOKENS", "RUNNING", "QUEUED", "REFUSED", "WAIT",
 ];
 
@@ -163,7 +163,7 @@
 }
 
 /// `explain --brand B --service S` or `--adapter A`
-pub(super) async fn explain(args: &ArgMatches) -> Result<Done> {
+pub(super) async fn explain(args: &ArgMatches) -> Result<Outcome> {
     let remote = Remote::new(args, args::ENTRY)?;
     let brand = args
         .get_one::<BrandName>("brand")
@@ -175,16 +175,16 @@
         .get_one::<AdapterName>("adapter")
         .map(|name| format!("adapter={name}"));
     let what = service.or(adapter).context("no service or adapter given")?;
-    // Names are safe in a query as they are.
+    // Names hold no characters that a query would have to escape.
     let found: Value = remote
         .first(&format!("/v1/explain?brand={brand}&{what}"))
         .await?;
     let text = serde_json::to_string_pretty(&found)?;
-    Ok(Done::new(Exit::Ok, text, &found))
+    Ok(Outcome::new(Exit::Ok, text, &found))
 }
 
 /// `drain INSTANCE`
-pub(super) async fn drain(args: &ArgMatches) -> Result<Done> {
+pub(super) async fn drain(args: &ArgMatches) -> Result<Outcome> {
     let remote = Remote::new(args, args::CONTROL)?;
     let instance = args
         .get_one::<InstanceName>("instance")
@@ -192,29 +192,29 @@
     let body = Drain {
         instance: instance.clone(),
     };
-    let mut lost = Vec::new();
+    let mut failures = Vec::new();
     for addr in remote.addrs() {
-        // A drain that is asked for twice is one drain: the next may be asked
-        // even where the first may have passed it on.
+        // Draining is idempotent: the next instance may be asked even if this one
+        // has an unknown outcome.
         let reply = match remote.post(*addr, "/v1/drain", &body).await {
             Ok(reply) => reply,
             Err(err) => {
-                lost.push(format!("{addr}: {err}"));
+                failures.push(format!("{addr}: {err}"));
                 continue;
             }
         };
         if reply.status.is_success() {
             let json = json!({ "outcome": "ok", "instance": instance });
-            return Ok(Done::new(Exit::Ok, format!("{instance} drains"), &json));
+            return Ok(Outcome::new(Exit::Ok, format!("{instance} drains"), &json));
         }
         if reply.status.is_client_error() {
-            return Err(Stop {
+            return Err(CommandError {
                 exit: Exit::Refused,
-                what: reply.said(),
+                message: reply.error_text(),
             }
             .into());
         }
-        lost.push(format!("{addr}: {}", reply.said()));
+        failures.push(format!("{addr}: {}", reply.error_text()));
     }
-    Err(unreachable(&lost).into())
+    Err(unreachable(&failures).into())
 }
--- a/crates/cli/src/command/trace.rs
+++ b/crates/cli/src/command/trace.rs
@@ -1,4 +1,4 @@
-//! `trace ID [FILE...]`: the story of one request, from lines of any instances.
+//! `trace ID [FILE...]`: the timeline of one request, from log lines of any instances.
 
 use std::{
     fs::File,
@@ -13,75 +13,75 @@
 
 use crate::{
     args,
-    outcome::{Done, Exit, Stop},
+    outcome::{CommandError, Exit, Outcome},
     table::table,
-    timeline::{Ending, Gathered, Line, RequestId, Skipped, Story, Told},
+    timeline::{Collector, Ending, Line, RequestId, Row, Skipped, Timeline},
 };
 
-pub(super) fn run(args: &ArgMatches) -> Result<Done> {
+pub(super) fn run(args: &ArgMatches) -> Result<Outcome> {
     let id = args.get_one::<RequestId>("id").context("no id given")?;
     let files = args.get_many::<PathBuf>("files").unwrap_or_default();
     let around = args.get_one::<u32>(args::AROUND).copied();
     let around = TimeDelta::seconds(around.unwrap_or_default().into());
-    let mut gathered = Gathered::new(id.clone());
-    let mut unread = Vec::new();
+    let mut collector = Collector::new(id.clone());
+    let mut errors = Vec::new();
     for file in files {
-        if let Err(err) = read(file, &mut gathered) {
-            unread.push(format!("can't read {}: {err}", file.display()));
+        if let Err(err) = read(file, &mut collector) {
+            errors.push(format!("can't read {}: {err}", file.display()));
         }
     }
-    // A story told from some of the files would look whole.
-    ensure!(unread.is_empty(), "{}", unread.join("; "));
-    let (lines, skipped) = gathered.counts();
-    let Some(story) = gathered.story(around) else {
-        let what = format!(
+    // A timeline made from only some of the files would look complete.
+    ensure!(errors.is_empty(), "{}", errors.join("; "));
+    let (lines, skipped) = collector.counts();
+    let Some(timeline) = collector.timeline(around) else {
+        let message = format!(
             "no line of request `{}` among {}{}",
-            plain(&id.to_string()),
+            escape(&id.to_string()),
             count(lines, "line"),
             left_out(skipped)
         );
-        return Err(Stop {
+        return Err(CommandError {
             exit: Exit::Refused,
-            what,
+            message,
         }
         .into());
     };
-    Ok(Done::new(Exit::Ok, render(&story), &story))
+    Ok(Outcome::new(Exit::Ok, render(&timeline), &timeline))
 }
 
-/// Reads a file's lines, whatever bytes they are of.
-fn read(path: &Path, to: &mut Gathered) -> io::Result<()> {
+/// Reads a file's lines, which need not be UTF-8.
+fn read(path: &Path, collector: &mut Collector) -> io::Result<()> {
     let mut input: Box<dyn BufRead> = match path == Path::new("-") {
         true => Box::new(io::stdin().lock()),
         false => Box::new(BufReader::new(File::open(path)?)),
     };
     let mut line = Vec::new();
     while input.read_until(b'\n', &mut line)? > 0 {
-        to.take(&line);
+        collector.add(&line);
         line.clear();
     }
     Ok(())
 }
 
-fn render(story: &Story) -> String {
-    let simulated = story.lines.iter().any(|told| told.line.seconds.is_some());
+fn render(timeline: &Timeline) -> String {
+    let simulated = timeline.lines.iter().any(|row| row.line.seconds.is_some());
     let mut head = vec!["LINE", "TIME", "INSTANCE", "EVENT", "FIELDS"];
     if simulated {
         head.insert(2, "SECONDS");
     }
-    let rows = story.lines.iter().map(|told| row(told, simulated));
+    let rows = timeline.lines.iter().map(|row| cells(row, simulated));
     let rows: Vec<Vec<String>> = rows.collect();
-    format!("{}\n\n{}", summary(story), table(&head, &rows))
+    format!("{}\n\n{}", summary(timeline), table(&head, &rows))
 }
 
-fn row(told: &Told, simulated: bool) -> Vec<String> {
-    let line = &told.line;
-    let whose = if told.own { "request" } else { "context" };
+fn cells(row: &Row, simulated: bool) -> Vec<String> {
+    let line = &row.line;
+    let kind = if row.own { "request" } else { "context" };
     let mut cells = vec![
-        whose.to_owned(),
+        kind.to_owned(),
         time(line.time),
-        plain(&line.instance),
-        plain(&format!("{} {}", line.event, line.name)),
+        escape(&line.instance),
+        escape(&format!("{} {}", line.event, line.name)),
         fields(line),
     ];
     if simulated {
@@ -90,29 +90,29 @@
     cells
 }
 
-fn summary(story: &Story) -> String {
-    let instances: Vec<&str> = story.instances.iter().map(String::as_str).collect();
-    let took = story.last.signed_duration_since(story.first);
+fn summary(timeline: &Timeline) -> String {
+    let instances: Vec<&str> = timeline.instances.iter().map(String::as_str).collect();
+    let took = timeline.last.signed_duration_since(timeline.first);
     format!(
         "request {}: {} of {}, from {} to {} ({} ms); {}; {} of context{}",
-        plain(&story.request.to_string()),
-        count(story.own, "own line"),
-        plain(&instances.join(", ")),
-        time(story.first),
-        time(story.last),
+        escape(&timeline.request.to_string()),
+        count(timeline.own, "own line"),
+        escape(&instances.join(", ")),
+        time(timeline.first),
+        time(timeline.last),
         took.num_milliseconds(),
-        ending(&story.ending),
-        count(story.lines.len() - story.own, "line"),
-        left_out(story.skipped)
+        ending(&timeline.ending),
+        count(timeline.lines.len() - timeline.own, "line"),
+        left_out(timeline.skipped)
     )
 }
 
 fn ending(ending: &Ending) -> String {
     let fields = ending.fields.iter();
-    let fields = fields.map(|(key, value)| format!(" {key}={}", word(value)));
+    let fields = fields.map(|(key, value)| format!(" {key}={}", quote(value)));
     let fields: String = fields.collect();
-    let (what, event) = (ending.what, plain(&ending.event));
-    format!("{what} ({event} {}{fields})", plain(&ending.name))
+    let (what, event) = (ending.what, escape(&ending.event));
+    format!("{what} ({event} {}{fields})", escape(&ending.name))
 }
 
 fn left_out(skipped: Skipped) -> String {
@@ -137,33 +137,34 @@
     time.to_rfc3339_opts(SecondsFormat::Micros, true)
 }
 
-/// Writes a line's fields; a library's own line has its message alone.
+/// Formats a line's fields. A line that a library logged (event `E0`) has only a
+/// message.
 fn fields(line: &Line) -> String {
     let fields = line.fields.iter().map(|(key, value)| {
         let value = match value {
-            Value::String(text) => word(text),
-            value => plain(&value.to_string()),
+            Value::String(text) => quote(text),
+            value => escape(&value.to_string()),
         };
-        format!("{}={value}", plain(key))
+        format!("{}={value}", escape(key))
     });
     let fields: Vec<String> = fields.collect();
     match line.event.as_str() {
-        "E0" => plain(&line.message),
+        "E0" => escape(&line.message),
         _ => fields.join(" "),
     }
 }
 
-/// Writes a text bare where it reads as one word, else as JSON does.
-fn word(text: &str) -> String {
+/// Formats a text: bare if it reads as one word, else as a JSON string.
+fn quote(text: &str) -> String {
     let odd = |c: char| c.is_whitespace() || matches!(c, '"' | '=');
     match text.is_empty() || text.contains(odd) {
-        true => plain(&Value::from(text).to_string()),
-        false => plain(text),
+        true => escape(&Value::from(text).to_string()),
+        false => escape(text),
     }
 }
 
-/// Takes out what a terminal would obey.
-fn plain(text: &str) -> String {
+/// Escapes control characters, which a terminal would interpret.
+fn escape(text: &str) -> String {
     let mut out = String::with_capacity(text.len());
     for c in text.chars() {
         match c.is_control() {
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,7 +1,7 @@
 //! The operators' command line `quetzalarch`.
 //!
-//! Each command ends in a [`outcome::Done`]: what to print, as text and as JSON,
-//! and the exit code that scripts go by.
+//! Each command returns a [`outcome::Outcome`]: what to print, as text and as JSON,
+//! and the exit code that scripts check.
 
 mod args;
 mod command;
@@ -12,13 +12,13 @@
 
 use std::process::ExitCode;
 
-use outcome::Done;
+use outcome::Outcome;
 
 #[tokio::main(flavor = "current_thread")]
 async fn main() -> ExitCode {
     let matches = args::command().get_matches();
-    let done = command::run(&matches)
+    let outcome = command::run(&matches)
         .await
-        .unwrap_or_else(|err| Done::failed(&err));
-    done.print(matches.get_flag(args::JSON))
+        .unwrap_or_else(|err| Outcome::failed(&err));
+    outcome.print(matches.get_flag(args::JSON))
 }
--- a/crates/cli/src/outcome.rs
+++ b/crates/cli/src/outcome.rs
@@ -1,4 +1,4 @@
-//! How a command ends: its exit code and what it prints.
+//! The result of a command: its exit code and what it prints.
 
 use std::{
     fmt,
@@ -12,64 +12,65 @@
 /// Exit codes; `docs/operations.md` lists them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Exit {
-    /// Done.
+    /// The command succeeded.
     Ok = 0,
-    /// Certainly not done: refused, or the text is wrong.
+    /// Certainly not applied: refused by an instance, or the text is invalid.
     Refused = 1,
-    /// The command line or a file is wrong.
+    /// The command line is wrong, or a file or input can't be read.
     Usage = 2,
-    /// Nobody could be reached; nothing was done.
+    /// No instance could be reached; nothing was changed.
     Unreachable = 3,
-    /// It may or may not have been done.
+    /// Unknown outcome: the change may or may not have been made.
     Unknown = 4,
 }
 
-/// The end of a command.
+/// The result of a command, printed as text or JSON.
 #[derive(Debug)]
-pub(crate) struct Done {
+pub(crate) struct Outcome {
     exit: Exit,
     text: String,
     json: Value,
 }
 
-/// An error that ends a command with a certain exit code.
+/// An error that sets the exit code of its command.
 #[derive(Debug)]
-pub(crate) struct Stop {
+pub(crate) struct CommandError {
     pub(crate) exit: Exit,
-    pub(crate) what: String,
+    pub(crate) message: String,
 }
 
-impl Done {
+impl Outcome {
     pub(crate) fn new(exit: Exit, text: impl Into<String>, json: &impl Serialize) -> Self {
         let json = serde_json::to_value(json).unwrap_or(Value::Null);
-        Done {
+        Outcome {
             exit,
             text: text.into(),
             json,
         }
     }
 
-    /// Ends a command by an error: by its [`Stop`], else as wrong usage.
+    /// Converts an error: a [`CommandError`] keeps its exit code, any other error counts
+    /// as wrong usage.
     pub(crate) fn failed(err: &anyhow::Error) -> Self {
-        let stop = err.downcast_ref::<Stop>();
-        let exit = stop.map_or(Exit::Usage, |stop| stop.exit);
+        let known = err.downcast_ref::<CommandError>();
+        let exit = known.map_or(Exit::Usage, |known| known.exit);
         let json = json!({ "outcome": exit.as_str(), "message": format!("{err:#}") });
-        Done {
+        Outcome {
             exit,
             text: format!("quetzalarch: {err:#}"),
             json,
         }
     }
 
-    /// Prints the end of a command: results to standard output, the rest to
-    /// standard error; JSON always to standard output.
+    /// Prints the result: success to standard output, failures to standard error;
+    /// JSON always to standard output. Returns the exit code.
     pub(crate) fn print(&self, json: bool) -> ExitCode {
         let written = match (json, self.exit) {
             (true, _) => writeln!(io::stdout(), "{}", self.json),
             (false, Exit::Ok) => writeln!(io::stdout(), "{}", self.text.trim_end()),
             (false, _) => writeln!(io::stderr(), "{}", self.text.trim_end()),
         };
-        // A reader that has gone, as in a pipe to `head`, is no failure.
+        // A closed pipe, as with `| head`, is not a failure.
         let _ = written;
         ExitCode::from(self.exit as u8)
     }
@@ -87,10 +88,10 @@
     }
 }
 
-impl fmt::Display for Stop {
+impl fmt::Display for CommandError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(&self.what)
+        f.write_str(&self.message)
     }
 }
 
-impl std::error::Error for Stop {}
+impl std::error::Error for CommandError {}
--- a/crates/cli/src/remote.rs
+++ b/crates/cli/src/remote.rs
@@ -1,4 +1,4 @@
-//! Control and entry instances, asked one after the other or all at once.
+//! HTTP access to control and entry instances, one after the other or all at once.
 
 use std::{fmt, net::SocketAddr, time::Duration};
 
@@ -16,39 +16,44 @@
 
 use crate::{
     args::TIMEOUT,
-    outcome::{Exit, Stop},
+    outcome::{CommandError, Exit},
 };
 
-/// Largest answer that is read: a text of 48,000 adapters has 2 MB.
-const ANSWER_MOST: usize = 64 << 20;
+/// Largest response body that is read; a text of 48,000 adapters has 2 MB.
+const BODY_MAX: usize = 64 << 20;
 
-/// Longest time for a connection to stand.
-const CONNECT: Duration = Duration::from_millis(1_500);
+/// Longest time to establish a connection.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Instances that may be asked.
+/// The instances that a command may ask.
 pub(crate) struct Remote {
     client: Client,
     addrs: Vec<SocketAddr>,
     limits: Limits,
 }
 
-/// An answer, whatever its status.
+/// A complete HTTP response of any status.
 pub(crate) struct Reply {
     pub(crate) status: StatusCode,
-    /// Whether the instance says that nothing was done.
+    /// Whether the instance states that it did not run the request.
     pub(crate) refused: bool,
     pub(crate) body: Bytes,
 }
 
-/// Why an instance gave no answer.
+/// Says why an instance gave no complete response.
 #[derive(Debug)]
-pub(crate) struct Lost {
+pub(crate) struct NoResponse {
+    /// Whether the instance may have run the request.
     pub(crate) verdict: Verdict,
-    what: String,
+    message: String,
 }
 
 impl Remote {
-    /// Takes the instances that the flag `name` or its variable gives.
+    /// Uses the instances that the flag `name` or its environment variable gives.
+    ///
+    /// # Errors
+    ///
+    /// Fails when neither gives any.
     pub(crate) fn new(matches: &ArgMatches, name: &str) -> Result<Self> {
         let addrs: Vec<SocketAddr> = matches
             .get_many(name)
@@ -58,10 +63,10 @@
             .collect();
         if addrs.is_empty() {
             let upper = name.to_uppercase();
-            let what = format!("no instance to ask: give --{name} or set QUETZAL_{upper}");
-            return Err(Stop {
+            let message = format!("no instance to ask: give --{name} or set QUETZAL_{upper}");
+            return Err(CommandError {
                 exit: Exit::Usage,
-                what,
+                message,
             }
             .into());
         }
@@ -76,28 +81,28 @@
         &self.addrs
     }
 
-    /// Reads `path` from the first instance that answers it well.
+    /// Reads `path` from the first instance that answers it with success.
     ///
     /// # Errors
     ///
-    /// Fails when an instance refuses the question, or when none answers.
+    /// Fails when an instance refuses the request, or when none answers.
     pub(crate) async fn first<T: DeserializeOwned>(&self, path: &str) -> Result<T> {
-        let mut lost = Vec::new();
+        let mut failures = Vec::new();
         for addr in &self.addrs {
             match self.read(*addr, path).await {
                 Ok(value) => return Ok(value),
-                Err(stop) if stop.exit == Exit::Refused => return Err(stop.into()),
-                Err(stop) => lost.push(stop.what),
+                Err(err) if err.exit == Exit::Refused => return Err(err.into()),
+                Err(err) => failures.push(err.message),
             }
         }
-        Err(unreachable(&lost).into())
+        Err(unreachable(&failures).into())
     }
 
     /// Reads `path` from all instances at once.
     pub(crate) async fn all<T: DeserializeOwned>(
         &self,
         path: &str,
-    ) -> Vec<(SocketAddr, Result<T, Stop>)> {
+    ) -> Vec<(SocketAddr, Result<T, CommandError>)> {
         let reads = self
             .addrs
             .iter()
@@ -105,32 +110,40 @@
         futures::future::join_all(reads).await
     }
 
-    /// Sends `body` to one instance.
+    /// Posts `body` as JSON to one instance.
+    ///
+    /// # Errors
+    ///
+    /// Fails when no complete response comes within the time limits.
     pub(crate) async fn post(
         &self,
         addr: SocketAddr,
         path: &str,
         body: &impl Serialize,
-    ) -> Result<Reply, Lost> {
+    ) -> Result<Reply, NoResponse> {
         let body = serde_json::to_vec(body).unwrap_or_default();
         self.send(addr, Method::POST, path, body.into()).await
     }
 
-    async fn read<T: DeserializeOwned>(&self, addr: SocketAddr, path: &str) -> Result<T, Stop> {
-        let stop = |exit, what: String| Stop {
+    async fn read<T: DeserializeOwned>(
+        &self,
+        addr: SocketAddr,
+        path: &str,
+    ) -> Result<T, CommandError> {
+        let error = |exit, message: String| CommandError {
             exit,
-            what: format!("{addr}: {what}"),
+            message: format!("{addr}: {message}"),
         };
         let sent = self.send(addr, Method::GET, path, Bytes::new()).await;
-        let reply = sent.map_err(|lost| stop(Exit::Unreachable, lost.to_string()))?;
+        let reply = sent.map_err(|err| error(Exit::Unreachable, err.to_string()))?;
         if reply.status.is_client_error() {
-            return Err(stop(Exit::Refused, reply.said()));
+            return Err(error(Exit::Refused, reply.error_text()));
         }
         if !reply.status.is_success() {
-            return Err(stop(Exit::Unreachable, reply.said()));
+            return Err(error(Exit::Unreachable, reply.error_text()));
         }
         let parsed = serde_json::from_slice(&reply.body);
-        parsed.map_err(|err| stop(Exit::Unreachable, format!("answer not understood: {err}")))
+        parsed.map_err(|err| error(Exit::Unreachable, format!("answer not understood: {err}")))
     }
 
     async fn send(
@@ -139,7 +152,7 @@
         method: Method,
         path: &str,
         body: Bytes,
-    ) -> Result<Reply, Lost> {
+    ) -> Result<Reply, NoResponse> {
         let mut headers = HeaderMap::new();
         headers.insert("content-type", header_value("application/json"));
         let send = Send {
@@ -150,7 +163,7 @@
         };
         let answer = self.client.send(send).await?;
         let (status, refused) = (answer.status, answer.refused());
-        let body = answer.whole(ANSWER_MOST).await?;
+        let body = answer.whole(BODY_MAX).await?;
         Ok(Reply {
             status,
             refused,
@@ -160,8 +173,8 @@
 }
 
 impl Reply {
-    /// Returns what an instance said that didn't answer well.
-    pub(crate) fn said(&self) -> String {
+    /// Returns the status and the error message of an unsuccessful response.
+    pub(crate) fn error_text(&self) -> String {
         let status = self.status.as_u16();
         match serde_json::from_slice::<ErrorBody>(&self.body) {
             Ok(body) => format!("{status} {}", body.error.message),
@@ -170,41 +183,42 @@
     }
 }
 
-impl From<web::client::Broken> for Lost {
+impl From<web::client::Broken> for NoResponse {
     fn from(broken: web::client::Broken) -> Self {
-        Lost {
+        NoResponse {
             verdict: broken.verdict,
-            what: broken.cause.to_string(),
+            message: broken.cause.to_string(),
         }
     }
 }
 
-impl fmt::Display for Lost {
+impl fmt::Display for NoResponse {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(&self.what)
+        f.write_str(&self.message)
     }
 }
 
-/// Returns how long one instance may take: an instance that took a question
-/// and went silent must not keep an operator from the next one.
+/// Returns the time limits for one instance: one that accepts a request and then
+/// doesn't answer must not keep the command from asking the next one.
 fn limits(matches: &ArgMatches) -> Limits {
     let seconds = matches.get_one::<u64>(TIMEOUT).copied().unwrap_or_default();
-    let silent = Duration::from_secs(seconds);
+    let timeout = Duration::from_secs(seconds);
     Limits {
-        connect: CONNECT.min(silent),
-        first: silent,
-        idle: silent,
-        whole: silent * 4,
+        connect: CONNECT_TIMEOUT.min(timeout),
+        first: timeout,
+        idle: timeout,
+        whole: timeout * 4,
         reuse: Duration::ZERO,
         hedge: Duration::ZERO,
     }
 }
 
-/// Says that nobody answered, and for each why.
-pub(crate) fn unreachable(lost: &[String]) -> Stop {
-    let what = format!("no instance answers: {}", lost.join("; "));
-    Stop {
+/// Returns the error for the case that no instance answered; `failures` says why for
+/// each.
+pub(crate) fn unreachable(failures: &[String]) -> CommandError {
+    let message = format!("no instance answers: {}", failures.join("; "));
+    CommandError {
         exit: Exit::Unreachable,
-        what,
+        message,
     }
 }
--- a/crates/cli/src/table.rs
+++ b/crates/cli/src/table.rs
@@ -1,6 +1,6 @@
-//! Plain columns for people.
+//! Plain-text tables for the output that operators read.
 
-/// Lays out rows under a head, each column as wide as its widest cell.
+/// Formats rows under a header row, each column as wide as its widest cell.
 pub(crate) fn table(head: &[&str], rows: &[Vec<String>]) -> String {
     let mut widths: Vec<usize> = head.iter().map(|cell| cell.chars().count()).collect();
     for row in rows {
--- a/crates/cli/src/timeline.rs
+++ b/crates/cli/src/timeline.rs
@@ -1,8 +1,9 @@
-//! The story of one request: which lines of the log belong to it.
+//! The timeline of one request: its own log lines, and other lines as context.
 //!
-//! Lines go in one by one, a [`Story`] comes out. The request's own lines name
-//! its id. Around them stands what was believed then: lines about the adapter
-//! and the targets that its own lines name, and what each [`Rule`] asks for.
+//! A [`Collector`] takes log lines one by one and builds a [`Timeline`]. The
+//! request's own lines have its id in the field `request`. Context are the lines
+//! about the adapter and the targets that the own lines name, and the lines that a
+//! [`Rule`] selects, such as those that say what an instance's state was then.
 
 mod line;
 mod rules;
@@ -18,22 +19,22 @@
 use thiserror::Error;
 
 pub(crate) use self::line::Line;
-use self::rules::{ENDINGS, Of, RULES, Rule};
+use self::rules::{ENDINGS, RULES, Rule, Scope};
 
 /// The id that a caller gave to its request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub(crate) struct RequestId(String);
 
-/// Says why a text is no id of a request.
+/// Says why a string is not a request id.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub(crate) enum BadId {
-    /// The text has no characters.
+    /// The string is empty.
     #[error("a request's id may not be empty")]
     Empty,
-    /// The text has a blank where a header's value can't have one.
+    /// The string begins or ends with white space, which a header's value can't.
     #[error("a request's id neither begins nor ends with a blank")]
     Blank,
-    /// The text holds a character that no header can carry.
+    /// The string holds a character that a header's value can't.
     #[error("`{}` may not stand in a request's id", .0.escape_default())]
     BadChar(char),
 }
@@ -61,50 +62,50 @@
     }
 }
 
-/// What was read: lines of the log, and a count of the others.
+/// The log lines read so far, and a count of the lines that are none.
 #[derive(Debug)]
-pub(crate) struct Gathered {
+pub(crate) struct Collector {
     id: RequestId,
     lines: Vec<Line>,
     skipped: Skipped,
 }
 
-/// Lines that aren't the product's.
+/// Counts of input lines that are not log lines of this system.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub(crate) struct Skipped {
     /// How many were skipped.
     pub(crate) lines: usize,
-    /// How many of them hold the id: a line cut short may be the request's own.
+    /// How many of them contain the id: a truncated line may be the request's own.
     pub(crate) holding: usize,
 }
 
-/// A line of a story.
+/// A line of a timeline.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub(crate) struct Told {
-    /// Whether it is the request's own; else it is context.
+pub(crate) struct Row {
+    /// Whether the line has the request's id; else it is context.
     pub(crate) own: bool,
     #[serde(flatten)]
     pub(crate) line: Line,
 }
 
-/// How a request ended, by its last own line.
+/// How a request ended, according to its last own line.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub(crate) struct Ending {
     pub(crate) event: String,
     pub(crate) name: String,
     /// What that event means for the request.
     pub(crate) what: &'static str,
-    /// The fields that say how, in the order to read them.
+    /// The fields that give details, in the order of [`ENDINGS`].
     pub(crate) fields: Vec<(String, String)>,
 }
 
-/// The story of one request.
+/// The timeline of one request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub(crate) struct Story {
+pub(crate) struct Timeline {
     pub(crate) request: RequestId,
     /// How many of the lines are its own.
     pub(crate) own: usize,
-    /// Who wrote its own lines.
+    /// The instances that wrote its own lines.
     pub(crate) instances: BTreeSet<String>,
     /// When its first own line was written.
     #[serde(serialize_with = "line::write_time")]
@@ -114,22 +115,23 @@
     pub(crate) last: DateTime<Utc>,
     pub(crate) ending: Ending,
     pub(crate) skipped: Skipped,
-    /// Its own lines and their context, by time.
-    pub(crate) lines: Vec<Told>,
+    /// Its own lines and their context, sorted by time.
+    pub(crate) lines: Vec<Row>,
 }
 
-impl Gathered {
-    /// Begins without any line.
+impl Collector {
+    /// Creates a collector without any lines, for the request `id`.
     pub(crate) fn new(id: RequestId) -> Self {
-        Gathered {
+        Collector {
             id,
             lines: Vec::new(),
             skipped: Skipped::default(),
         }
     }
 
-    /// Takes one line, whatever it holds; blank ones don't count.
-    pub(crate) fn take(&mut self, raw: &[u8]) {
+    /// Adds an input line: a log line is kept, any other is counted as skipped unless
+    /// it is blank.
+    pub(crate) fn add(&mut self, raw: &[u8]) {
         let text = String::from_utf8_lossy(raw);
         if text.trim().is_empty() {
             return;
@@ -144,22 +146,22 @@
         self.skipped.holding += usize::from(holds);
     }
 
-    /// Returns how many lines of the log there are, and what was skipped.
+    /// Returns the number of log lines, and the counts of skipped lines.
     pub(crate) fn counts(&self) -> (usize, Skipped) {
         (self.lines.len(), self.skipped)
     }
 
-    /// Tells the story, with the context that lies within `around` of it; `None`
-    /// if no line names the id.
-    pub(crate) fn story(mut self, around: TimeDelta) -> Option<Story> {
-        // Lines of one time stay in the order in which they were read.
+    /// Builds the timeline, with the context from `around` before the request to
+    /// `around` after it; `None` if no line has the id.
+    pub(crate) fn timeline(mut self, around: TimeDelta) -> Option<Timeline> {
+        // The sort is stable: lines of equal time stay in the order of reading.
         self.lines.sort_by_key(|line| line.time);
         let own: Vec<bool> = self.lines.iter().map(|line| self.is_own(line)).collect();
-        let told = {
+        let timeline = {
             let owns = self.lines.iter().zip(&own).filter(|(_, own)| **own);
             let owns: Vec<&Line> = owns.map(|(line, _)| line).collect();
             let (first, last) = (*owns.first()?, *owns.last()?);
-            Story {
+            Timeline {
                 request: self.id.clone(),
                 own: owns.len(),
                 instances: owns.iter().map(|line| line.instance.clone()).collect(),
@@ -173,8 +175,8 @@
         let context = Subject::of(&self.lines, &own, around).context(&self.lines);
         let lines = self.lines.into_iter().zip(own).enumerate();
         let lines = lines.filter(|(at, (_, own))| *own || context.contains(at));
-        let lines = lines.map(|(_, (line, own))| Told { own, line }).collect();
-        Some(Story { lines, ..told })
+        let lines = lines.map(|(_, (line, own))| Row { own, line }).collect();
+        Some(Timeline { lines, ..timeline })
     }
 
     fn is_own(&self, line: &Line) -> bool {
@@ -202,16 +204,16 @@
     }
 }
 
-/// What a request's own lines are about, and when.
+/// What a request's own lines name, and the time span of its context.
 struct Subject {
     begin: DateTime<Utc>,
     end: DateTime<Utc>,
-    /// When the request came, as far as its lines tell.
-    came: DateTime<Utc>,
+    /// When the request arrived, as far as its lines show it.
+    arrived: DateTime<Utc>,
     adapters: BTreeSet<String>,
     targets: BTreeSet<String>,
     entries: BTreeSet<String>,
-    whys: BTreeSet<String>,
+    reasons: BTreeSet<String>,
 }
 
 impl Subject {
@@ -221,24 +223,24 @@
             let named = owns().flat_map(|(line, _)| names.iter().map(|name| line.field(name)));
             named.flatten().collect()
         };
-        let came = owns().map(|(line, _)| line.begin()).min();
+        let arrived = owns().map(|(line, _)| line.begin()).min();
         let last = owns().map(|(line, _)| line.time).max();
-        let (came, last) = (came.unwrap_or_default(), last.unwrap_or_default());
+        let (arrived, last) = (arrived.unwrap_or_default(), last.unwrap_or_default());
         Subject {
-            begin: came.checked_sub_signed(around).unwrap_or(came),
+            begin: arrived.checked_sub_signed(around).unwrap_or(arrived),
             end: last.checked_add_signed(around).unwrap_or(last),
-            came,
+            arrived,
             adapters: fields(&["adapter"]),
             targets: fields(&["target", "from", "engine"]),
             entries: owns().map(|(line, _)| line.instance.clone()).collect(),
-            whys: fields(&["why"]),
+            reasons: fields(&["why"]),
         }
     }
 
     /// Returns which of `lines`, which are sorted by time, are context.
     fn context(&self, lines: &[Line]) -> BTreeSet<usize> {
         let mut found = BTreeSet::new();
-        let mut newest = BTreeMap::new();
+        let mut latest = BTreeMap::new();
         for (at, line) in lines.iter().enumerate() {
             let within = (self.begin..=self.end).contains(&line.time);
             if within && (self.names_adapter(line) || self.names_target(line)) {
@@ -248,30 +250,31 @@
                 if within {
                     found.insert(at);
                 }
-                if rule.lasting && line.time <= self.came {
-                    // Heard and silent are told apart for each other instance.
+                if rule.is_state && line.time <= self.arrived {
+                    // Events about a control instance (`E6001`, `E6002`) are kept
+                    // apart for each one.
                     let of = (&line.event, &line.instance, line.field("control"));
-                    newest.insert(of, at);
+                    latest.insert(of, at);
                 }
             }
         }
-        found.extend(newest.into_values());
+        found.extend(latest.into_values());
         found
     }
 
     fn fits(&self, rule: &Rule, line: &Line) -> bool {
-        if rule.event != line.event || rule.why.is_some_and(|why| !self.whys.contains(why)) {
+        if rule.event != line.event || rule.why.is_some_and(|why| !self.reasons.contains(why)) {
             return false;
         }
-        match rule.of {
-            Of::Anyone => true,
-            Of::Entry => self.entries.contains(&line.instance),
-            Of::Adapter => self.names_adapter(line),
+        match rule.scope {
+            Scope::All => true,
+            Scope::Entry => self.entries.contains(&line.instance),
+            Scope::Adapter => self.names_adapter(line),
         }
     }
 
-    /// Whether a line is about an adapter of the request; a failed order holds it
-    /// in quotes.
+    /// Whether a line is about an adapter of the request. The line of a failed order
+    /// has no field `adapter`, but the adapter in quotes in its field `order`.
     fn names_adapter(&self, line: &Line) -> bool {
         let named = line.field("adapter");
         let order = line.field("order").unwrap_or_default();
--- a/crates/cli/src/timeline/line.rs
+++ b/crates/cli/src/timeline/line.rs
@@ -1,15 +1,15 @@
-//! A line of the log, as one instance wrote it.
+//! Parsing of a log line.
 
 use chrono::{DateTime, SecondsFormat, TimeDelta, Utc};
 use serde::{Deserialize, Serialize, Serializer};
 use serde_json::{Map, Value};
 use thiserror::Error;
 
-/// A line of the product's log, perhaps behind the seconds and the instance that
-/// a simulation puts before it.
+/// A log line of an instance. A simulation writes the seconds and the instance before
+/// its JSON.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub(crate) struct Line {
-    /// Seconds since the simulation began, as they were written.
+    /// Seconds since the simulation began, as written there; `None` outside of one.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub(crate) seconds: Option<String>,
     /// The instance that wrote it.
@@ -26,7 +26,7 @@
     pub(crate) fields: Map<String, Value>,
 }
 
-/// The JSON of a line; what a story can do without may be absent.
+/// The JSON of a line; fields that a timeline doesn't need may be absent.
 #[derive(Deserialize)]
 struct Raw {
     time: String,
@@ -45,13 +45,13 @@
     fields: Map<String, Value>,
 }
 
-/// Says that a text is no line of the product's log.
+/// Says that a string is not a log line.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 #[error("not a line of the log")]
 pub(crate) struct NotLine;
 
 impl Line {
-    /// Returns a field as text; a number is written out, an empty text is none.
+    /// Returns a text or a number as text; `None` for an empty text or another type.
     pub(crate) fn field(&self, name: &str) -> Option<String> {
         match self.fields.get(name)? {
             Value::String(text) if text.is_empty() => None,
@@ -61,13 +61,14 @@
         }
     }
 
-    /// Returns when that began which the line says took some time; else its time.
+    /// Returns the line's time, less the duration in its `held_ms` or `head_ms`: the
+    /// start of the operation that it logs.
     pub(crate) fn begin(&self) -> DateTime<Utc> {
-        let took = ["held_ms", "head_ms"].iter().find_map(|name| {
+        let duration = ["held_ms", "head_ms"].iter().find_map(|name| {
             let millis = self.fields.get(*name)?.as_i64()?;
             TimeDelta::try_milliseconds(millis)
         });
-        let begin = took.and_then(|took| self.time.checked_sub_signed(took));
+        let begin = duration.and_then(|duration| self.time.checked_sub_signed(duration));
         begin.map_or(self.time, |begin| begin.min(self.time))
     }
 }
@@ -76,14 +77,14 @@
     type Error = NotLine;
 
     fn try_from(raw: &str) -> Result<Self, NotLine> {
-        let (seconds, before, json) = parts(raw.trim())?;
+        let (seconds, prefix, json) = split(raw.trim())?;
         let raw: Raw = serde_json::from_str(json).map_err(|_| NotLine)?;
         let time = DateTime::parse_from_rfc3339(&raw.time).map_err(|_| NotLine)?;
         Ok(Line {
             seconds: seconds.map(ToOwned::to_owned),
             instance: raw
                 .instance
-                .or(before.map(ToOwned::to_owned))
+                .or(prefix.map(ToOwned::to_owned))
                 .ok_or(NotLine)?,
             time: time.to_utc(),
             level: raw.level,
@@ -97,13 +98,14 @@
     }
 }
 
-/// Writes a time as lines do, to the nanosecond.
+/// Serialises a time in the form of log lines, to the nanosecond.
 pub(super) fn write_time<S: Serializer>(time: &DateTime<Utc>, to: S) -> Result<S::Ok, S::Error> {
     to.serialize_str(&time.to_rfc3339_opts(SecondsFormat::Nanos, true))
 }
 
-/// Splits a line into the seconds and the instance before its JSON, and that.
-fn parts(raw: &str) -> Result<(Option<&str>, Option<&str>, &str), NotLine> {
+/// Splits a line into seconds, instance and JSON; the first two only stand in lines
+/// of a simulation.
+fn split(raw: &str) -> Result<(Option<&str>, Option<&str>, &str), NotLine> {
     if raw.starts_with('{') {
         return Ok((None, None, raw));
     }
--- a/crates/cli/src/timeline/rules.rs
+++ b/crates/cli/src/timeline/rules.rs
@@ -1,64 +1,70 @@
-//! What a failed request is explained by beside its own lines.
+//! Which log lines explain a request's failure besides its own lines.
 //!
-//! The rows follow the tables of `docs/operations.md`: for each reason what to
-//! look at.
+//! The rows follow the tables of `docs/operations.md`, which list for each reason
+//! of a failure the events to look at.
 
-/// Whose lines a [`Rule`] takes.
+/// Which lines of its event a [`Rule`] selects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Of {
-    /// Those of the instances that wrote the request's own lines.
+pub(super) enum Scope {
+    /// Lines of the instances that wrote the request's own lines.
     Entry,
-    /// Those about the request's adapter, whoever wrote them.
+    /// Lines about the request's adapter, of any instance.
     Adapter,
-    /// Everybody's.
-    Anyone,
+    /// Lines of any instance.
+    All,
 }
 
-/// Lines that belong to a story as context.
+/// Selects lines that belong to a timeline as context.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Rule {
-    /// The reason of an own line that asks for it; every request if `None`.
+    /// Applies only to requests with this reason (`why`) in an own line; to all if
+    /// `None`.
     pub(super) why: Option<&'static str>,
     pub(super) event: &'static str,
-    pub(super) of: Of,
-    /// Whether it holds until the next one, so that the newest before the request
-    /// counts, however old.
-    pub(super) lasting: bool,
+    pub(super) scope: Scope,
+    /// Whether the event reports a state that holds until the next such event: then
+    /// the latest one before the request is context, however old.
+    pub(super) is_state: bool,
 }
 
-const fn rule(why: Option<&'static str>, event: &'static str, of: Of, lasting: bool) -> Rule {
+const fn rule(
+    why: Option<&'static str>,
+    event: &'static str,
+    scope: Scope,
+    is_state: bool,
+) -> Rule {
     Rule {
         why,
         event,
-        of,
-        lasting,
+        scope,
+        is_state,
     }
 }
 
 pub(super) const RULES: &[Rule] = &[
-    rule(None, "E1001", Of::Entry, true),
-    rule(None, "E1007", Of::Entry, false),
-    rule(None, "E6001", Of::Entry, true),
-    rule(None, "E6002", Of::Entry, true),
-    rule(None, "E7003", Of::Entry, true),
-    rule(None, "E4001", Of::Adapter, true),
-    rule(None, "E4002", Of::Adapter, true),
-    rule(None, "E4003", Of::Adapter, true),
-    rule(Some("Queue"), "E3001", Of::Anyone, true),
-    rule(Some("Queue"), "E4003", Of::Anyone, false),
-    rule(Some("Queue"), "E4013", Of::Anyone, false),
-    rule(Some("Waited"), "E3001", Of::Anyone, true),
-    rule(Some("Waited"), "E4013", Of::Anyone, false),
-    rule(Some("Repeats"), "E4013", Of::Anyone, false),
-    rule(Some("NoOrders"), "E2001", Of::Anyone, true),
-    rule(Some("NoOrders"), "E2002", Of::Anyone, true),
-    rule(Some("NoOrders"), "E3001", Of::Anyone, true),
-    rule(Some("NoTarget"), "E6006", Of::Entry, true),
-    rule(Some("Deadline"), "E1006", Of::Entry, false),
+    rule(None, "E1001", Scope::Entry, true),
+    rule(None, "E1007", Scope::Entry, false),
+    rule(None, "E6001", Scope::Entry, true),
+    rule(None, "E6002", Scope::Entry, true),
+    rule(None, "E7003", Scope::Entry, true),
+    rule(None, "E4001", Scope::Adapter, true),
+    rule(None, "E4002", Scope::Adapter, true),
+    rule(None, "E4003", Scope::Adapter, true),
+    rule(Some("Queue"), "E3001", Scope::All, true),
+    rule(Some("Queue"), "E4003", Scope::All, false),
+    rule(Some("Queue"), "E4013", Scope::All, false),
+    rule(Some("Waited"), "E3001", Scope::All, true),
+    rule(Some("Waited"), "E4013", Scope::All, false),
+    rule(Some("Repeats"), "E4013", Scope::All, false),
+    rule(Some("NoOrders"), "E2001", Scope::All, true),
+    rule(Some("NoOrders"), "E2002", Scope::All, true),
+    rule(Some("NoOrders"), "E3001", Scope::All, true),
+    rule(Some("NoTarget"), "E6006", Scope::Entry, true),
+    rule(Some("Deadline"), "E1006", Scope::Entry, false),
 ];
 
-/// What each event means as the last own line of a request, and which of its
-/// fields say how.
+/// What each event means as the last own line of a request, and which of its fields
+/// give details.
 pub(super) const ENDINGS: &[(&str, &str, &[&str])] = &[
     ("E5001", "done", &["adapter", "version"]),
     ("E5002", "given up", &["why", "how", "target"]),
--- a/crates/cli/tests/commands/fake.rs
+++ b/crates/cli/tests/commands/fake.rs
@@ -1,4 +1,4 @@
-//! A fake of a control or entry instance that answers by a script.
+//! A fake of a control or entry instance that gives scripted answers.
 
 use std::{
     collections::BTreeMap,
@@ -18,32 +18,32 @@
 
 /// What the fake does with one request.
 #[derive(Clone, Copy)]
-pub(crate) enum Say {
+pub(crate) enum Reply {
     /// Answers 200 with this body.
     Ok(&'static str),
-    /// Answers another status with this body.
+    /// Answers with another status and this body.
     Status(u16, &'static str),
-    /// Answers 503 and that nothing was done.
+    /// Answers 503 with the verdict that the request did not run.
     NotRun,
-    /// Reads the request and closes the connection.
+    /// Reads the request and closes the connection without an answer.
     Cut,
-    /// Takes the request and stays silent.
+    /// Reads the request and never answers.
     Silent,
 }
 
-/// Answers left by path, and bodies taken.
+/// The answers left for each path, last one first, and the bodies received.
 #[derive(Default)]
 struct Script {
-    says: BTreeMap<String, Vec<Say>>,
+    replies: BTreeMap<String, Vec<Reply>>,
     bodies: Vec<Value>,
 }
 
 impl Script {
-    fn take(&mut self, path: String, body: &[u8]) -> Option<Say> {
+    fn take(&mut self, path: String, body: &[u8]) -> Option<Reply> {
         if let Ok(body) = serde_json::from_slice(body) {
             self.bodies.push(body);
         }
-        let left = self.says.entry(path).or_default();
+        let left = self.replies.entry(path).or_default();
         if left.len() > 1 {
             left.pop()
         } else {
@@ -60,17 +60,17 @@
 }
 
 impl Fake {
-    /// Starts the fake `name` with those of `says` whose path it begins; the
-    /// last answer of a path is given for ever.
-    pub(crate) fn start(name: &str, says: &[(&str, &[Say])]) -> Self {
-        let own = says.iter().filter_map(|(path, says)| {
+    /// Starts the fake `name` with the entries of `replies` whose path starts with that
+    /// name. The last answer of a path is repeated without end.
+    pub(crate) fn start(name: &str, replies: &[(&str, &[Reply])]) -> Self {
+        let own = replies.iter().filter_map(|(path, replies)| {
             Some((
                 path.strip_prefix(name)?.to_owned(),
-                says.iter().rev().copied().collect(),
+                replies.iter().rev().copied().collect(),
             ))
         });
         let script = Script {
-            says: own.collect(),
+            replies: own.collect(),
             ..Script::default()
         };
         let script = Arc::new(Mutex::new(script));
@@ -86,19 +86,19 @@
         }
     }
 
-    /// Returns its address as operators write it.
+    /// Returns its address as a URL.
     pub(crate) fn url(&self) -> String {
         format!("http://{}", self.addr)
     }
 
-    /// Returns the JSON bodies that it was sent.
+    /// Returns the JSON bodies that it received.
     pub(crate) fn bodies(&self) -> Vec<Value> {
         self.script.lock().unwrap().bodies.clone()
     }
 }
 
-/// Returns an address where nobody listens.
-pub(crate) fn nobody() -> String {
+/// Returns a URL with a port on which nobody listens.
+pub(crate) fn unused_url() -> String {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     format!("http://{}", listener.local_addr().unwrap())
 }
@@ -119,13 +119,13 @@
 ) -> Result<Response<Full<Bytes>>, Cut> {
     let path = req.uri().path_and_query().unwrap().to_string();
     let body = req.into_body().collect().await.unwrap().to_bytes();
-    let say = script.lock().unwrap().take(path, &body);
-    let (status, verdict, body) = match say {
-        Some(Say::Ok(body)) => (200, None, body),
-        Some(Say::Status(status, body)) => (status, None, body),
-        Some(Say::NotRun) => (503, Some("not-run"), "busy"),
-        Some(Say::Cut) => return Err(Cut),
-        Some(Say::Silent) => std::future::pending().await,
+    let next = script.lock().unwrap().take(path, &body);
+    let (status, verdict, body) = match next {
+        Some(Reply::Ok(body)) => (200, None, body),
+        Some(Reply::Status(status, body)) => (status, None, body),
+        Some(Reply::NotRun) => (503, Some("not-run"), "busy"),
+        Some(Reply::Cut) => return Err(Cut),
+        Some(Reply::Silent) => std::future::pending().await,
         None => (404, None, "no such path"),
     };
     let mut reply = Response::new(Full::new(Bytes::from(body)));
--- a/crates/cli/tests/commands/main.rs
+++ b/crates/cli/tests/commands/main.rs
@@ -1,5 +1,5 @@
-//! The command line as a process, against fakes of control and entry
-//! instances: what it prints and its exit code, also when answers get lost.
+//! The command line as a process, against fakes of control and entry instances:
+//! its output and its exit code, also when answers get lost.
 
 mod fake;
 
@@ -8,27 +8,27 @@
     process::{Command, Output, Stdio},
 };
 
-use fake::{Fake, Say};
+use fake::{Fake, Reply};
 use googletest::prelude::*;
 use serde_json::Value;
 
-/// A text with nothing wrong.
-const SIX: &str = "[store]\nrate = 6\n";
+/// A valid text.
+const RATE_6: &str = "[store]\nrate = 6\n";
 
-/// One run: its arguments and standard input, what the fakes say, and what
-/// must come of it.
+/// One run: its arguments and standard input, the fakes' answers by fake and path,
+/// and the expected exit code and parts of the output.
 struct Row<'a> {
     args: &'a str,
     stdin: &'a str,
-    says: &'a [(&'a str, &'a [Say])],
+    replies: &'a [(&'a str, &'a [Reply])],
     exit: i32,
     shows: &'a [&'a str],
 }
 
-const USUAL: Row<'static> = Row {
+const DEFAULT: Row<'static> = Row {
     args: "",
     stdin: "",
-    says: &[],
+    replies: &[],
     exit: 0,
     shows: &[],
 };
@@ -36,285 +36,285 @@
 const STATUS: &str = r#"{"instance":"c1","leader":"c1","version":7,
     "instances":[{"name":"e1","zone":"blato","version":6,"silent_ms":40,"leaving":true}],
     "engines":[{"target":"draft-1","owner":"e1","fence":12},{"target":"draft-2","owner":null,"fence":0}]}"#;
-const ALONE: &str = r#"{"instance":"c9","leader":"c9","version":3,"instances":[],"engines":[]}"#;
+const ISOLATED: &str = r#"{"instance":"c9","leader":"c9","version":3,"instances":[],"engines":[]}"#;
 const CURRENT: &str = r#"{"version":7,"text":"[store]\nrate = 5\n"}"#;
 const OLD: &str = r#"{"version":3,"text":"[store]\nrate = 3\n"}"#;
 const ACCEPTED: &str = r#"{"outcome":"accepted","version":8}"#;
 const UNKNOWN: &str = r#"{"outcome":"unknown","retry_ms":20}"#;
-const ALONE_REFUSAL: &str = r#"{"outcome":"refused","why":{"why":"no-quorum","retry_ms":900}}"#;
+const NO_QUORUM: &str = r#"{"outcome":"refused","why":{"why":"no-quorum","retry_ms":900}}"#;
 const CONFLICT: &str =
     r#"{"outcome":"refused","why":{"why":"conflict","version":8,"winner":"w-1","by":"ana"}}"#;
 const REUSED: &str = r#"{"outcome":"refused","why":{"why":"change-reused"}}"#;
 
 base::cases! {
-    /// What needs no instance.
+    /// Commands that need no instance.
     local_commands: check => {
         sample_passes: Row {
             args: "check ../../samples/agency.toml",
             shows: &["ok: 3 brands, 3000 adapters, 3018 services"],
-            ..USUAL
+            ..DEFAULT
         },
         from_stdin: Row {
             args: "check - --json",
             stdin: "[store]\nrate = 5\n",
             shows: &[r#"{"adapters":0,"brands":0,"outcome":"ok","services":0}"#],
-            ..USUAL
+            ..DEFAULT
         },
         wrong_text: Row {
             args: "check -",
             stdin: "[stores]\n[limits]\nattempts = 0\n",
             exit: 1,
             shows: &["1:2: unknown key `stores`", "3:12: `attempts` must lie"],
-            ..USUAL
+            ..DEFAULT
         },
         wrong_text_json: Row {
             args: "check - --json",
             stdin: "[stores]\n",
             exit: 1,
             shows: &[r#""column":2,"line":1"#, r#""why":"bad-text""#],
-            ..USUAL
+            ..DEFAULT
         },
         no_such_file: Row {
             args: "check gone.toml",
             exit: 2,
             shows: &["can't read gone.toml"],
-            ..USUAL
+            ..DEFAULT
         },
         no_such_file_json: Row {
             args: "check gone.toml --json",
             exit: 2,
             shows: &[r#""outcome":"usage""#],
-            ..USUAL
+            ..DEFAULT
         },
-        no_command: Row { exit: 2, shows: &["Usage"], ..USUAL },
-        unknown_flag: Row { args: "check - --jsno", exit: 2, shows: &["--jsno"], ..USUAL },
+        no_command: Row { exit: 2, shows: &["Usage"], ..DEFAULT },
+        unknown_flag: Row { args: "check - --jsno", exit: 2, shows: &["--jsno"], ..DEFAULT },
         bad_version: Row {
             args: "apply - --base seven",
             exit: 2,
             shows: &["`seven` is not a number of the text's version"],
-            ..USUAL
+            ..DEFAULT
         },
         bad_change: Row {
             args: "apply - --change A!",
             exit: 2,
             shows: &["`A` may not stand in a name"],
-            ..USUAL
+            ..DEFAULT
         },
         bad_url: Row {
             args: "status --control control:80",
             exit: 2,
             shows: &["`control:80` is no http://ip:port"],
-            ..USUAL
+            ..DEFAULT
         },
         no_control: Row {
             args: "status",
             exit: 2,
             shows: &["give --control or set QUETZAL_CONTROL"],
-            ..USUAL
+            ..DEFAULT
         },
         difference: Row {
             args: "diff ../../samples/agency.toml -",
-            stdin: SIX,
+            stdin: RATE_6,
             shows: &["~ store (rate: 5 -> 6)", "- brand film"],
-            ..USUAL
+            ..DEFAULT
         },
         old_text_wrong: Row {
             args: "diff - ../../samples/agency.toml",
             stdin: "[x]\n",
             exit: 1,
             shows: &["unknown key `x`"],
-            ..USUAL
+            ..DEFAULT
         },
         key: Row {
             args: "key",
             stdin: "foo\n",
             shows: &["2c26b46b68ffc68ff99b453c1d30413413422d706483bfa0f98a5e886266e7ae"],
-            ..USUAL
+            ..DEFAULT
         },
-        empty_key: Row { args: "key", stdin: "\n", exit: 2, shows: &["the key is empty"], ..USUAL },
+        empty_key: Row { args: "key", stdin: "\n", exit: 2, shows: &["the key is empty"], ..DEFAULT },
         help: Row {
             args: "--help",
             shows: &["Exit codes: 0 done, 1 refused", "explain", "trace"],
-            ..USUAL
+            ..DEFAULT
         },
     }
 
-    /// What asks instances; the next is asked where one doesn't answer.
+    /// Commands that query instances; the next is asked if one doesn't answer.
     asking_commands: check => {
         status: Row {
             args: "status --control C",
-            says: &[("c/v1/status", &[Say::Ok(STATUS)])],
+            replies: &[("c/v1/status", &[Reply::Ok(STATUS)])],
             shows: &[
                 "text 7, leader c1",
                 "e1        blato  6     40 ms  leaving",
                 "draft-2  none   0",
             ],
-            ..USUAL
+            ..DEFAULT
         },
         status_next: Row {
             args: "status --control X,C",
-            says: &[("c/v1/status", &[Say::Ok(STATUS)])],
+            replies: &[("c/v1/status", &[Reply::Ok(STATUS)])],
             shows: &["text 7", "no answer from"],
-            ..USUAL
+            ..DEFAULT
         },
         status_json: Row {
             args: "status --json --control C",
-            says: &[("c/v1/status", &[Say::Ok(STATUS)])],
+            replies: &[("c/v1/status", &[Reply::Ok(STATUS)])],
             shows: &[r#""leader":"c1""#, r#""silent":[]"#],
-            ..USUAL
+            ..DEFAULT
         },
         status_isolated: Row {
             args: "status --control D,C",
-            says: &[("c/v1/status", &[Say::Ok(STATUS)]), ("d/v1/status", &[Say::Ok(ALONE)])],
+            replies: &[("c/v1/status", &[Reply::Ok(STATUS)]), ("d/v1/status", &[Reply::Ok(ISOLATED)])],
             shows: &["as c1 sees it", "c9 sees otherwise: leader c9, text 3"],
-            ..USUAL
+            ..DEFAULT
         },
         status_nobody: Row {
             args: "status --control X",
             exit: 3,
             shows: &["no instance answers"],
-            ..USUAL
+            ..DEFAULT
         },
         status_nonsense: Row {
             args: "status --control C",
-            says: &[("c/v1/status", &[Say::Ok("<html>")])],
+            replies: &[("c/v1/status", &[Reply::Ok("<html>")])],
             exit: 3,
             shows: &["answer not understood"],
-            ..USUAL
+            ..DEFAULT
         },
         history: Row {
             args: "history --control C",
-            says: &[
+            replies: &[
                 (
                     "c/v1/history",
-                    &[Say::Ok(r#"[{"version":7,"change":"c-7","by":"ana","added":2,"removed":1}]"#)],
+                    &[Reply::Ok(r#"[{"version":7,"change":"c-7","by":"ana","added":2,"removed":1}]"#)],
                 ),
             ],
             shows: &["7        +2 -1  ana  c-7"],
-            ..USUAL
+            ..DEFAULT
         },
         history_next: Row {
             args: "history --control C,D",
-            says: &[
-                ("c/v1/history", &[Say::Status(503, "starting")]),
-                ("d/v1/history", &[Say::Ok("[]")]),
+            replies: &[
+                ("c/v1/history", &[Reply::Status(503, "starting")]),
+                ("d/v1/history", &[Reply::Ok("[]")]),
             ],
             shows: &["VERSION"],
-            ..USUAL
+            ..DEFAULT
         },
         text_newest: Row {
             args: "text --control D,C",
-            says: &[("c/v1/text", &[Say::Ok(CURRENT)]), ("d/v1/text", &[Say::Ok(OLD)])],
+            replies: &[("c/v1/text", &[Reply::Ok(CURRENT)]), ("d/v1/text", &[Reply::Ok(OLD)])],
             shows: &["rate = 5"],
-            ..USUAL
+            ..DEFAULT
         },
         diff_in_force: Row {
             args: "diff - --control C",
             stdin: "[store]\nrate = 9\n",
-            says: &[("c/v1/text", &[Say::Ok(CURRENT)])],
+            replies: &[("c/v1/text", &[Reply::Ok(CURRENT)])],
             shows: &["~ store (rate: 5 -> 9)"],
-            ..USUAL
+            ..DEFAULT
         },
         diff_same: Row {
             args: "diff - --json --control C",
             stdin: "[store]\nrate = 5\n",
-            says: &[("c/v1/text", &[Say::Ok(CURRENT)])],
+            replies: &[("c/v1/text", &[Reply::Ok(CURRENT)])],
             shows: &[r#"{"changes":[]}"#],
-            ..USUAL
+            ..DEFAULT
         },
         explain: Row {
             args: "explain --brand film --service drafting --entry C",
-            says: &[
-                ("c/v1/explain?brand=film&service=drafting", &[Say::Ok(r#"{"target":"draft-3"}"#)]),
+            replies: &[
+                ("c/v1/explain?brand=film&service=drafting", &[Reply::Ok(r#"{"target":"draft-3"}"#)]),
             ],
             shows: &["\"target\": \"draft-3\""],
-            ..USUAL
+            ..DEFAULT
         },
         explain_adapter: Row {
             args: "explain --brand film --adapter a --entry C",
-            says: &[("c/v1/explain?brand=film&adapter=a", &[Say::Ok("{}")])],
+            replies: &[("c/v1/explain?brand=film&adapter=a", &[Reply::Ok("{}")])],
             shows: &["{}"],
-            ..USUAL
+            ..DEFAULT
         },
         explain_nothing: Row {
             args: "explain --brand film --service x --entry C",
-            says: &[("c/v1/explain?brand=film&service=x", &[Say::Status(404, "no such service")])],
+            replies: &[("c/v1/explain?brand=film&service=x", &[Reply::Status(404, "no such service")])],
             exit: 1,
             shows: &["404 no such service"],
-            ..USUAL
+            ..DEFAULT
         },
         explain_what: Row {
             args: "explain --brand film --entry C",
             exit: 2,
             shows: &["--service"],
-            ..USUAL
+            ..DEFAULT
         },
         drain: Row {
             args: "drain e1 --control X,C",
-            says: &[("c/v1/drain", &[Say::Ok("{}")])],
+            replies: &[("c/v1/drain", &[Reply::Ok("{}")])],
             shows: &["e1 drains"],
-            ..USUAL
+            ..DEFAULT
         },
         drain_unknown: Row {
             args: "drain e9 --control C",
-            says: &[("c/v1/drain", &[Say::Status(404, "no instance e9")])],
+            replies: &[("c/v1/drain", &[Reply::Status(404, "no instance e9")])],
             exit: 1,
             shows: &["no instance e9"],
-            ..USUAL
+            ..DEFAULT
         },
         drain_cut: Row {
             args: "drain e1 --control C,D",
-            says: &[("c/v1/drain", &[Say::Cut]), ("d/v1/drain", &[Say::Ok("{}")])],
+            replies: &[("c/v1/drain", &[Reply::Cut]), ("d/v1/drain", &[Reply::Ok("{}")])],
             shows: &["e1 drains"],
-            ..USUAL
+            ..DEFAULT
         },
     }
 
-    /// Each end that a change can come to.
+    /// Each outcome that a change can have.
     apply_ends: check => {
         accepted: Row {
             args: "apply - --base 7 --change c-1 --control C",
-            stdin: SIX,
-            says: &[("c/v1/apply", &[Say::Ok(ACCEPTED)])],
+            stdin: RATE_6,
+            replies: &[("c/v1/apply", &[Reply::Ok(ACCEPTED)])],
             shows: &["accepted as version 8"],
-            ..USUAL
+            ..DEFAULT
         },
         accepted_json: Row {
             args: "apply - --base 7 --change c-1 --json --control C",
-            stdin: SIX,
-            says: &[("c/v1/apply", &[Say::Ok(ACCEPTED)])],
+            stdin: RATE_6,
+            replies: &[("c/v1/apply", &[Reply::Ok(ACCEPTED)])],
             shows: &[r#"{"base":7,"change":"c-1","result":{"outcome":"accepted","version":8}}"#],
-            ..USUAL
+            ..DEFAULT
         },
         base_in_force: Row {
             args: "apply - --control D,C",
-            stdin: SIX,
-            says: &[
-                ("c/v1/text", &[Say::Ok(CURRENT)]),
-                ("d/v1/text", &[Say::Ok(OLD)]),
-                ("d/v1/apply", &[Say::Ok(ACCEPTED)]),
+            stdin: RATE_6,
+            replies: &[
+                ("c/v1/text", &[Reply::Ok(CURRENT)]),
+                ("d/v1/text", &[Reply::Ok(OLD)]),
+                ("d/v1/apply", &[Reply::Ok(ACCEPTED)]),
             ],
             shows: &["based on version 7, which is in force", "accepted as version 8"],
-            ..USUAL
+            ..DEFAULT
         },
         unchanged: Row {
             args: "apply - --control C",
             stdin: "[store]\nrate = 5\n",
-            says: &[("c/v1/text", &[Say::Ok(CURRENT)])],
+            replies: &[("c/v1/text", &[Reply::Ok(CURRENT)])],
             shows: &["unchanged: version 7"],
-            ..USUAL
+            ..DEFAULT
         },
         conflict: Row {
             args: "apply - --base 7 --control C",
-            stdin: SIX,
-            says: &[("c/v1/apply", &[Say::Status(409, CONFLICT)])],
+            stdin: RATE_6,
+            replies: &[("c/v1/apply", &[Reply::Status(409, CONFLICT)])],
             exit: 1,
             shows: &["refused: version 8 is in force, made by ana (change w-1)"],
         },
         reused: Row {
             args: "apply - --base 7 --change c-1 --control C",
-            stdin: SIX,
-            says: &[("c/v1/apply", &[Say::Status(409, REUSED)])],
+            stdin: RATE_6,
+            replies: &[("c/v1/apply", &[Reply::Status(409, REUSED)])],
             exit: 1,
             shows: &["used with another text"],
         },
@@ -323,80 +323,80 @@
             stdin: "[stores]\n",
             exit: 1,
             shows: &["1:2: unknown key"],
-            ..USUAL
+            ..DEFAULT
         },
         too_large: Row {
             args: "apply - --base 7 --control C",
-            stdin: SIX,
-            says: &[("c/v1/apply", &[Say::Status(413, "too large")])],
+            stdin: RATE_6,
+            replies: &[("c/v1/apply", &[Reply::Status(413, "too large")])],
             exit: 1,
             shows: &["413 too large"],
         },
-        alone: Row {
+        no_quorum: Row {
             args: "apply - --base 7 --control C",
-            stdin: SIX,
-            says: &[("c/v1/apply", &[Say::Status(503, ALONE_REFUSAL)])],
+            stdin: RATE_6,
+            replies: &[("c/v1/apply", &[Reply::Status(503, NO_QUORUM)])],
             exit: 1,
             shows: &["certainly not accepted, come back in 900 ms"],
         },
-        alone_then_not: Row {
+        no_quorum_then_accepted: Row {
             args: "apply - --base 7 --control C,D",
-            stdin: SIX,
-            says: &[
-                ("c/v1/apply", &[Say::Status(503, ALONE_REFUSAL)]),
-                ("d/v1/apply", &[Say::Ok(ACCEPTED)]),
+            stdin: RATE_6,
+            replies: &[
+                ("c/v1/apply", &[Reply::Status(503, NO_QUORUM)]),
+                ("d/v1/apply", &[Reply::Ok(ACCEPTED)]),
             ],
             shows: &["accepted as version 8"],
-            ..USUAL
+            ..DEFAULT
         },
         nobody: Row {
             args: "apply - --base 7 --control X",
-            stdin: SIX,
+            stdin: RATE_6,
             exit: 3,
             shows: &["no instance answers"],
-            ..USUAL
+            ..DEFAULT
         },
         unknown_then_known: Row {
             args: "apply - --base 7 --control C",
-            stdin: SIX,
-            says: &[("c/v1/apply", &[Say::Ok(UNKNOWN), Say::Cut, Say::Ok(ACCEPTED)])],
+            stdin: RATE_6,
+            replies: &[("c/v1/apply", &[Reply::Ok(UNKNOWN), Reply::Cut, Reply::Ok(ACCEPTED)])],
             shows: &["accepted as version 8"],
-            ..USUAL
+            ..DEFAULT
         },
         unknown: Row {
             args: "apply - --base 7 --change c-1 --wait 0 --control C",
-            stdin: SIX,
-            says: &[("c/v1/apply", &[Say::Ok(UNKNOWN)])],
+            stdin: RATE_6,
+            replies: &[("c/v1/apply", &[Reply::Ok(UNKNOWN)])],
             exit: 4,
             shows: &["may have been accepted: run it again with --base 7 --change c-1"],
         },
         broken: Row {
             args: "apply - --base 7 --wait 0 --json --control C",
-            stdin: SIX,
-            says: &[("c/v1/apply", &[Say::Status(500, "oops")])],
+            stdin: RATE_6,
+            replies: &[("c/v1/apply", &[Reply::Status(500, "oops")])],
             exit: 4,
             shows: &[r#""outcome":"unknown""#],
         },
         not_run: Row {
             args: "apply - --base 7 --wait 0 --control C",
-            stdin: SIX,
-            says: &[("c/v1/apply", &[Say::NotRun])],
+            stdin: RATE_6,
+            replies: &[("c/v1/apply", &[Reply::NotRun])],
             exit: 3,
             shows: &["no instance answers"],
         },
         silent: Row {
             args: "apply - --base 7 --wait 0 --timeout 1 --control C,D",
-            stdin: SIX,
-            says: &[("c/v1/apply", &[Say::Silent]), ("d/v1/apply", &[Say::Ok(ACCEPTED)])],
+            stdin: RATE_6,
+            replies: &[("c/v1/apply", &[Reply::Silent]), ("d/v1/apply", &[Reply::Ok(ACCEPTED)])],
             exit: 0,
             shows: &["accepted as version 8"],
         },
-        cut_then_alone: Row {
+        cut_then_no_quorum: Row {
             args: "apply - --base 7 --wait 0 --control C,D",
-            stdin: SIX,
-            says: &[
-                ("c/v1/apply", &[Say::Cut]),
-                ("d/v1/apply", &[Say::Status(503, ALONE_REFUSAL)]),
+            stdin: RATE_6,
+            replies: &[
+                ("c/v1/apply", &[Reply::Cut]),
+                ("d/v1/apply", &[Reply::Status(503, NO_QUORUM)]),
             ],
             exit: 4,
             shows: &["may have been accepted"],
@@ -405,7 +405,7 @@
 }
 
 fn check(row: Row<'_>) {
-    let (c, d) = (Fake::start("c", row.says), Fake::start("d", row.says));
+    let (c, d) = (Fake::start("c", row.replies), Fake::start("d", row.replies));
     let out = run(row.args, row.stdin, &c, &d);
     let shown = shown(&out);
     assert_that!(out.status.code(), some(eq(row.exit)), "{shown}");
@@ -425,7 +425,7 @@
 /// Runs the command line; `C` and `D` stand for the fakes, `X` for an address
 /// where nobody listens.
 fn run(args: &str, stdin: &str, c: &Fake, d: &Fake) -> Output {
-    let urls = [("C", c.url()), ("D", d.url()), ("X", fake::nobody())];
+    let urls = [("C", c.url()), ("D", d.url()), ("X", fake::unused_url())];
     let args = args.split_whitespace().map(|arg| {
         let parts = arg.split(',').map(|part| {
             let url = urls.iter().find(|(name, _)| *name == part);
@@ -446,16 +446,15 @@
     child.wait_with_output().unwrap()
 }
 
-/// An operator sees the connection break after a change was sent, and runs the
-/// same command again. The control instance had accepted the change and lost
-/// only the answer. Under a fresh id the second run would lose against the
-/// first; under the same id it is the same change.
+/// A change is accepted but its answer is lost, so an operator runs the same command
+/// again. With a fresh id the second run would be refused because of a conflict with
+/// the first; both runs must send the same id, and another text a different one.
 #[test]
 fn a_command_run_again_is_the_same_change() {
-    let says: &[(&str, &[Say])] = &[("c/v1/apply", &[Say::Cut, Say::Ok(ACCEPTED)])];
-    let (c, d) = (Fake::start("c", says), Fake::start("d", &[]));
+    let replies: &[(&str, &[Reply])] = &[("c/v1/apply", &[Reply::Cut, Reply::Ok(ACCEPTED)])];
+    let (c, d) = (Fake::start("c", replies), Fake::start("d", &[]));
     let apply = |rate: &str| {
-        let text = SIX.replace('6', rate);
+        let text = RATE_6.replace('6', rate);
         run("apply - --base 7 --wait 0 --control C", &text, &c, &d)
             .status
             .code()
--- a/crates/cli/tests/deployment.rs
+++ b/crates/cli/tests/deployment.rs
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Writes a text into a file of its own.
+    /// Writes a text to a new file and returns its path.
     fn file(&self, name: &str, text: &str) -> String {
         let path = self.folder.join(name);
         fs::write(&path, text).unwrap();
@@ -62,10 +62,9 @@
     fs::read_to_string(root.join("samples/agency.toml")).unwrap()
 }
 
-/// Two operators edit the same version; one of them also runs its command
-/// twice, as its first answer got lost. Both changes carry the same base
-/// version: exactly one may win, the loser must be told which one did, and the
-/// command that was run twice must be in the history once.
+/// A command that is run twice, as after a lost answer, must be in the history once.
+/// Two operators then edit the same version at the same time: exactly one change may
+/// be accepted, and the refusal of the other must name it.
 #[tokio::test(flavor = "multi_thread")]
 async fn texts_are_applied_once_and_races_have_one_winner() {
     let mut lab = Lab::start("operator", &Plan::small()).await.unwrap();
@@ -119,9 +118,8 @@
     lab.clean().unwrap();
 }
 
-/// An operator asks why a brand's requests go where they do, and gets the
-/// engine that the next request runs on; of another brand's adapter nothing is
-/// told under this brand.
+/// `explain` names the engine that a brand's next request runs on, and reveals nothing
+/// about the adapter of another brand.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_explanation_names_the_engine_that_answers() {
     let mut lab = Lab::start("explain", &Plan::small()).await.unwrap();
@@ -147,17 +145,17 @@
         let (_, shown) = operator
             .run(&format!("{explain} film --service drafting"))
             .await;
-        let told: Value = serde_json::from_str(&shown).ok()?;
-        (told["why"] == "holds").then_some(told)
+        let explained: Value = serde_json::from_str(&shown).ok()?;
+        (explained["why"] == "holds").then_some(explained)
     };
-    let told = until("a holder", held).await.unwrap();
-    assert_that!(told["resident"], eq("film-live@1"));
-    assert_that!(told["targets"].as_array().unwrap().len(), eq(2));
-    let next = told["targets"]
+    let explained = until("a holder", held).await.unwrap();
+    assert_that!(explained["resident"], eq("film-live@1"));
+    assert_that!(explained["targets"].as_array().unwrap().len(), eq(2));
+    let next = explained["targets"]
         .as_array()
         .unwrap()
         .iter()
-        .find(|t| t["target"] == told["next"]);
+        .find(|t| t["target"] == explained["next"]);
     assert_that!(next.unwrap()["holds"], eq(true));
     operator
         .expect(
@@ -183,8 +181,7 @@
     lab.clean().unwrap();
 }
 
-/// A planned stop: the instance is asked to drain, is shown as leaving or gone,
-/// and its process ends by itself and well.
+/// A planned stop: an instance that is asked to drain exits by itself, with success.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_drained_instance_ends_by_itself() {
     let plan = Plan {
--- a/crates/cli/tests/trace.rs
+++ b/crates/cli/tests/trace.rs
@@ -1,11 +1,11 @@
-//! `trace` as a process: the story of a request from files and standard input.
+//! `trace` as a process: the timeline of a request from files and standard input.
 //!
-//! The files in `trace/` are lines that three control and two entry instances of
-//! the platform's program wrote beside a stand-in of the platform and of engines:
-//! an engine dies under six streams, more adapters are asked for than engines can
-//! hold while some orders stay unanswered, a control instance is killed, and a
-//! route is asked for before it is added. `controls.log` has the form that
-//! simulations write, with seconds since the first configuration.
+//! The files in `trace/` are log lines that three control and two entry instances of
+//! the platform's program wrote while they ran with stand-ins of the platform and of
+//! engines: an engine crashes during six streams, more adapters are requested than
+//! the engines can hold while some orders get no answer, a control instance is
+//! killed, and a route is requested before it is added. `controls.log` has the form
+//! that simulations write, with seconds since the first configuration.
 
 use std::{
     fs,
@@ -39,18 +39,18 @@
     String::from_utf8(out.to_vec()).unwrap()
 }
 
-/// Returns a line of `edge-9` about the request, at a second of the recording.
-fn late(second: u32) -> String {
+/// Returns a log line of `edge-9` about request 1318, at a second of the recording.
+fn slow_line(second: u32) -> String {
     format!(
         r#"{{"time":"2026-12-03T10:57:{second}.000000+00:00","level":"info","service":"entry","instance":"edge-9","zone":"zb","event":"E5009","name":"RequestSlow","message":"request slow","fields":{{"request":"1318","head_ms":900,"place_ms":890}}}}"#
     )
 }
 
-/// The lines of one request lie in two files and in what a pipe brings, in both
-/// forms, among lines of others.
+/// Lines of one request come from two files and from standard input, in plain and in
+/// simulated form, mixed with lines of other requests and of other programs.
 #[test]
-fn files_and_standard_input_make_one_story() {
-    let whole = late(44);
+fn files_and_standard_input_make_one_timeline() {
+    let whole = slow_line(44);
     let mut stdin = format!("{whole}\n\n  21.3 platform alert for 1318\nanother\n").into_bytes();
     stdin.extend(b"\xff\x00\xfe\n");
     stdin.extend(&whole.as_bytes()[..whole.len() - 9]);
@@ -87,18 +87,18 @@
     assert_that!(simulated[2..4], eq(&["20.0588", "control-1"]));
 }
 
-/// Standard input is read where no file is named, and JSON says the same.
+/// Standard input is read if no file is given, with the same JSON as from a file.
 #[test]
-fn a_pipe_alone_is_enough() {
+fn standard_input_alone_gives_the_same() {
     let lines = fs::read(ENTRIES).unwrap();
     let named = trace(&["3001", "--json", "--around", "0", ENTRIES], b"");
     let piped = trace(&["3001", "--json", "--around", "0"], &lines);
     assert_that!(named.stdout, eq(&piped.stdout));
-    let story: Value = serde_json::from_slice(&piped.stdout).unwrap();
-    assert_that!(story["request"], eq(&Value::from("3001")));
-    assert_that!(story["own"], eq(&Value::from(1)));
-    assert_that!(story["ending"]["event"], eq(&Value::from("E5002")));
-    let own = story["lines"].as_array().unwrap().iter();
+    let timeline: Value = serde_json::from_slice(&piped.stdout).unwrap();
+    assert_that!(timeline["request"], eq(&Value::from("3001")));
+    assert_that!(timeline["own"], eq(&Value::from(1)));
+    assert_that!(timeline["ending"]["event"], eq(&Value::from("E5002")));
+    let own = timeline["lines"].as_array().unwrap().iter();
     let own = own.filter(|line| line["own"] == true).count();
     assert_that!(own, eq(1));
 }
@@ -111,7 +111,7 @@
 }
 
 base::cases! {
-    /// What can't be told is said, and why.
+    /// Each failure has its exit code and a message that names the cause.
     failures: check_failure => {
         unknown: Failure {
             args: &["9999", CONTROLS, ENTRIES],
@@ -174,11 +174,11 @@
     }
 }
 
-/// A caller chooses its id, and a broken line holds anything: an operator's
-/// terminal would obey what is printed raw.
+/// Callers choose their ids, and a damaged log line may hold any bytes: control
+/// characters are escaped, as an operator's terminal would interpret them.
 #[test]
-fn nothing_printed_moves_the_terminal() {
-    let line = late(44).replace("edge-9", r"\u001b[2Jedge").replace(
+fn control_characters_are_escaped() {
+    let line = slow_line(44).replace("edge-9", r"\u001b[2Jedge").replace(
         r#""head_ms":900"#,
         r#""\u0007":["\u009b"],"how":"a\u001b]0;b\nc""#,
     );
@@ -190,7 +190,7 @@
     assert_that!(odd, none());
 }
 
-/// The page shows what the command prints, so that an operator can go by it.
+/// The output that `docs/operations.md` quotes is what the command prints.
 #[test]
 fn the_page_shows_what_is_printed() {
     let page = fs::read_to_string("../../docs/operations.md").unwrap();
@@ -200,41 +200,42 @@
     assert_that!(text(&out.stdout), eq(shown));
 }
 
-/// Lines that the page names for a failed request: those of `event` whose field
-/// begins so, from and to so many seconds off the request's line.
-type Named = (&'static str, &'static str, &'static str, f64, f64);
+/// Lines that the page tells to look at for a failed request: event, field, start of
+/// the field's value, and earliest and latest time in seconds relative to the
+/// request's own line.
+type Expected = (&'static str, &'static str, &'static str, f64, f64);
 
-/// A kind of failed request of the page: an id of the kind, what its own line
-/// says, and which lines the page names.
+/// A kind of failed request on the page: the id of an example, fields of its own
+/// line, and the lines that the page tells to look at.
 struct Kind {
     id: &'static str,
     own: &'static [(&'static str, &'static str)],
-    named: &'static [Named],
+    expected: &'static [Expected],
 }
 
-/// Seconds that reach back before the first line of the recording.
-const EVER: f64 = -99.0;
+/// A relative time in seconds that lies before the first line of the recording.
+const FROM_START: f64 = -99.0;
 
 base::cases! {
-    /// Each line that `docs/operations.md` names under "From a request's id to its
-    /// cause" stands in the story.
+    /// Each line that `docs/operations.md` tells to look at under "From a request's id
+    /// to its cause" is in the timeline.
     causes: check_cause => {
         refusal_in_a_burst: Kind {
             id: "1318",
             own: &[("event", "E5002"), ("why", "Queue"), ("sends", "0"), ("held_ms", "1204")],
-            named: &[
+            expected: &[
                 ("E4013", "waiting", "", -1.0, 1.0),
                 ("E4003", "how", "unknown", -2.0, 2.0),
                 ("E4003", "how", "conflict", -2.0, 2.0),
-                ("E4001", "adapter", "m/g05", EVER, 0.0),
-                ("E4002", "adapter", "m/g05", EVER, 0.0),
-                ("E3001", "zones", "za", EVER, 0.0),
+                ("E4001", "adapter", "m/g05", FROM_START, 0.0),
+                ("E4002", "adapter", "m/g05", FROM_START, 0.0),
+                ("E3001", "zones", "za", FROM_START, 0.0),
             ],
         },
         stream_of_a_target_that_died: Kind {
             id: "2100",
             own: &[("event", "E5002"), ("how", "the connection broke"), ("target", "i-0001")],
-            named: &[
+            expected: &[
                 ("E5002", "target", "i-0001", -1.0, 1.0),
                 ("E5005", "from", "i-0001", -1.0, 1.0),
             ],
@@ -242,7 +243,7 @@
         stream_that_went_on: Kind {
             id: "2000",
             own: &[("event", "E5005"), ("from", "i-0001"), ("target", "i-0002")],
-            named: &[
+            expected: &[
                 ("E5002", "target", "i-0001", -1.0, 1.0),
                 ("E5005", "from", "i-0001", -1.0, 1.0),
             ],
@@ -250,10 +251,10 @@
         request_on_an_old_route: Kind {
             id: "3001",
             own: &[("event", "E5002"), ("how", "NoRoute"), ("edition", "3")],
-            named: &[
-                ("E7003", "version", "3", EVER, 0.0),
+            expected: &[
+                ("E7003", "version", "3", FROM_START, 0.0),
                 ("E7003", "version", "4", 0.0, 2.0),
-                ("E6001", "control", "127.77.161.3:", EVER, 0.0),
+                ("E6001", "control", "127.77.161.3:", FROM_START, 0.0),
             ],
         },
     }
@@ -261,28 +262,30 @@
 
 fn check_cause(kind: Kind) {
     let out = trace(&[kind.id, "--json", CONTROLS, ENTRIES], b"");
-    let story: Value = serde_json::from_slice(&out.stdout).unwrap();
-    let told = story["lines"].as_array().unwrap();
-    let own = told.iter().find(|line| line["own"] == true).unwrap();
-    for (key, must) in kind.own {
-        assert_that!(field(own, key), starts_with(*must), "{key}");
+    let timeline: Value = serde_json::from_slice(&out.stdout).unwrap();
+    let rows = timeline["lines"].as_array().unwrap();
+    let own = rows.iter().find(|line| line["own"] == true).unwrap();
+    for (key, want) in kind.own {
+        assert_that!(field(own, key), starts_with(*want), "{key}");
     }
     let recorded = recorded();
-    for named in kind.named {
-        let lines = recorded.iter().filter(|line| is_named(line, named, own));
+    for expected in kind.expected {
+        let lines = recorded
+            .iter()
+            .filter(|line| is_expected(line, expected, own));
         let lines: Vec<&Value> = lines.collect();
-        assert_that!(lines, not(is_empty()), "{named:?}");
+        assert_that!(lines, not(is_empty()), "{expected:?}");
         for line in lines {
-            let found = told.iter().any(|told| {
-                let same = |key| told[key] == line[key];
-                second(told) == second(line) && same("instance") && same("fields")
+            let found = rows.iter().any(|row| {
+                let same = |key| row[key] == line[key];
+                second(row) == second(line) && same("instance") && same("fields")
             });
             assert_that!(found, eq(true), "{line}");
         }
     }
 }
 
-/// Reads the recording without the command's own reader.
+/// Parses the recording independently of the command's own parser.
 fn recorded() -> Vec<Value> {
     let files = [CONTROLS, ENTRIES].map(|path| fs::read_to_string(Path::new(path)).unwrap());
     let lines = files.iter().flat_map(|text| text.lines());
@@ -290,16 +293,16 @@
     lines.collect()
 }
 
-/// Whether the page names a line; of the entry instances' beliefs only those of
-/// the one that wrote `own`.
-fn is_named(line: &Value, (event, key, value, from, to): &Named, own: &Value) -> bool {
-    let belief = matches!(*event, "E6001" | "E7003");
-    let off = second(line) - second(own);
+/// Whether the page tells to look at a line. Events about an entry instance's own
+/// state count only for the instance that wrote `own`.
+fn is_expected(line: &Value, (event, key, value, from, to): &Expected, own: &Value) -> bool {
+    let state = matches!(*event, "E6001" | "E7003");
+    let offset = second(line) - second(own);
     line["event"] == *event
         && line["fields"].get(key).is_some()
         && field(line, key).starts_with(value)
-        && (*from..=*to).contains(&off)
-        && (!belief || line["instance"] == own["instance"])
+        && (*from..=*to).contains(&offset)
+        && (!state || line["instance"] == own["instance"])
 }
 
 fn field(line: &Value, key: &str) -> String {
@@ -308,7 +311,7 @@
     text.unwrap_or_else(|| value.to_string())
 }
 
-/// Returns the seconds within a line's hour.
+/// Returns the time of a line in seconds since the start of its hour.
 fn second(line: &Value) -> f64 {
     let time = line["time"].as_str().unwrap();
     let minutes: f64 = time[14..16].parse().unwrap();
--- a/crates/cli/tests/unit/timeline.rs
+++ b/crates/cli/tests/unit/timeline.rs
@@ -1,7 +1,7 @@
-//! Which lines belong to the story of a request.
+//! Which log lines belong to the timeline of a request.
 //!
-//! Each line of a row says first what must become of it (`own`, `near` for context,
-//! `none`), then its second, instance, event and fields.
+//! Each line of a case begins with the expected result (`own`, `near` for context,
+//! `none` for left out), followed by its second, instance, event and fields.
 
 use googletest::prelude::*;
 use serde_json::{Map, Value, json};
@@ -28,22 +28,22 @@
     .to_string()
 }
 
-fn gathered(lines: &[&str]) -> Gathered {
-    let mut gathered = Gathered::new(ID.parse().unwrap());
+fn collector(lines: &[&str]) -> Collector {
+    let mut collector = Collector::new(ID.parse().unwrap());
     for line in lines {
-        gathered.take(json_of(line).as_bytes());
+        collector.add(json_of(line).as_bytes());
     }
-    gathered
+    collector
 }
 
-fn told(lines: &[&str], around: i64) -> Option<Story> {
-    gathered(lines).story(TimeDelta::seconds(around))
+fn build(lines: &[&str], around: i64) -> Option<Timeline> {
+    collector(lines).timeline(TimeDelta::seconds(around))
 }
 
 base::cases! {
-    /// Lines become a request's own, its context, or none of its story.
-    lines_are_told: check_lines => {
-        ids_are_whole: &[
+    /// A line is one of the request's own, context, or left out.
+    lines_are_selected: check_lines => {
+        ids_match_exactly: &[
             "own  0 e1 E5009 request=r-1",
             "none 0 e1 E5009 request=r-10",
             "none 0 e1 E5009 request=R-1",
@@ -193,22 +193,22 @@
 
 fn check_lines(rows: &[&str]) {
     let rows = rows.iter().map(|row| row.split_once(' ').unwrap());
-    let (musts, lines): (Vec<&str>, Vec<&str>) = rows.unzip();
-    let story = told(&lines, 2).unwrap();
+    let (expected, lines): (Vec<&str>, Vec<&str>) = rows.unzip();
+    let timeline = build(&lines, 2).unwrap();
     assert_that!(
-        story.lines.is_sorted_by_key(|told| told.line.time),
+        timeline.lines.is_sorted_by_key(|row| row.line.time),
         eq(true)
     );
-    for (line, must) in lines.iter().zip(musts) {
+    for (line, want) in lines.iter().zip(expected) {
         let parsed = Line::try_from(&*json_of(line)).unwrap();
-        let told = story.lines.iter().find(|told| told.line == parsed);
-        let is = told.map_or("none", |told| if told.own { "own" } else { "near" });
-        assert_that!(is, eq(must), "{line}");
+        let row = timeline.lines.iter().find(|row| row.line == parsed);
+        let got = row.map_or("none", |row| if row.own { "own" } else { "near" });
+        assert_that!(got, eq(want), "{line}");
     }
 }
 
 base::cases! {
-    /// The summary names the end by the last own line.
+    /// The ending comes from the last own line.
     ends_are_named: check_end => {
         refused: (
             &["1 e1 E5002 request=r-1 why=Queue how=NotRun sends=0"],
@@ -234,8 +234,8 @@
         ),
     }
 
-    /// Both forms of a line are read, and nothing else.
-    forms: check_form => {
+    /// Plain and simulated lines are parsed, all else is rejected.
+    line_forms: check_form => {
         plain: (r#"{"time":"2026-06-16T12:25:39.02+00:00","instance":"e","event":"E1"}"#, Some("e")),
         simulated: (
             r#"  33.0217   e9  {"time":"2026-06-16T12:25:39Z","instance":"e","event":"E1"}"#,
@@ -246,7 +246,7 @@
             Some("-9.7 e9"),
         ),
         carriage_return: ("{\"time\":\"2026-06-16T12:25:39Z\",\"instance\":\"e\",\"event\":\"E1\"}\r", Some("e")),
-        by_nobody: (r#"{"time":"2026-06-16T12:25:39Z","event":"E1"}"#, None),
+        without_instance: (r#"{"time":"2026-06-16T12:25:39Z","event":"E1"}"#, None),
         without_time: (r#"{"instance":"e","event":"E1"}"#, None),
         wrong_time: (r#"{"time":"yesterday","instance":"e","event":"E1"}"#, None),
         without_event: (r#"{"time":"2026-06-16T12:25:39Z","instance":"e"}"#, None),
@@ -254,8 +254,8 @@
             r#"{"time":"2026-06-16T12:25:39Z","instance":"e","event":"E1","fields":[1]}"#,
             None,
         ),
-        cut_short: (r#"{"time":"2026-06-16T12:25:39Z","instance":"e","ev"#, None),
-        more_behind: (r#"{"time":"2026-06-16T12:25:39Z","instance":"e","event":"E1"} x"#, None),
+        truncated: (r#"{"time":"2026-06-16T12:25:39Z","instance":"e","ev"#, None),
+        trailing_text: (r#"{"time":"2026-06-16T12:25:39Z","instance":"e","event":"E1"} x"#, None),
         seconds_without_end: (r#"inf e {"time":"2026-06-16T12:25:39Z","event":"E1"}"#, None),
         seconds_are_a_word: (r#"at e {"time":"2026-06-16T12:25:39Z","event":"E1"}"#, None),
         without_json: ("33.0217 e9 alert", None),
@@ -263,7 +263,7 @@
         a_list: ("[]", None),
     }
 
-    /// An id is what a header can carry.
+    /// An id is any string that a header's value can hold.
     ids: check_id => {
         usual: ("r-1", Ok(())),
         odd: (r#"a b/"c"\{é}%00=*"#, Ok(())),
@@ -275,7 +275,7 @@
 }
 
 fn check_end((lines, end): (&[&str], &str)) {
-    let ending = told(lines, 2).unwrap().ending;
+    let ending = build(lines, 2).unwrap().ending;
     let fields = ending
         .fields
         .iter()
@@ -289,60 +289,61 @@
     assert_that!(shown, eq(end));
 }
 
-fn check_form((raw, whose): (&str, Option<&str>)) {
+fn check_form((raw, want): (&str, Option<&str>)) {
     let line = Line::try_from(raw);
     let shown = line.as_ref().ok().map(|line| match &line.seconds {
         Some(seconds) => format!("{seconds} {}", line.instance),
         None => line.instance.clone(),
     });
-    assert_that!(shown.as_deref(), eq(whose));
+    assert_that!(shown.as_deref(), eq(want));
 }
 
 fn check_id((raw, read): (&str, std::result::Result<(), BadId>)) {
     assert_that!(raw.parse::<RequestId>().map(drop), eq(&read));
 }
 
-/// A request's only line was cut short as its instance died, and the story says
-/// that nothing of the request stands there.
+/// A request's only line was truncated as its instance crashed: the output must not
+/// say that nothing about the request was found, but count the line as containing
+/// the id.
 #[test]
-fn a_line_cut_short_is_counted_wherever_it_ends() {
+fn a_truncated_line_is_counted_wherever_it_ends() {
     let whole = json_of("0 e1 E5002 request=r-1 why=Queue");
     let end = whole.find(ID).unwrap() + ID.len();
     for cut in 1..whole.len() {
-        let mut gathered = Gathered::new(ID.parse().unwrap());
-        gathered.take(&whole.as_bytes()[..cut]);
+        let mut collector = Collector::new(ID.parse().unwrap());
+        collector.add(&whole.as_bytes()[..cut]);
         let holding = usize::from(cut >= end);
         let skipped = Skipped { lines: 1, holding };
-        assert_that!(gathered.counts(), eq((0, skipped)), "{cut}");
+        assert_that!(collector.counts(), eq((0, skipped)), "{cut}");
     }
 }
 
-/// An id that JSON writes with escapes is found in its line and in a broken one.
+/// An id that JSON escapes is found in its line and in a truncated one.
 #[test]
 fn an_id_with_escapes_is_found() {
     let id = r#"a"b\c"#;
     let line = json!({"time": "2026-06-16T12:25:39Z", "instance": "e", "event": "E5009",
                       "fields": {"request": id}});
-    let mut gathered = Gathered::new(id.parse().unwrap());
-    gathered.take(line.to_string().as_bytes());
-    gathered.take(&line.to_string().as_bytes()[1..]);
+    let mut collector = Collector::new(id.parse().unwrap());
+    collector.add(line.to_string().as_bytes());
+    collector.add(&line.to_string().as_bytes()[1..]);
     let skipped = Skipped {
         lines: 1,
         holding: 1,
     };
-    assert_that!(gathered.counts(), eq((1, skipped)));
-    assert_that!(gathered.story(TimeDelta::zero()).unwrap().own, eq(1));
+    assert_that!(collector.counts(), eq((1, skipped)));
+    assert_that!(collector.timeline(TimeDelta::zero()).unwrap().own, eq(1));
 }
 
-/// Bytes that are no text, and times and durations beyond all bounds, end nothing.
+/// Invalid UTF-8, and times and durations out of range, cause no failure.
 #[test]
-fn odd_values_are_taken() {
-    let mut gathered = gathered(&[
+fn odd_values_cause_no_failure() {
+    let mut collector = collector(&[
         "0 e1 E5002 request=r-1 held_ms=9223372036854775807",
         "1 e1 E5009 request=r-1 head_ms=-5",
     ]);
-    gathered.take(b"\xff\xfe r-1\n");
-    gathered.take(b" \t\r\n");
+    collector.add(b"\xff\xfe r-1\n");
+    collector.add(b" \t\r\n");
     for year in [
         "+262142-12-31T23:59:59Z",
         "9999-12-31T23:59:60Z",
@@ -350,19 +351,19 @@
     ] {
         let line = json!({"time": year, "instance": "e", "event": "E5009",
                           "fields": {"request": ID}});
-        gathered.take(line.to_string().as_bytes());
+        collector.add(line.to_string().as_bytes());
     }
-    let (lines, skipped) = gathered.counts();
+    let (lines, skipped) = collector.counts();
     assert_that!(lines + skipped.lines, eq(6));
     assert_that!(
-        gathered.story(TimeDelta::seconds(3_600)).is_some(),
+        collector.timeline(TimeDelta::seconds(3_600)).is_some(),
         eq(true)
     );
 }
 
-/// The id stands in no line of the log.
+/// A request id that no line has gives no timeline.
 #[test]
-fn nothing_is_told_of_an_unknown_request() {
-    assert_that!(told(&["0 e1 E5002 request=r-2"], 2), none());
-    assert_that!(told(&[], 2), none());
+fn an_unknown_request_has_no_timeline() {
+    assert_that!(build(&["0 e1 E5002 request=r-2"], 2), none());
+    assert_that!(build(&[], 2), none());
 }
