--- a/crates/cli/tests/deployment.rs
+++ b/crates/cli/tests/deployment.rs
@@ -201,7 +201,7 @@
     operator.expect("drain nobody", 1, "404").await;
     operator.expect(&format!("drain {name}"), 0, "drains").await;
     let mut process = lab.entries[0].process.take().unwrap();
-    assert_that!(process.ended().await, ok(eq(&true)));
+    assert_that!(process.wait_exit().await, ok(eq(&true)));
     assert!(lab.stop().await.unwrap());
     lab.clean().unwrap();
 }
--- a/crates/lab/src/deployment.rs
+++ b/crates/lab/src/deployment.rs
@@ -279,7 +279,7 @@
     ///
     /// Fails when the platform's stand-in doesn't answer.
     pub async fn publish(&mut self) -> Result<()> {
-        self.publish_without(&[]).await
+        self.publish_leaving(&[]).await
     }
 
     /// Publishes the list with the targets named in `leaving` marked so.
@@ -287,7 +287,7 @@
     /// # Errors
     ///
     /// Fails when the platform's stand-in doesn't answer.
-    pub async fn publish_without(&mut self, leaving: &[&str]) -> Result<()> {
+    pub async fn publish_leaving(&mut self, leaving: &[&str]) -> Result<()> {
         self.serial += 1;
         let state = |name: &str| {
             if leaving.contains(&name) {
@@ -428,7 +428,7 @@
         for instance in self.entries.iter_mut().chain(&mut self.controls) {
             if let Some(mut process) = instance.process.take() {
                 process.signal("TERM").await?;
-                well &= process.ended().await?;
+                well &= process.wait_exit().await?;
             }
         }
         Ok(well)
--- a/crates/lab/src/http.rs
+++ b/crates/lab/src/http.rs
@@ -69,7 +69,7 @@
     /// The body as far as it came.
     pub body: Bytes,
     /// Whether it ended properly.
-    pub whole: bool,
+    pub complete: bool,
 }
 
 impl Reply {
@@ -168,14 +168,14 @@
         }
         let mut answer = self.client.send(send).await?;
         let mut body = Vec::new();
-        let mut whole = true;
+        let mut complete = true;
         while let Some(piece) = answer.next().await {
             match piece {
                 Ok(piece) if body.len() + piece.len() <= BODY_MAX => {
                     body.extend_from_slice(&piece);
                 }
                 Ok(_) | Err(_) => {
-                    whole = false;
+                    complete = false;
                     break;
                 }
             }
@@ -184,7 +184,7 @@
             status: answer.status.as_u16(),
             headers: answer.headers.clone(),
             body: body.into(),
-            whole,
+            complete,
         })
     }
 
--- a/crates/lab/src/links.rs
+++ b/crates/lab/src/links.rs
@@ -107,7 +107,7 @@
     }
 
     /// Mends all links.
-    pub fn mend(&self) {
+    pub fn restore(&self) {
         self.cut.send_modify(BTreeSet::clear);
     }
 
--- a/crates/lab/src/process.rs
+++ b/crates/lab/src/process.rs
@@ -106,7 +106,7 @@
     /// # Errors
     ///
     /// Fails when it doesn't end in time.
-    pub async fn ended(&mut self) -> Result<bool> {
+    pub async fn wait_exit(&mut self) -> Result<bool> {
         let status = timeout(CEILING * 3, self.child.wait()).await;
         let status = status.with_context(|| format!("{} doesn't end", self.name))??;
         Ok(status.success())
--- a/crates/lab/tests/processes/common.rs
+++ b/crates/lab/tests/processes/common.rs
@@ -47,7 +47,7 @@
 pub(crate) async fn answered(caller: &Caller, model: &str) -> Result<Reply> {
     let ask = async || {
         let reply = caller.chat(&Chat::stream(model, "hello")).await.ok()?;
-        (reply.status == 200 && reply.whole).then_some(reply)
+        (reply.status == 200 && reply.complete).then_some(reply)
     };
     lab::until("an engine that answers", ask).await
 }
--- a/crates/lab/tests/processes/cut.rs
+++ b/crates/lab/tests/processes/cut.rs
@@ -154,7 +154,7 @@
     assert_that!(apply(&here, "k-2").await?.status, not(eq(200)));
     assert_that!(executions(&lab, "k-2").await?, eq(0));
     answered(&there, "drafting").await?;
-    links(&lab)?.mend();
+    links(&lab)?.restore();
     everywhere(&lab, accepted).await?;
     let isolated = change(&lab, old, "isolated", &first).await?;
     assert_that!(isolated["outcome"], not(eq(&json!("accepted"))));
@@ -281,7 +281,7 @@
     assert_that!(refused.verdict(), some(eq(Verdict::NotRun)));
     restarts_empty(&lab, &zone, end).await?;
     assert_that!(executions(&lab, "k-2").await?, eq(0));
-    links(&lab)?.mend();
+    links(&lab)?.restore();
     everywhere(&lab, version).await?;
     for key in ["k-1", "k-2"] {
         taken(&here, key).await?;
--- a/crates/lab/tests/processes/faults.rs
+++ b/crates/lab/tests/processes/faults.rs
@@ -73,7 +73,7 @@
     chat.tokens = 40;
     let reply = caller.chat(&chat).await?;
     assert_that!(reply.status, eq(200));
-    assert_that!(reply.whole, eq(true), "{reply:?}");
+    assert_that!(reply.complete, eq(true), "{reply:?}");
     assert_that!(
         reply.text(),
         eq(&expected("kazaliste-live@1", "cut twice", 40))
@@ -102,7 +102,7 @@
     let at = running_engine(lab).await?;
     lab.engines[at].process.kill().await?;
     let reply = ask.await??;
-    assert_that!(reply.whole, eq(true), "{reply:?}");
+    assert_that!(reply.complete, eq(true), "{reply:?}");
     assert_that!(
         reply.text(),
         eq(&expected("kazaliste-live@1", "killed amid", 100))
@@ -124,7 +124,7 @@
     let hang = json!({"ms": 600_000});
     admin(lab.engines[at].address, "stall", hang).await?;
     let reply = ask.await??;
-    assert_that!(reply.whole, eq(true), "{reply:?}");
+    assert_that!(reply.complete, eq(true), "{reply:?}");
     let want = expected("kazaliste-live@1", "hangs amid", 100);
     assert_that!(reply.text(), eq(&want));
     lab.stop().await?;
--- a/crates/lab/tests/processes/once.rs
+++ b/crates/lab/tests/processes/once.rs
@@ -72,7 +72,7 @@
 async fn a_cut_answer_is_honest(lab: &Lab, here: &Caller, there: &Caller) -> Result<()> {
     faults(lab, json!({"cut": 1})).await?;
     let cut = apply(here, "k-2", "dora").await?;
-    let honest = !cut.whole || cut.verdict() == Some(Verdict::MayHaveRun);
+    let honest = !cut.complete || cut.verdict() == Some(Verdict::MayHaveRun);
     assert_that!(honest, eq(true), "{cut:?}");
     let again = apply(there, "k-2", "dora").await?;
     assert_that!(again.verdict(), some(ge(Verdict::MayHaveRun)), "{again:?}");
@@ -93,7 +93,7 @@
     }
     let lost = first.await?;
     assert_that!(
-        lost.is_ok_and(|reply| reply.status == 200 && reply.whole),
+        lost.is_ok_and(|reply| reply.status == 200 && reply.complete),
         eq(false)
     );
     let again = apply(&there, "k-3", "dora").await?;
--- a/crates/lab/tests/processes/path.rs
+++ b/crates/lab/tests/processes/path.rs
@@ -34,7 +34,7 @@
                 let reply = lab.caller(entry, key).chat(&chat).await?;
                 let resident = format!("{adapter}@{version}");
                 assert_that!(reply.status, eq(200), "{prompt}");
-                assert_that!(reply.whole, eq(true), "{prompt}");
+                assert_that!(reply.complete, eq(true), "{prompt}");
                 assert_that!(reply.header(header::ADAPTER), some(eq(adapter)), "{prompt}");
                 assert_that!(reply.header(header::VERSION), some(eq(version)), "{prompt}");
                 let want = expected(&resident, &prompt, 16);
--- a/crates/lab/tests/processes/rolling.rs
+++ b/crates/lab/tests/processes/rolling.rs
@@ -62,7 +62,7 @@
     seen.sent += 1;
     let chat = Chat::stream("drafting", prompt);
     match caller.chat(&chat).await {
-        Ok(reply) if reply.status == 200 && reply.whole => {
+        Ok(reply) if reply.status == 200 && reply.complete => {
             seen.answered += 1;
             if reply.text() != expected("kazaliste-live@1", prompt, 16) {
                 seen.odd.push(format!("{prompt}: other tokens"));
@@ -81,7 +81,7 @@
     let headers = [(header::IDEMPOTENCY_KEY, key.to_owned())];
     let body = Bytes::from(key.to_owned());
     match caller.send(Method::POST, path, body, &headers).await {
-        Ok(reply) if reply.status == 200 && reply.whole => seen.answered += 1,
+        Ok(reply) if reply.status == 200 && reply.complete => seen.answered += 1,
         // While leadership is handed over, a claim may be refused, with when
         // to come back: certainly not run.
         Ok(reply) if reply.header(header::REASON) == Some("no-quorum") => {
@@ -149,7 +149,7 @@
         return Ok(());
     };
     process.signal("TERM").await?;
-    assert_that!(process.ended().await?, eq(true), "{}", process.name);
+    assert_that!(process.wait_exit().await?, eq(true), "{}", process.name);
     Ok(())
 }
 
--- a/crates/lab/tests/processes/targets.rs
+++ b/crates/lab/tests/processes/targets.rs
@@ -64,7 +64,7 @@
 async fn a_leaving_engine_starts_nothing_more() -> Result<()> {
     let mut lab = start("leaving", &Plan::small()).await?;
     let leaving = lab.engines[0].name.clone();
-    lab.publish_without(&[&leaving]).await?;
+    lab.publish_leaving(&[&leaving]).await?;
     let entry = Caller::new(lab.entries[0].peer, "");
     let known = async || {
         let path = "/v1/explain?brand=kazaliste&service=drafting";
--- a/crates/lab/tests/processes/timed.rs
+++ b/crates/lab/tests/processes/timed.rs
@@ -59,7 +59,7 @@
             let path = "/kazaliste/listing/x";
             caller.send(Method::GET, path, Bytes::new(), &[]).await
         };
-        if reply.is_ok_and(|reply| reply.status == 200 && reply.whole) {
+        if reply.is_ok_and(|reply| reply.status == 200 && reply.complete) {
             let count = if letters {
                 &tally.letters
             } else {
@@ -127,7 +127,7 @@
     for target in leaving {
         works(target).await?;
     }
-    lab.publish_without(&[&names[0], &names[1]]).await?;
+    lab.publish_leaving(&[&names[0], &names[1]]).await?;
     sleep_until(Instant::now() + LEFT).await;
     let before = [given(leaving[0]).await?, given(leaving[1]).await?];
     let letters = tally.letters.load(Ordering::Relaxed) + ENOUGH;
--- a/xtask/src/demo.rs
+++ b/xtask/src/demo.rs
@@ -103,7 +103,7 @@
         reply.status
     );
     ensure!(
-        reply.whole,
+        reply.complete,
         "{brand}, {kind}: the answer was cut after {body}"
     );
     let adapter = reply.header(header::ADAPTER);
