--- a/crates/quetzalarch/examples/embed.rs
+++ b/crates/quetzalarch/examples/embed.rs
@@ -1,8 +1,8 @@
-//! Embeds a node in a program with a transport of its own: a row of messages
-//! in memory, handed over one by one.
+//! Embeds a node in a program with a transport of its own: an in-memory queue whose
+//! messages are delivered one by one.
 //!
-//! The program plays the leader, the engine and the caller. It prints what the
-//! node wants done, step by step: `cargo run -p quetzalarch --example embed`.
+//! The program simulates the leader, the engine and the caller. It prints the
+//! node's main outputs: `cargo run -p quetzalarch --example embed`.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -44,26 +44,27 @@
 film-live = [1]
 "#;
 
-/// Steps after which the example gives up.
-const STEPS: u32 = 10_000;
+/// Limit on the inputs delivered, so that the example ends if no answer comes.
+const STEPS_MAX: u32 = 10_000;
 
 fn main() {
     let mut world = World::new();
     world.queue.push_back(Input::List(Some(list())));
-    let whole = world.run();
-    assert!(whole, "the request was not answered");
+    let complete = world.run();
+    assert!(complete, "the request was not answered");
     println!("answered");
 }
 
-/// The embedding program: its transport, its clock, and what it plays.
+/// The embedding program: its transport, its clock, and the state of the simulated
+/// leader, engine and caller.
 struct World {
     node: Node,
     now: Time,
     wake: Time,
     queue: VecDeque<Input>,
     loaded: Vec<String>,
-    asked: bool,
-    whole: bool,
+    requested: bool,
+    complete: bool,
 }
 
 impl World {
@@ -86,14 +87,15 @@
             wake: Time::ZERO,
             queue: VecDeque::new(),
             loaded: Vec::new(),
-            asked: false,
-            whole: false,
+            requested: false,
+            complete: false,
         }
     }
 
-    /// Hands over messages, and lets time pass where there are none.
+    /// Delivers queued messages; if there are none, advances the clock to the node's
+    /// next wake-up. Returns whether the request was answered.
     fn run(&mut self) -> bool {
-        for _ in 0..STEPS {
+        for _ in 0..STEPS_MAX {
             let input = self.queue.pop_front().unwrap_or_else(|| {
                 self.now = self.now.max(self.wake);
                 Input::Wake
@@ -103,7 +105,7 @@
             for output in outputs {
                 self.carry_out(output);
             }
-            if self.whole {
+            if self.complete {
                 return true;
             }
         }
@@ -135,8 +137,8 @@
             }
             Output::Event(quetzalarch::Event::Owns(engine, fence)) => {
                 println!("owns {engine} under {fence}");
-                if !std::mem::replace(&mut self.asked, true) {
-                    self.queue.push_back(Input::Arrive(ask()));
+                if !std::mem::replace(&mut self.requested, true) {
+                    self.queue.push_back(Input::Arrive(arrival()));
                 }
             }
             Output::Send(attempt) => {
@@ -145,13 +147,13 @@
             }
             Output::Finish { end, .. } => {
                 println!("finish: {end:?}");
-                self.whole = end == quetzalarch::Ending::Whole;
+                self.complete = end == quetzalarch::Ending::Whole;
             }
             _ => {}
         }
     }
 
-    /// Plays the engine's answer: a head, one token, the end.
+    /// Simulates the engine's answer: a head, one token, the end.
     fn answer(&mut self, attempt: quetzalarch::Attempt) {
         let steps = [
             Progress::Head {
@@ -192,7 +194,7 @@
     }
 }
 
-/// Plays the leader's answer to a heartbeat: the node owns the engine `e-1`.
+/// Simulates the leader's answer to a heartbeat: a lease on the engine `e-1`.
 fn leases(beat: &Beat) -> BeatReply {
     let target: quetzalarch::base::TargetName = "e-1".parse().expect("a name");
     let fence = Fence(7);
@@ -233,7 +235,7 @@
     }
 }
 
-fn ask() -> Arrival {
+fn arrival() -> Arrival {
     Arrival {
         ticket: Ticket(1),
         brand: "film".parse().expect("a name"),
--- a/crates/quetzalarch/src/lib.rs
+++ b/crates/quetzalarch/src/lib.rs
@@ -1,21 +1,21 @@
 //! Coordination parts of a serving layer for very many LoRA adapters, for
 //! embedding.
 //!
-//! Every part is a plain value: it takes the time and what happened, and fills
-//! a list of what is to be done. None has a clock, a socket, a thread or
-//! randomness of its own, so an embedding program brings its own transport,
-//! and a test can hold back or reorder whatever it likes.
+//! Every part is a state machine without I/O: it takes the current time and an
+//! input, and appends the actions to carry out to a list of outputs. None has a
+//! clock, a socket, a thread or a source of randomness of its own, so an embedding
+//! program brings its own transport, and a test can delay or reorder any input.
 //!
 //! | part | job |
 //! | --- | --- |
 //! | [`Node`] | one entry instance: requests, queues, leases, text in force |
 //! | [`Control`](control::Control) | one control instance: log, texts, claims, ownership |
-//! | [`text`] | the operators' text, checked |
-//! | [`replog`] | the replicated log alone |
-//! | [`owner`], [`member`] | leases on engines; who is there |
-//! | [`place`], [`route`] | what is loaded where; where a request runs, who waits |
+//! | [`text`] | the operators' configuration text: parsing and validation |
+//! | [`replog`] | the replicated log |
+//! | [`owner`], [`member`] | leases on engines; membership of instances |
+//! | [`place`], [`route`] | placement of adapters; routing and queueing of requests |
 //! | [`request`] | one request from arrival to final answer |
-//! | [`kernel`], [`wire`], [`base`] | services by name, messages, shared types |
+//! | [`kernel`], [`wire`], [`base`] | service registry, messages, shared types |
 //!
 //! `examples/embed.rs` runs a node on a transport of its own; see also
 //! `docs/embedding.md`.
