--- a/crates/lab/src/deployment.rs
+++ b/crates/lab/src/deployment.rs
@@ -1,4 +1,5 @@
-//! A small deployment: stand-ins, control and entry daemons, and the text.
+//! A small deployment: stand-ins, control and entry daemons, and their configuration
+//! text.
 
 use std::{collections::BTreeMap, fs, net::SocketAddr, path::PathBuf, time::Duration};
 
@@ -8,13 +9,14 @@
 
 use crate::{Caller, Links, Process, binary, free_port};
 
-/// Longest wait for a state of the deployment; only a failure waits so long.
-const CEILING: Duration = Duration::from_secs(60);
+/// Longest wait for a state of the deployment; ample, so that only a failure takes
+/// that long.
+const TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Pause between two looks at a state that is waited for.
-const LOOK: Duration = Duration::from_millis(50);
+/// Pause between two checks of a state that is waited for.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What to start.
+/// The size and shape of a deployment.
 #[derive(Clone, Debug)]
 pub struct Plan {
     /// Zones, by name.
@@ -27,13 +29,13 @@
     pub engines: BTreeMap<String, usize>,
     /// Zones that have engines; all when empty.
     pub engine_zones: Vec<String>,
-    /// Plain services' replicas in each zone, by pool.
+    /// Replicas of plain services in each zone, by pool.
     pub plain: BTreeMap<String, usize>,
-    /// Further flags for every engine's stand-in.
+    /// Additional flags for every engine's stand-in.
     pub engine_flags: Vec<String>,
-    /// Loads a second that the weight store allows.
+    /// Rate limit of the weight store, in loads per second.
     pub store_rate: u32,
-    /// Further flags for every daemon.
+    /// Additional flags for every daemon.
     pub daemon_flags: Vec<String>,
     /// Whether instances and targets are reached over links that can be cut.
     pub links: bool,
@@ -66,16 +68,16 @@
     pub name: String,
     /// Its zone.
     pub zone: String,
-    /// Where callers or operators connect.
+    /// The address for callers (entry instances) or operators (control instances).
     pub listen: SocketAddr,
-    /// Where other instances connect.
+    /// The address for other instances: that of its link, if links can be cut.
     pub peer: SocketAddr,
-    /// The process; none while it is down.
+    /// The process; `None` while it is stopped.
     pub process: Option<Process>,
     args: Vec<String>,
 }
 
-/// A target's stand-in.
+/// The stand-in of a target: of an engine or a plain service's replica.
 #[derive(Debug)]
 pub struct Engine {
     /// Its name in the platform's list.
@@ -84,9 +86,9 @@
     pub zone: String,
     /// Its pool.
     pub pool: String,
-    /// Where it listens.
+    /// The address on which it listens.
     pub address: SocketAddr,
-    /// Where instances reach it.
+    /// The address in the platform's list: that of its link, if links can be cut.
     pub listed: SocketAddr,
     /// The process.
     pub process: Process,
@@ -95,7 +97,7 @@
 /// A running deployment.
 #[derive(Debug)]
 pub struct Lab {
-    /// Folder of logs and data; removed at the end unless something failed.
+    /// Folder of logs and data; kept until [`Lab::clean`] is called.
     pub folder: PathBuf,
     /// Control instances.
     pub controls: Vec<Instance>,
@@ -103,35 +105,36 @@
     pub entries: Vec<Instance>,
     /// Engines.
     pub engines: Vec<Engine>,
-    /// Plain services' replicas.
+    /// Replicas of plain services.
     pub services: Vec<Engine>,
-    /// The platform's list.
+    /// Address of the platform's stand-in, which serves the list of instances and
+    /// targets.
     pub platform: SocketAddr,
-    /// The weight store.
+    /// Address of the weight store's stand-in.
     pub store: SocketAddr,
-    /// The links between instances, and to targets, if they can be cut.
+    /// The links between instances and to targets; `None` if they can't be cut.
     pub links: Option<Links>,
     serial: u64,
-    _outside: Vec<Process>,
+    _standins: Vec<Process>,
 }
 
 impl Lab {
-    /// Starts everything and waits until a control instance leads.
+    /// Starts all processes and waits until a control instance leads.
     ///
     /// # Errors
     ///
-    /// Fails when something doesn't start.
+    /// Fails when a process doesn't start or no leader is elected in time.
     pub async fn start(name: &str, plan: &Plan) -> Result<Lab> {
         let unique = format!("quetzal-{name}-{}", std::process::id());
         let folder = std::env::temp_dir().join(unique);
         fs::create_dir_all(&folder)?;
-        let mut outside = Vec::new();
+        let mut standins = Vec::new();
         let rate = plan.store_rate.to_string();
         let flags = ["store", "--rate", &rate, "--load-ms", "50"];
         let (store, process) = standin(&folder, "store", &flags).await?;
-        outside.push(process);
+        standins.push(process);
         let (platform, process) = standin(&folder, "platform", &["platform"]).await?;
-        outside.push(process);
+        standins.push(process);
         let mut lab = Lab {
             folder,
             controls: Vec::new(),
@@ -142,10 +145,10 @@
             store,
             links: plan.links.then(Links::new),
             serial: 0,
-            _outside: outside,
+            _standins: standins,
         };
         lab.start_targets(plan).await?;
-        lab.plan_daemons(plan).await?;
+        lab.add_daemons(plan).await?;
         lab.publish().await?;
         for i in 0..lab.controls.len() {
             lab.start_control(i)?;
@@ -159,8 +162,8 @@
 
     async fn start_targets(&mut self, plan: &Plan) -> Result<()> {
         for zone in &plan.zones {
-            let some = plan.engine_zones.is_empty() || plan.engine_zones.contains(zone);
-            for (pool, count) in plan.engines.iter().filter(|_| some) {
+            let has_engines = plan.engine_zones.is_empty() || plan.engine_zones.contains(zone);
+            for (pool, count) in plan.engines.iter().filter(|_| has_engines) {
                 for i in 1..=*count {
                     let name = format!("{pool}-{zone}-{i}");
                     let store = self.store.to_string();
@@ -183,7 +186,7 @@
 
     async fn target(&self, name: &str, zone: &str, pool: &str, flags: &[&str]) -> Result<Engine> {
         let (address, process) = standin(&self.folder, name, flags).await?;
-        let listed = self.reached(name, address).await?;
+        let listed = self.link(name, address).await?;
         Ok(Engine {
             name: name.to_owned(),
             zone: zone.to_owned(),
@@ -194,13 +197,13 @@
         })
     }
 
-    async fn plan_daemons(&mut self, plan: &Plan) -> Result<()> {
+    async fn add_daemons(&mut self, plan: &Plan) -> Result<()> {
         for i in 0..plan.controls {
             let zone = &plan.zones[i % plan.zones.len()];
             let control = self.instance(&format!("control-{}", i + 1), zone).await?;
             self.controls.push(control);
         }
-        let voters = self.peers_of_controls();
+        let voters = self.control_peers();
         for control in &mut self.controls {
             let data = self.folder.join(&control.name);
             control.args.extend(flag("data", &data.to_string_lossy()));
@@ -219,8 +222,9 @@
         Ok(())
     }
 
-    /// Returns where instances reach what listens at `address`.
-    async fn reached(&self, name: &str, address: SocketAddr) -> Result<SocketAddr> {
+    /// Returns the address by which instances reach the listener at `address`: that of
+    /// a new link, if links can be cut.
+    async fn link(&self, name: &str, address: SocketAddr) -> Result<SocketAddr> {
         match &self.links {
             Some(links) => links.open(name, address).await,
             None => Ok(address),
@@ -229,7 +233,7 @@
 
     async fn instance(&self, name: &str, zone: &str) -> Result<Instance> {
         let (listen, own) = (free_port()?, free_port()?);
-        let peer = self.reached(name, own).await?;
+        let peer = self.link(name, own).await?;
         let mut args = Vec::new();
         args.extend(flag("name", name));
         args.extend(flag("zone", zone));
@@ -247,13 +251,13 @@
         })
     }
 
-    fn peers_of_controls(&self) -> String {
+    fn control_peers(&self) -> String {
         let all = self.controls.iter();
         let all: Vec<_> = all.map(|c| format!("{}={}", c.name, c.peer)).collect();
         all.join(",")
     }
 
-    /// Starts control instance `i`, also again.
+    /// Starts or restarts control instance `i`.
     ///
     /// # Errors
     ///
@@ -263,7 +267,7 @@
         start("controld", &self.folder, links, &mut self.controls[i])
     }
 
-    /// Starts entry instance `i`, also again.
+    /// Starts or restarts entry instance `i`.
     ///
     /// # Errors
     ///
@@ -282,7 +286,8 @@
         self.publish_leaving(&[]).await
     }
 
-    /// Publishes the list with the targets named in `leaving` marked so.
+    /// Publishes the platform's list with the instances and targets named in `leaving`
+    /// in the state "leaving".
     ///
     /// # Errors
     ///
@@ -333,13 +338,14 @@
         Caller::new(self.entries[i].listen, key)
     }
 
-    /// Waits until some control instance knows a leader; returns its place.
+    /// Waits until some control instance names a leader; returns the leader's index in
+    /// `controls`.
     ///
     /// # Errors
     ///
     /// Fails when none is elected in time.
     pub async fn wait_leader(&self) -> Result<usize> {
-        let end = Instant::now() + CEILING;
+        let end = Instant::now() + TIMEOUT;
         while Instant::now() < end {
             for i in 0..self.controls.len() {
                 let Ok(status) = self.operator(i).get("/v1/status").await else {
@@ -350,7 +356,7 @@
                     return Ok(at);
                 }
             }
-            sleep(LOOK).await;
+            sleep(POLL_INTERVAL).await;
         }
         bail!("no control instance leads")
     }
@@ -361,7 +367,7 @@
     ///
     /// Fails when it isn't accepted in time.
     pub async fn apply(&self, change: &str, text: &str) -> Result<u64> {
-        let end = Instant::now() + CEILING;
+        let end = Instant::now() + TIMEOUT;
         let mut last = Value::Null;
         while Instant::now() < end {
             let leader = self.wait_leader().await?;
@@ -375,7 +381,7 @@
             if last["why"]["why"] == "bad-text" {
                 break;
             }
-            sleep(LOOK).await;
+            sleep(POLL_INTERVAL).await;
         }
         bail!("the text was not accepted: {last}")
     }
@@ -418,23 +424,24 @@
         until("every engine owned", owned).await
     }
 
-    /// Stops all daemons in order; true if each ended by itself and well.
+    /// Stops all daemons with SIGTERM; returns whether each exited with success.
     ///
     /// # Errors
     ///
-    /// Fails when one doesn't end.
+    /// Fails when one doesn't exit in time.
     pub async fn stop(&mut self) -> Result<bool> {
-        let mut well = true;
+        let mut ok = true;
         for instance in self.entries.iter_mut().chain(&mut self.controls) {
             if let Some(mut process) = instance.process.take() {
                 process.signal("TERM").await?;
-                well &= process.wait_exit().await?;
+                ok &= process.wait_exit().await?;
             }
         }
-        Ok(well)
+        Ok(ok)
     }
 
-    /// Removes logs and data; kept when not called, to look at.
+    /// Removes logs and data; a test that fails before this call leaves them for
+    /// inspection.
     ///
     /// # Errors
     ///
@@ -444,20 +451,20 @@
     }
 }
 
-/// Waits until `look` finds something.
+/// Waits until `check` returns a value.
 ///
 /// # Errors
 ///
-/// Fails when it doesn't in time; the message names `what`.
-pub async fn until<T>(what: &str, look: impl AsyncFn() -> Option<T>) -> Result<T> {
-    let end = Instant::now() + CEILING;
+/// Fails when it returns none in time; the message names `what`.
+pub async fn until<T>(what: &str, check: impl AsyncFn() -> Option<T>) -> Result<T> {
+    let end = Instant::now() + TIMEOUT;
     while Instant::now() < end {
-        if let Some(found) = look().await {
+        if let Some(found) = check().await {
             return Ok(found);
         }
-        sleep(LOOK).await;
+        sleep(POLL_INTERVAL).await;
     }
-    bail!("waited in vain: {what}")
+    bail!("timed out after {TIMEOUT:?} waiting for: {what}")
 }
 
 async fn standin(
@@ -481,7 +488,7 @@
     let log = folder.join(format!("{}.log", instance.name));
     let process = Process::start(&instance.name, &binary(program)?, &instance.args, &log)?;
     if let (Some(links), Some(id)) = (links, process.id()) {
-        links.note(id, &instance.name);
+        links.register(id, &instance.name);
     }
     instance.process = Some(process);
     Ok(())
--- a/crates/lab/src/http.rs
+++ b/crates/lab/src/http.rs
@@ -1,4 +1,4 @@
-//! A caller's side: requests, streams and what came of them.
+//! An HTTP client for tests: sends requests and collects complete or partial answers.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -14,39 +14,39 @@
 };
 use wire::header;
 
-/// Longest wait for anything; only a failure waits this long.
-const CEILING: Duration = Duration::from_secs(60);
+/// Longest wait for an answer; ample, so that only a failure takes that long.
+const TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Largest answer that is read.
+/// Largest response body that is read.
 const BODY_MAX: usize = 64 << 20;
 
-/// Somebody who calls an HTTP listener.
+/// A client of one HTTP listener.
 #[derive(Clone, Debug)]
 pub struct Caller {
     client: Client,
-    /// The listener.
+    /// Address of the listener.
     pub address: SocketAddr,
-    /// The bearer key.
+    /// The key sent as a bearer token.
     pub key: String,
 }
 
-/// One chat completion to ask for.
+/// A request for a chat completion.
 #[derive(Clone, Debug)]
 pub struct Chat {
-    /// The assistant.
+    /// Name of the assistant, sent as the model.
     pub model: String,
     /// The user's message.
     pub prompt: String,
-    /// Most tokens of the answer.
+    /// Maximum number of tokens in the answer.
     pub tokens: u32,
     /// Whether to stream.
     pub stream: bool,
-    /// Further headers.
+    /// Additional headers.
     pub headers: Vec<(&'static str, String)>,
 }
 
 impl Chat {
-    /// Makes a streamed completion of 16 tokens.
+    /// Returns a request for a streamed completion of 16 tokens.
     #[must_use]
     pub fn stream(model: &str, prompt: &str) -> Self {
         Chat {
@@ -59,16 +59,16 @@
     }
 }
 
-/// What came back.
+/// An answer, possibly broken off.
 #[derive(Clone, Debug)]
 pub struct Reply {
     /// HTTP status.
     pub status: u16,
     /// Headers.
     pub headers: HeaderMap,
-    /// The body as far as it came.
+    /// The body as far as it was received.
     pub body: Bytes,
-    /// Whether it ended properly.
+    /// Whether the body is complete.
     pub complete: bool,
 }
 
@@ -83,18 +83,18 @@
     ///
     /// # Errors
     ///
-    /// Fails when it is none.
+    /// Fails when it is not valid JSON.
     pub fn json(&self) -> Result<Value> {
-        serde_json::from_slice(&self.body).context("the body is no JSON")
+        serde_json::from_slice(&self.body).context("the body is not JSON")
     }
 
-    /// Returns the verdict that a failure names.
+    /// Returns the verdict in the header, which a failed request has.
     #[must_use]
     pub fn verdict(&self) -> Option<Verdict> {
         self.header(header::VERDICT)?.parse().ok()
     }
 
-    /// Returns the text of the answer, streamed or whole.
+    /// Returns the text of a streamed or plain chat completion.
     #[must_use]
     pub fn text(&self) -> String {
         if let Ok(json) = self.json() {
@@ -102,14 +102,14 @@
             return content.as_str().unwrap_or_default().to_owned();
         }
         let mut events = Vec::new();
-        // What came before a malformed event still counts.
+        // The events before a malformed one still count.
         Parser::default().push(&self.body, &mut events).ok();
         events.iter().filter_map(web::sse::Event::token).collect()
     }
 }
 
 impl Caller {
-    /// Makes a caller of `address` with a bearer key.
+    /// Creates a client of `address` with a bearer key.
     #[must_use]
     pub fn new(address: SocketAddr, key: &str) -> Self {
         let client = Client::default();
@@ -121,11 +121,12 @@
         }
     }
 
-    /// Asks for a chat completion and reads all of the answer.
+    /// Requests a chat completion and reads the answer to its end.
     ///
     /// # Errors
     ///
-    /// Fails when no answer comes at all.
+    /// Fails when no response head is received; a body that breaks off gives a reply
+    /// that is not complete.
     pub async fn chat(&self, chat: &Chat) -> Result<Reply> {
         let body = json!({
             "model": chat.model,
@@ -138,11 +139,12 @@
         self.send(Method::POST, path, body, &chat.headers).await
     }
 
-    /// Calls `path` with a body and reads all of the answer.
+    /// Sends a request with a body and reads the answer to its end.
     ///
     /// # Errors
     ///
-    /// Fails when no answer comes at all.
+    /// Fails when no response head is received; a body that breaks off gives a reply
+    /// that is not complete.
     pub async fn send(
         &self,
         method: Method,
@@ -154,9 +156,9 @@
         send.body = body;
         send.mark = Mark::Once;
         send.limits = Limits {
-            first: CEILING,
-            idle: CEILING,
-            whole: CEILING * 2,
+            first: TIMEOUT,
+            idle: TIMEOUT,
+            whole: TIMEOUT * 2,
             ..Limits::default()
         };
         let bearer = header_value(&format!("Bearer {}", self.key));
@@ -192,7 +194,7 @@
     ///
     /// # Errors
     ///
-    /// Fails when there is no such answer.
+    /// Fails when the status is not 200 or the body is not JSON.
     pub async fn get(&self, path: &str) -> Result<Value> {
         let reply = self.send(Method::GET, path, Bytes::new(), &[]).await?;
         anyhow::ensure!(reply.status == 200, "{path} answered {}", reply.status);
@@ -203,7 +205,7 @@
     ///
     /// # Errors
     ///
-    /// Fails when no JSON comes back.
+    /// Fails when no answer comes or its body is not JSON.
     pub async fn post(&self, path: &str, body: &Value) -> Result<Value> {
         let body = Bytes::from(body.to_string());
         self.send(Method::POST, path, body, &[]).await?.json()
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -1,8 +1,8 @@
-//! Starts the daemons and the stand-ins as processes on the loopback
-//! interface: for the demo, the load tool and process-level tests.
+//! Starts the daemons, and stand-ins for the outside systems, as processes on the
+//! loopback interface: for the demo, the load tool and process-level tests.
 //!
-//! Not part of the product. [`Lab`] holds a whole small deployment; dropping
-//! it ends every process that it started.
+//! Not part of the product. A [`Lab`] is a small but complete deployment; dropping
+//! it kills every process that it started.
 
 mod deployment;
 mod http;
--- a/crates/lab/src/links.rs
+++ b/crates/lab/src/links.rs
@@ -1,5 +1,7 @@
-//! Links between instances that can be cut: each instance and target is
-//! reached through a forwarder, which knows from whom a connection comes.
+//! Links between instances that can be cut, to simulate network partitions.
+//!
+//! Each instance and target is reached through a TCP forwarder. The forwarder finds
+//! out which instance opened a connection, from the tables in `/proc`.
 
 use std::{
     collections::{BTreeMap, BTreeSet, HashMap},
@@ -19,41 +21,41 @@
     time::Instant,
 };
 
-/// Bytes read at once.
-const CHUNK: usize = 16 << 10;
+/// Size of the buffer for forwarded bytes.
+const BUFFER_SIZE: usize = 16 << 10;
 
-/// Names of two that can't reach each other, the lesser first.
+/// The names of the two ends of a link, in alphabetical order.
 type Pair = (String, String);
 
-/// The calling and the called end of a connection, as the system's table of
-/// connections has them.
-type Ends = (String, String);
+/// The local and the remote address of the calling end of a connection, as
+/// `/proc/net/tcp` shows them.
+type Addresses = (String, String);
 
 /// All links of a deployment; clones share them.
 ///
-/// What is sent over a cut link stays on its way and arrives once the link is
-/// mended, on connections of before and during the cut alike.
+/// Bytes sent over a cut link are held back and delivered once the link is restored,
+/// on connections opened before and during the cut alike.
 #[derive(Clone, Debug)]
 pub struct Links {
     cut: Arc<watch::Sender<BTreeSet<Pair>>>,
-    /// Instances by process; this process has no name.
+    /// Names of instances by process id; this process has the empty name.
     names: Arc<Mutex<BTreeMap<u32, String>>>,
-    seen: Arc<tokio::sync::Mutex<Seen>>,
+    scan: Arc<tokio::sync::Mutex<Scan>>,
 }
 
-/// Who had opened which connection at some time.
+/// The callers of all connections at the time of the last scan of `/proc`.
 #[derive(Debug, Default)]
-struct Seen {
+struct Scan {
     at: Option<Instant>,
-    callers: HashMap<Ends, String>,
+    callers: HashMap<Addresses, String>,
 }
 
 /// One connection through a forwarder.
-struct Passing {
+struct Connection {
     links: Links,
-    ends: Option<Ends>,
+    addresses: Option<Addresses>,
     target: String,
-    /// Looked up once some link is cut; none if nobody known opened it.
+    /// Looked up when the first link is cut; `None` inside if the caller is unknown.
     pair: OnceCell<Option<Pair>>,
 }
 
@@ -63,12 +65,12 @@
         Links {
             cut: Arc::default(),
             names: Arc::new(Mutex::new(own)),
-            seen: Arc::default(),
+            scan: Arc::default(),
         }
     }
 
-    /// Opens a forwarder to `target`, which belongs to `name`, and returns
-    /// where it listens.
+    /// Opens a forwarder to the address `target` of the instance or target `name`, and
+    /// returns the forwarder's address.
     ///
     /// # Errors
     ///
@@ -79,25 +81,25 @@
         let (links, name) = (self.clone(), name.to_owned());
         tokio::spawn(async move {
             while let Ok((near, from)) = listener.accept().await {
-                let passing = Passing {
+                let connection = Connection {
                     links: links.clone(),
-                    ends: shown(from).zip(shown(address)),
+                    addresses: proc_address(from).zip(proc_address(address)),
                     target: name.clone(),
                     pair: OnceCell::new(),
                 };
-                // Either end may break off at any time.
-                tokio::spawn(async move { passing.run(near, target).await.ok() });
+                // Either end may close the connection at any time.
+                tokio::spawn(async move { connection.run(near, target).await.ok() });
             }
         });
         Ok(address)
     }
 
-    /// Notes which process an instance is.
-    pub(crate) fn note(&self, process: u32, name: &str) {
+    /// Registers the process of an instance.
+    pub(crate) fn register(&self, process: u32, name: &str) {
         self.names().insert(process, name.to_owned());
     }
 
-    /// Cuts each of `some` from each of `others`.
+    /// Cuts the links between each of `some` and each of `others`.
     pub fn cut(&self, some: &[String], others: &[String]) {
         self.cut.send_modify(|cut| {
             for one in some {
@@ -106,7 +108,7 @@
         });
     }
 
-    /// Mends all links.
+    /// Restores all links.
     pub fn restore(&self) {
         self.cut.send_modify(BTreeSet::clear);
     }
@@ -115,44 +117,45 @@
         self.names.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Returns the instance that opened a connection, empty for this process.
+    /// Returns the name of the instance that opened a connection, empty for this
+    /// process.
     ///
-    /// All who ask meanwhile share one look: it takes tens of milliseconds,
-    /// and a link that is made anew is given up after 250.
-    async fn caller(&self, ends: &Ends) -> Option<String> {
+    /// Concurrent calls share one scan: it takes tens of milliseconds, and instances
+    /// give up a new connection after 250 ms.
+    async fn caller(&self, addresses: &Addresses) -> Option<String> {
         let asked = Instant::now();
-        let mut seen = self.seen.lock().await;
-        if seen.at.is_none_or(|at| at < asked) {
+        let mut scan = self.scan.lock().await;
+        if scan.at.is_none_or(|at| at < asked) {
             let (at, names) = (Some(Instant::now()), self.names().clone());
-            let look = tokio::task::spawn_blocking(move || callers(&names));
-            let callers = look.await.unwrap_or_default();
-            *seen = Seen { at, callers };
+            let scanning = tokio::task::spawn_blocking(move || scan_callers(&names));
+            let callers = scanning.await.unwrap_or_default();
+            *scan = Scan { at, callers };
         }
-        seen.callers.get(ends).cloned()
+        scan.callers.get(addresses).cloned()
     }
 }
 
-impl Passing {
+impl Connection {
     async fn run(&self, near: TcpStream, target: SocketAddr) -> Result<()> {
-        self.mended().await?;
+        self.wait_restored().await?;
         let far = TcpStream::connect(target).await?;
         near.set_nodelay(true)?;
         far.set_nodelay(true)?;
         let (near_read, near_write) = near.into_split();
         let (far_read, far_write) = far.into_split();
         tokio::try_join!(
-            self.pump(near_read, far_write),
-            self.pump(far_read, near_write),
+            self.forward(near_read, far_write),
+            self.forward(far_read, near_write),
         )?;
         Ok(())
     }
 
-    async fn pump(&self, mut from: OwnedReadHalf, mut to: OwnedWriteHalf) -> Result<()> {
-        let mut chunk = vec![0; CHUNK];
+    async fn forward(&self, mut from: OwnedReadHalf, mut to: OwnedWriteHalf) -> Result<()> {
+        let mut chunk = vec![0; BUFFER_SIZE];
         loop {
             let n = from.read(&mut chunk).await;
-            // An end, too, is felt only over a link that is whole.
-            self.mended().await?;
+            // The end of the stream, too, is passed on only while the link isn't cut.
+            self.wait_restored().await?;
             match n? {
                 0 => return Ok(to.shutdown().await?),
                 n => to.write_all(&chunk[..n]).await?,
@@ -160,21 +163,23 @@
         }
     }
 
-    /// Waits until the link is whole.
-    async fn mended(&self) -> Result<()> {
+    /// Waits until the link is not cut.
+    async fn wait_restored(&self) -> Result<()> {
         let mut cut = self.links.cut.subscribe();
         if cut.borrow_and_update().is_empty() {
             return Ok(());
         }
-        let pair = self.pair.get_or_init(|| self.look()).await;
-        // Whoever opened it has gone again, or it would be found.
-        let pair = pair.as_ref().context("nobody known opened it")?;
+        let pair = self.pair.get_or_init(|| self.find_pair()).await;
+        // The caller has closed the connection already, or it would be found.
+        let pair = pair
+            .as_ref()
+            .context("the connection was opened by an unknown process")?;
         cut.wait_for(|cut| !cut.contains(pair)).await?;
         Ok(())
     }
 
-    async fn look(&self) -> Option<Pair> {
-        let caller = self.links.caller(self.ends.as_ref()?).await?;
+    async fn find_pair(&self) -> Option<Pair> {
+        let caller = self.links.caller(self.addresses.as_ref()?).await?;
         Some(pair(caller, self.target.clone()))
     }
 }
@@ -187,8 +192,8 @@
     }
 }
 
-/// Returns who of the named holds the calling end of each connection.
-fn callers(names: &BTreeMap<u32, String>) -> HashMap<Ends, String> {
+/// Returns the name of the process that holds the calling end of each connection.
+fn scan_callers(names: &BTreeMap<u32, String>) -> HashMap<Addresses, String> {
     let mut sockets = HashMap::new();
     for (process, name) in names {
         let files = fs::read_dir(format!("/proc/{process}/fd"));
@@ -201,15 +206,15 @@
     let table = fs::read_to_string("/proc/net/tcp").unwrap_or_default();
     let known = table.lines().filter_map(|line| {
         let mut words = line.split_whitespace().skip(1);
-        let ends = (words.next()?.to_owned(), words.next()?.to_owned());
+        let addresses = (words.next()?.to_owned(), words.next()?.to_owned());
         let socket = format!("socket:[{}]", words.nth(6)?);
-        Some((ends, (*sockets.get(&socket)?).clone()))
+        Some((addresses, (*sockets.get(&socket)?).clone()))
     });
     known.collect()
 }
 
-/// Returns an address as the system's table of connections has it.
-fn shown(address: SocketAddr) -> Option<String> {
+/// Returns an address in the form of `/proc/net/tcp`; `None` for IPv6.
+fn proc_address(address: SocketAddr) -> Option<String> {
     let SocketAddr::V4(address) = address else {
         return None;
     };
--- a/crates/lab/src/process.rs
+++ b/crates/lab/src/process.rs
@@ -1,4 +1,4 @@
-//! One process, its signals and its end.
+//! Child processes: start, signals and exit.
 
 use std::{
     env,
@@ -16,19 +16,19 @@
     time::timeout,
 };
 
-/// First port that daemons are given, and how many there are; above them the
-/// system's own range begins.
-const FIRST_PORT: u32 = 10_000;
-const PORTS: u32 = 22_000;
+/// First port for daemons, and the number of ports; the range ends below 32768,
+/// where Linux's range of ephemeral ports begins by default.
+const PORT_MIN: u32 = 10_000;
+const PORT_COUNT: u32 = 22_000;
 
-/// Longest wait for a process to say its address or to end.
-const CEILING: Duration = Duration::from_secs(60);
+/// Longest wait for a process to print its address; waits for its exit are three times as long.
+const TIMEOUT: Duration = Duration::from_secs(60);
 
-/// A process that was started here; killed when dropped.
+/// A child process; killed when dropped.
 #[derive(Debug)]
 pub struct Process {
     child: Child,
-    /// What it was started as.
+    /// The name that it was given at its start.
     pub name: String,
 }
 
@@ -57,18 +57,23 @@
     ///
     /// # Errors
     ///
-    /// Fails when it prints none in time.
+    /// Fails when it prints none in time, exits before, or was asked before.
     pub async fn address(&mut self) -> Result<SocketAddr> {
-        let out = self.child.stdout.take().context("the output was taken")?;
+        let out = self
+            .child
+            .stdout
+            .take()
+            .context("the address was read before")?;
         let mut lines = BufReader::new(out).lines();
-        let line = timeout(CEILING, lines.next_line()).await??;
-        let line = line.with_context(|| format!("{} ended without an address", self.name))?;
-        // The rest of its output is not needed, but must not fill the pipe.
+        let line = timeout(TIMEOUT, lines.next_line()).await??;
+        let line =
+            line.with_context(|| format!("{} exited without printing its address", self.name))?;
+        // The rest of its output is read and dropped, so that the pipe doesn't fill.
         tokio::spawn(async move { while let Ok(Some(_)) = lines.next_line().await {} });
         Ok(line.trim().parse()?)
     }
 
-    /// Returns the system's number of the process; none once it has ended.
+    /// Returns the process id; `None` once the process has exited.
     pub(crate) fn id(&self) -> Option<u32> {
         self.child.id()
     }
@@ -77,9 +82,9 @@
     ///
     /// # Errors
     ///
-    /// Fails when the process is gone.
+    /// Fails when the process has exited.
     pub async fn signal(&self, signal: &str) -> Result<()> {
-        let pid = self.child.id().context("the process has ended")?;
+        let pid = self.child.id().context("the process has exited")?;
         let sent = Command::new("kill")
             .arg(format!("-{signal}"))
             .arg(pid.to_string())
@@ -91,7 +96,7 @@
         Ok(())
     }
 
-    /// Ends the process at once.
+    /// Kills the process with SIGKILL.
     ///
     /// # Errors
     ///
@@ -100,29 +105,33 @@
         Ok(self.child.kill().await?)
     }
 
-    /// Waits for the process to end by itself; returns whether it did so in
-    /// order.
+    /// Waits for the process to exit by itself; returns whether it exited with
+    /// success.
     ///
     /// # Errors
     ///
-    /// Fails when it doesn't end in time.
+    /// Fails when it doesn't exit in time.
     pub async fn wait_exit(&mut self) -> Result<bool> {
-        let status = timeout(CEILING * 3, self.child.wait()).await;
-        let status = status.with_context(|| format!("{} doesn't end", self.name))??;
+        let status = timeout(TIMEOUT * 3, self.child.wait()).await;
+        let status = status.with_context(|| format!("{} doesn't exit in time", self.name))??;
         Ok(status.success())
     }
 }
 
-/// Returns the path of a binary of this workspace, built before.
+/// Returns the path of a binary of this workspace, which must have been built.
 ///
 /// # Errors
 ///
-/// Fails when it isn't there.
+/// Fails when it isn't built.
 pub fn binary(name: &str) -> Result<PathBuf> {
     let exe = env::current_exe()?;
-    let mut dir = exe.parent().context("no folder")?;
+    let mut dir = exe
+        .parent()
+        .context("the executable has no parent folder")?;
     if dir.ends_with("deps") || dir.ends_with("examples") {
-        dir = dir.parent().context("no folder")?;
+        dir = dir
+            .parent()
+            .context("the executable has no parent folder")?;
     }
     let path = dir.join(name);
     if !path.exists() {
@@ -133,23 +142,22 @@
 
 /// Returns a loopback address that nobody listens on now.
 ///
-/// Ports below the range that the system gives to outgoing connections are
-/// tried one after the other: a port from that range may be taken by some
-/// connection before the daemon that it is meant for listens on it.
+/// Only ports below the ephemeral range are tried: the system could give a port of
+/// that range to an outgoing connection before the daemon listens on it.
 ///
 /// # Errors
 ///
-/// Fails when no port is left.
+/// Fails when no port is free.
 pub fn free_port() -> Result<SocketAddr> {
     static NEXT: AtomicU32 = AtomicU32::new(0);
-    for _ in 0..PORTS {
+    for _ in 0..PORT_COUNT {
         let start = std::process::id() * 97;
-        let nth = start.wrapping_add(NEXT.fetch_add(1, Ordering::Relaxed)) % PORTS;
-        let port = u16::try_from(FIRST_PORT + nth)?;
+        let nth = start.wrapping_add(NEXT.fetch_add(1, Ordering::Relaxed)) % PORT_COUNT;
+        let port = u16::try_from(PORT_MIN + nth)?;
         let address = SocketAddr::from(([127, 0, 0, 1], port));
         if TcpListener::bind(address).is_ok() {
             return Ok(address);
         }
     }
-    bail!("no port is left")
+    bail!("no port of the range is free")
 }
