--- a/crates/lab/tests/processes/common.rs
+++ b/crates/lab/tests/processes/common.rs
@@ -9,7 +9,7 @@
 use tokio_util::sync::CancellationToken;
 use web::{StatusCode, body, reply, server};
 
-/// The text of all process-level tests.
+/// The configuration text of the process-level tests.
 pub(crate) const TEXT: &str = include_str!("text.toml");
 
 /// Key of the brand `kazaliste`, whose assistant is `drafting`.
@@ -26,12 +26,12 @@
     }
 }
 
-/// Starts a deployment and waits until it answers for both brands everywhere.
+/// Starts a deployment and waits until each entry instance answers for both brands.
 pub(crate) async fn start(name: &str, plan: &Plan) -> Result<Lab> {
     start_with(name, plan, TEXT).await
 }
 
-/// Starts a deployment under another text of the same brands.
+/// Does the same with another configuration text of the same brands.
 pub(crate) async fn start_with(name: &str, plan: &Plan, text: &str) -> Result<Lab> {
     let lab = Lab::start(name, plan).await?;
     let version = lab.apply("first", text).await?;
@@ -43,7 +43,7 @@
     Ok(lab)
 }
 
-/// Asks until an engine answers.
+/// Sends requests until one gets a complete answer.
 pub(crate) async fn answered(caller: &Caller, model: &str) -> Result<Reply> {
     let ask = async || {
         let reply = caller.chat(&Chat::stream(model, "hello")).await.ok()?;
@@ -58,7 +58,7 @@
     standin::engine::tokens(resident, &prompt, tokens)
 }
 
-/// Starts a fake of an OTLP collector, which hands each body to `keep`.
+/// Starts a fake OTLP collector that passes each body to `keep`.
 pub(crate) async fn collector(keep: impl Fn(&Value) + Send + Sync + 'static) -> Result<SocketAddr> {
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let address = listener.local_addr()?;
--- a/crates/lab/tests/processes/cut.rs
+++ b/crates/lab/tests/processes/cut.rs
@@ -1,4 +1,4 @@
-//! Instances that are cut off by their links, and don't stand still.
+//! Network partitions: instances that are cut off from others and go on running.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -17,41 +17,42 @@
 
 use crate::common::{FILM, KAZALISTE, TEXT, answered, expected, start, start_with};
 
-/// How long a cut lasts: three leases, which end by then on either side.
-const CUT: Duration = Duration::from_secs(10);
+/// How long a partition lasts: three times a lease, so that leases granted before it
+/// have expired on both sides.
+const PARTITION: Duration = Duration::from_secs(10);
 
 fn links(lab: &Lab) -> Result<&Links> {
     lab.links.as_ref().context("no links")
 }
 
-/// A name and its zone.
-type Placed<'a> = (&'a String, &'a String);
+/// The name and the zone of an instance or target.
+type NameAndZone<'a> = (&'a String, &'a String);
 
-fn instances(lab: &Lab) -> impl Iterator<Item = Placed<'_>> {
+fn instances(lab: &Lab) -> impl Iterator<Item = NameAndZone<'_>> {
     let all = lab.controls.iter().chain(&lab.entries);
     all.map(|instance| (&instance.name, &instance.zone))
 }
 
-fn targets(lab: &Lab) -> impl Iterator<Item = Placed<'_>> {
+fn targets(lab: &Lab) -> impl Iterator<Item = NameAndZone<'_>> {
     let all = lab.engines.iter().chain(&lab.services);
     all.map(|target| (&target.name, &target.zone))
 }
 
-/// Cuts those of `all` that are `inside` off from the rest of them.
+/// Cuts the links between those of `all` that are `inside` and the others.
 fn cut_off<'a>(
     lab: &Lab,
-    all: impl Iterator<Item = Placed<'a>>,
-    inside: impl Fn(Placed<'a>) -> bool,
+    all: impl Iterator<Item = NameAndZone<'a>>,
+    inside: impl Fn(NameAndZone<'a>) -> bool,
 ) -> Result<()> {
     let (some, others): (Vec<_>, Vec<_>) = all.partition(|placed| inside(*placed));
-    let named = |all: Vec<Placed<'a>>| -> Vec<String> {
+    let named = |all: Vec<NameAndZone<'a>>| -> Vec<String> {
         all.into_iter().map(|(name, _)| name.clone()).collect()
     };
     links(lab)?.cut(&named(some), &named(others));
     Ok(())
 }
 
-/// Hands in an application, which may run once only.
+/// Submits an application: a marked request, which may run only once.
 async fn apply(caller: &Caller, key: &str) -> Result<Reply> {
     let headers = [(header::IDEMPOTENCY_KEY, key.to_owned())];
     let path = "/kazaliste/submissions/apply";
@@ -59,16 +60,16 @@
     caller.send(Method::POST, path, body, &headers).await
 }
 
-/// Waits until an application is taken.
-async fn taken(caller: &Caller, key: &str) -> Result<Reply> {
+/// Submits an application until it is answered with 200.
+async fn submitted(caller: &Caller, key: &str) -> Result<Reply> {
     let done = async || {
         let reply = apply(caller, key).await.ok()?;
         (reply.status == 200).then_some(reply)
     };
-    until(&format!("{key} is taken"), done).await
+    until(&format!("{key} is accepted"), done).await
 }
 
-/// Returns how often the services ran the application with this key.
+/// Returns how often all services together ran the application with this key.
 async fn executions(lab: &Lab, key: &str) -> Result<u64> {
     let mut count = 0;
     for service in &lab.services {
@@ -84,7 +85,7 @@
     lab.operator(at).post("/v1/apply", &body).await
 }
 
-/// Sends a change until control instance `at` has it accepted.
+/// Sends a change to control instance `at` until it is accepted; returns its version.
 async fn accepted(lab: &Lab, at: usize, id: &str, text: &str) -> Result<u64> {
     let accepted = async || {
         let applied = change(lab, at, id, text).await.ok()?;
@@ -94,26 +95,26 @@
     until("the others accept a change", accepted).await
 }
 
-/// Returns the version that control instance `at` says is accepted.
+/// Returns the accepted version that control instance `at` reports.
 async fn version(lab: &Lab, at: usize) -> Option<u64> {
     let status = lab.operator(at).get("/v1/status").await.ok()?;
     status["version"].as_u64()
 }
 
-/// Waits until all instances are under a version.
+/// Waits until all instances have a version.
 async fn everywhere(lab: &Lab, accepted: u64) -> Result<()> {
     for i in 0..lab.controls.len() {
         let same = async || (version(lab, i).await? == accepted).then_some(());
-        until("all have the change that was accepted", same).await?;
+        until("all have the accepted change", same).await?;
     }
     lab.wait_ready(accepted).await
 }
 
-/// A user sees: a change that was accepted is undone, or an application handed
-/// in twice. The leader and the owner of an engine are cut off from all others by
-/// their links and go on running, so the leader believes that it is in charge:
-/// it may accept nothing, and grant no claim to the one who reaches it. What
-/// the others accept meanwhile holds everywhere once the links are mended.
+/// Guards against accepted changes that are undone, and applications that run twice.
+/// The leader and the owner of an engine are partitioned from all others and go on
+/// running, so the leader still believes that it leads: it must accept no change, and
+/// grant no claim to the instance that reaches it. What the others accept meanwhile
+/// is in force at all instances once the links are restored.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_leader_that_is_cut_off_accepts_nothing() -> Result<()> {
     let plan = Plan {
@@ -137,18 +138,18 @@
     let (here, there) = (lab.caller(at, KAZALISTE), lab.caller(1 - at, KAZALISTE));
     let first = TEXT.replace("weight = 1", "weight = 3");
     let second = TEXT.replace("weight = 1", "weight = 2");
-    // As soon as the links are cut: it leads by its own lights, for a while.
+    // Directly after the cut the old leader still believes that it leads.
     let refused = apply(&here, "k-1").await?;
     assert_that!(refused.status, not(eq(200)), "{refused:?}");
     let isolated = change(&lab, old, "isolated", &first).await?;
     assert_that!(isolated["outcome"], not(eq(&json!("accepted"))));
     let accepted = accepted(&lab, other, "second", &second).await?;
-    taken(&there, "k-1").await?;
+    submitted(&there, "k-1").await?;
     let resigned = async || {
         let status = lab.operator(old).get("/v1/status").await.ok()?;
         status["leader"].is_null().then_some(())
     };
-    until("the one that is cut off doesn't lead", resigned).await?;
+    until("the leader that is cut off resigns", resigned).await?;
     let isolated = change(&lab, old, "isolated", &first).await?;
     assert_that!(isolated["outcome"], not(eq(&json!("accepted"))));
     assert_that!(apply(&here, "k-2").await?.status, not(eq(200)));
@@ -158,8 +159,8 @@
     everywhere(&lab, accepted).await?;
     let isolated = change(&lab, old, "isolated", &first).await?;
     assert_that!(isolated["outcome"], not(eq(&json!("accepted"))));
-    taken(&here, "k-1").await?;
-    taken(&here, "k-2").await?;
+    submitted(&here, "k-1").await?;
+    submitted(&here, "k-2").await?;
     for key in ["k-1", "k-2"] {
         assert_that!(executions(&lab, key).await?, eq(1), "{key}");
     }
@@ -168,7 +169,7 @@
     lab.clean()
 }
 
-/// Returns who owns each engine, as control instance `at` knows.
+/// Returns the owner of each engine, as control instance `at` reports it.
 async fn owners(lab: &Lab, at: usize) -> Result<BTreeMap<String, Value>> {
     let status = lab.operator(at).get("/v1/status").await?;
     let engines = status["engines"].as_array().into_iter().flatten();
@@ -179,9 +180,9 @@
     Ok(engines.map(owner).collect())
 }
 
-/// Asks each entry instance of a zone once for each brand; every answer is
-/// whole, and of the right adapter.
-async fn asked(lab: &Lab, zone: &str, prompt: &str) -> Result<()> {
+/// Sends a request of each brand to each entry instance of a zone; every answer must
+/// be complete, and of the right adapter.
+async fn ask_all(lab: &Lab, zone: &str, prompt: &str) -> Result<()> {
     let brands = [
         (KAZALISTE, "drafting", "kazaliste-live@1"),
         (FILM, "letters", "film-live@3"),
@@ -200,9 +201,9 @@
     Ok(())
 }
 
-/// Restarts the engine of a zone empty and asks all zones until `end`; it has
-/// to run some of the requests again.
-async fn restarts_empty(lab: &Lab, zone: &str, end: Instant) -> Result<()> {
+/// Restarts the engine of a zone without any adapter and sends requests in all zones
+/// until `end`; the engine has to run some of them.
+async fn restart_engine_empty(lab: &Lab, zone: &str, end: Instant) -> Result<()> {
     let engine = lab.engines.iter().find(|engine| engine.zone == zone);
     let engine = Caller::new(engine.context("no engine")?.address, "");
     let body = Bytes::from_static(b"{}");
@@ -215,7 +216,7 @@
     while Instant::now() < end || turn < 2 {
         turn += 1;
         for zone in &zones {
-            asked(lab, zone, &format!("turn {turn}")).await?;
+            ask_all(lab, zone, &format!("turn {turn}")).await?;
         }
     }
     let after = engine.get("/admin/stats").await?["started"].as_u64();
@@ -223,7 +224,7 @@
     Ok(())
 }
 
-/// Checks that no engine has lost an adapter that a request was using.
+/// Checks that no engine was made to unload an adapter that a request was using.
 async fn none_unloaded(lab: &Lab) -> Result<()> {
     for engine in &lab.engines {
         let stats = Caller::new(engine.address, "").get("/admin/stats").await?;
@@ -232,14 +233,14 @@
     Ok(())
 }
 
-/// A user sees: no answer at all while their availability zone is cut off, or
-/// an application handed in twice, or a letter cut off when the zone comes
-/// back. The leader's zone is cut off from the others with all that is in it.
-/// It goes on with its own engine, also after that restarted empty, and takes
-/// no marked request; the others go on with changes. The engine has a slot for
-/// one of two adapters and obeys everybody, so its owner can answer both only
-/// as long as it is in charge by its zone's word. Once the links are mended,
-/// all agree, and nobody has lost an engine.
+/// Guards against an availability zone that serves nothing while it is cut off, and
+/// against applications that run twice or answers cut off when it comes back. The
+/// leader's zone is cut off from the others with all its instances and targets. It
+/// goes on serving with its own engine, also after that restarted empty, and refuses
+/// marked requests; the others go on accepting changes. The engine has a slot for only
+/// one of two adapters and doesn't check fences, so its owner can serve both only as
+/// long as the instances of its zone confirm its lease. Once the links are restored,
+/// all instances agree, and every engine has the same owner as before.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_zone_that_is_cut_off_serves_by_itself() -> Result<()> {
     let plan = Plan {
@@ -266,28 +267,28 @@
     );
     let all = instances(&lab).chain(targets(&lab));
     cut_off(&lab, all, |(_, of)| *of == zone)?;
-    let end = Instant::now() + CUT;
-    // As soon as the links are cut: the zone's leader leads by its own lights.
+    let end = Instant::now() + PARTITION;
+    // Directly after the cut the zone's leader still believes that it leads.
     let early = apply(&here, "k-1").await?;
     assert_that!(early.status, not(eq(200)), "{early:?}");
     let text = one.replace("weight = 1", "weight = 2");
     let version = accepted(&lab, other, "second", &text).await?;
-    taken(&there, "k-1").await?;
+    submitted(&there, "k-1").await?;
     let refused = async || {
         let reply = apply(&here, "k-2").await.ok()?;
         (reply.header(header::REASON) == Some("no-quorum")).then_some(reply)
     };
-    let refused = until("the zone takes no application", refused).await?;
+    let refused = until("the zone refuses applications", refused).await?;
     assert_that!(refused.verdict(), some(eq(Verdict::NotRun)));
-    restarts_empty(&lab, &zone, end).await?;
+    restart_engine_empty(&lab, &zone, end).await?;
     assert_that!(executions(&lab, "k-2").await?, eq(0));
     links(&lab)?.restore();
     everywhere(&lab, version).await?;
     for key in ["k-1", "k-2"] {
-        taken(&here, key).await?;
+        submitted(&here, key).await?;
         assert_that!(executions(&lab, key).await?, eq(1), "{key}");
     }
-    asked(&lab, &zone, "mended").await?;
+    ask_all(&lab, &zone, "mended").await?;
     assert_that!(owners(&lab, other).await?, eq(&before));
     none_unloaded(&lab).await?;
     assert_that!(lab.stop().await?, eq(true));
--- a/crates/lab/tests/processes/faults.rs
+++ b/crates/lab/tests/processes/faults.rs
@@ -1,5 +1,5 @@
-//! Engines, instances and connections that fail: whole answers, by the right
-//! adapter, or an honest error.
+//! Engines, instances and connections that fail: callers get complete answers of the
+//! right adapter, or an error that states what happened.
 
 use std::time::Duration;
 
@@ -32,8 +32,8 @@
     engine.get("/admin/stats").await
 }
 
-/// Loads the adapter of `drafting` on both engines by asking until each has
-/// run it.
+/// Loads the adapter of `drafting` on both engines: sends requests until each engine
+/// has run some.
 async fn on_both(lab: &Lab, caller: &Caller) -> Result<()> {
     let both = async || {
         let asks = (0..8).map(|i| {
@@ -54,9 +54,9 @@
     until("both engines run it", both).await
 }
 
-/// A user sees: a letter that stops amid a sentence, or goes on with a word
-/// twice. The engine dies, or its connection is cut, in the middle of the
-/// stream; the caller must get every token exactly once, or a clear error.
+/// Guards against streams that break off or repeat tokens. The engine is killed, or its
+/// connection is cut, in the middle of the stream, or it answers with another adapter;
+/// the caller must get every token of the right adapter exactly once.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stream_survives_its_engine() -> Result<()> {
     let mut lab = start("stream", &slow_engines(20)).await?;
@@ -110,9 +110,9 @@
     Ok(())
 }
 
-/// A user sees: a letter that stops amid a sentence and never goes on. The
-/// engine hangs without closing anything; its tokens stop, and the stream has to
-/// go on at the other engine long before the deadline.
+/// Guards against streams that stall until their deadline. The engine hangs without
+/// closing the connection; the stream must be continued by the other engine long
+/// before the deadline.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stream_leaves_an_engine_that_hangs() -> Result<()> {
     let mut lab = start("hangs", &slow_engines(20)).await?;
@@ -131,7 +131,7 @@
     lab.clean()
 }
 
-/// Waits until an engine runs a request; returns its place.
+/// Waits until an engine runs a request; returns the engine's index.
 async fn running_engine(lab: &Lab) -> Result<usize> {
     let busy = async || {
         for i in 0..lab.engines.len() {
@@ -145,10 +145,10 @@
     until("an engine runs it", busy).await
 }
 
-/// A user sees nothing but a pause. The instance that owns the engines is
-/// frozen, so its lease runs out and the other one takes over; then it thaws
-/// and goes on in the middle of whatever it did, believing that it is in
-/// charge. No adapter in use may be unloaded and no answer come from another.
+/// Guards against harm by a former owner. The instance that owns the engines is
+/// stopped by SIGSTOP, so its lease expires and the other one takes over; after SIGCONT
+/// it goes on in the middle of its work and still believes that it is the owner. No
+/// adapter in use may be unloaded, and no answer may come from another adapter.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_frozen_owner_does_no_harm() -> Result<()> {
     let plan = Plan {
@@ -169,7 +169,7 @@
             let engines = status["engines"].as_array()?;
             engines.iter().all(|e| e["owner"] != *name).then_some(())
         };
-        until("the other one owns all engines", moved).await?;
+        until("the other instance owns all engines", moved).await?;
         answered(&other, "drafting").await?;
         process.signal("CONT").await?;
         answered(&other, "drafting").await?;
@@ -182,10 +182,10 @@
     lab.clean()
 }
 
-/// A user sees: a change of the text that was accepted is undone. The leader
-/// is frozen, another is elected and accepts a change; then the old one thaws
-/// and believes that it leads. Last, a control instance loses its data folder
-/// and comes back empty.
+/// Guards against accepted changes of the text that are undone. The leader is stopped
+/// by SIGSTOP, another is elected and accepts a change; after SIGCONT the old one still
+/// believes that it leads. At last it is killed, loses its data folder and starts
+/// empty.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_accepted_change_survives_leaders_and_disks() -> Result<()> {
     let mut lab = start("leaders", &Plan::small()).await?;
@@ -199,26 +199,30 @@
     if let Some(process) = &lab.controls[old].process {
         process.signal("CONT").await?;
     }
-    let thawed = lab.operator(old);
+    let former = lab.operator(old);
     let caught_up = async || {
-        let status = thawed.get("/v1/status").await.ok()?;
+        let status = former.get("/v1/status").await.ok()?;
         (status["version"] == version).then_some(())
     };
-    until("the thawed one has the change", caught_up).await?;
+    until("the former leader has the change", caught_up).await?;
     if let Some(mut process) = lab.controls[old].process.take() {
         process.kill().await?;
     }
     std::fs::remove_dir_all(lab.folder.join(&lab.controls[old].name))?;
     lab.start_control(old)?;
-    until("the emptied one has the change", caught_up).await?;
-    let resent = lab.operator(old);
-    let resent = async || {
+    until(
+        "the instance with the lost folder has the change",
+        caught_up,
+    )
+    .await?;
+    let retry = lab.operator(old);
+    let retry = async || {
         let body = json!({"change": "second", "base": 1, "by": "lab", "text": second});
-        let applied = resent.post("/v1/apply", &body).await.ok()?;
+        let applied = retry.post("/v1/apply", &body).await.ok()?;
         (applied["outcome"] == "accepted").then(|| applied["version"].as_u64())
     };
     assert_that!(
-        until("the resend's first outcome", resent).await?,
+        until("the retry gets the first outcome", retry).await?,
         some(eq(version))
     );
     lab.wait_ready(version).await?;
@@ -226,7 +230,7 @@
     lab.clean()
 }
 
-/// Applies a change through any control instance but `not`.
+/// Applies a change through any control instance except `not`; returns its version.
 async fn accepted_without(lab: &Lab, not: usize, change: &str, text: &str) -> Result<u64> {
     let accepted = async || {
         for i in (0..lab.controls.len()).filter(|i| *i != not) {
@@ -243,15 +247,15 @@
     until("the change is accepted", accepted).await
 }
 
-/// A user sees: engines busy with letters that nobody reads any more. A
-/// caller leaves in the middle of a stream; the engine's place has to be free
-/// long before the answer would have ended.
+/// Guards against engines that go on with requests whose caller has disconnected. A
+/// caller disconnects in the middle of a stream; the request must be gone from the
+/// engine long before the answer would have ended.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_caller_who_leaves_frees_the_engine() -> Result<()> {
     let mut lab = start("leaves", &slow_engines(50)).await?;
     let caller = lab.caller(0, KAZALISTE);
     let mut chat = Chat::stream("drafting", "long");
-    // Twenty minutes of tokens, far beyond every ceiling here.
+    // Twenty minutes of tokens, far longer than every time limit of the tests.
     chat.tokens = 24_000;
     chat.headers.push((header::DEADLINE, "1200000".to_owned()));
     let ask = tokio::spawn(async move { caller.chat(&chat).await });
@@ -265,7 +269,10 @@
     until("an engine runs it", async || running(true).await).await?;
     tokio::time::sleep(Duration::from_millis(100)).await;
     ask.abort();
-    until("its place is free", async || running(false).await).await?;
+    until("the request is gone from the engine", async || {
+        running(false).await
+    })
+    .await?;
     lab.stop().await?;
     lab.clean()
 }
--- a/crates/lab/tests/processes/measures.rs
+++ b/crates/lab/tests/processes/measures.rs
@@ -1,5 +1,5 @@
-//! The users' measures reach a collector: load stalls, batch efficiency, and
-//! what stands behind them.
+//! The metrics for service levels reach an OTLP collector: load stalls, batch
+//! efficiency, and the metrics that explain them.
 
 use std::{
     collections::BTreeMap,
@@ -13,18 +13,18 @@
 
 use crate::common::{KAZALISTE, collector, start};
 
-/// Count and sum of each metric, as told last.
-type Told = BTreeMap<String, (u64, f64)>;
+/// Count and sum of each metric, by its last export.
+type Metrics = BTreeMap<String, (u64, f64)>;
 
-/// A performer's first request waits while its adapter is loaded, the second
-/// finds it resident. Were only the waits that happened counted, or those of
-/// requests that gave up left out, the stalls would look rarer or shorter than
-/// callers see them.
+/// The first request of an adapter waits until it is loaded, the second finds it
+/// resident. Both must be counted, and the wait must be recorded, or the metric would
+/// show stalls rarer or shorter than callers see them, as it would if it left out
+/// requests that gave up.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_load_stall_is_measured() -> Result<()> {
-    let told = Arc::new(Mutex::new(Told::new()));
-    let kept = Arc::clone(&told);
-    let collector = collector(move |value| take(value, &mut kept.lock().unwrap())).await?;
+    let metrics = Arc::new(Mutex::new(Metrics::new()));
+    let kept = Arc::clone(&metrics);
+    let collector = collector(move |value| record(value, &mut kept.lock().unwrap())).await?;
     let plan = Plan {
         daemon_flags: vec!["--otlp".to_owned(), format!("http://{collector}")],
         ..Plan::small()
@@ -36,12 +36,12 @@
         assert_that!(reply.status, eq(200));
     }
     assert_that!(lab.stop().await?, eq(true));
-    let told = told.lock().unwrap().clone();
-    let metric = |name: &str| told.get(name).copied().unwrap_or_default();
+    let metrics = metrics.lock().unwrap().clone();
+    let metric = |name: &str| metrics.get(name).copied().unwrap_or_default();
     let (stalls, stalled) = metric("quetzal.load_stall");
-    assert_that!(stalls, ge(2), "{told:?}");
+    assert_that!(stalls, ge(2), "{metrics:?}");
     // The stand-in's store takes 50 ms for a load.
-    assert_that!(stalled, ge(0.04), "{told:?}");
+    assert_that!(stalled, ge(0.04), "{metrics:?}");
     assert_that!(metric("quetzal.queue_wait").0, eq(stalls));
     assert_that!(metric("quetzal.load_time").1, ge(0.04));
     assert_that!(metric("quetzal.loads").1, ge(1.0));
@@ -52,29 +52,29 @@
     lab.clean()
 }
 
-/// Takes the data points of each metric, summed over labels; the figures of a
-/// process only grow, so the last message counts.
-fn take(value: &Value, told: &mut Told) {
+/// Records the data points of each metric, summed over labels. The values are
+/// cumulative, so the last export replaces earlier ones.
+fn record(value: &Value, metrics: &mut Metrics) {
     match value {
-        Value::Array(items) => items.iter().for_each(|item| take(item, told)),
+        Value::Array(items) => items.iter().for_each(|item| record(item, metrics)),
         Value::Object(map) => {
             let data = map.get("histogram").or_else(|| map.get("sum"));
             let points = data.and_then(|data| data["dataPoints"].as_array());
             let Some((name, points)) = map.get("name").and_then(Value::as_str).zip(points) else {
-                return map.values().for_each(|item| take(item, told));
+                return map.values().for_each(|item| record(item, metrics));
             };
             let sums = points.iter().fold((0, 0.0), |(count, sum), point| {
                 let counted = number(&point["count"]) as u64;
                 let summed = number(&point["sum"]) + number(&point["asInt"]);
                 (count + counted, sum + summed)
             });
-            told.insert(name.to_owned(), sums);
+            metrics.insert(name.to_owned(), sums);
         }
         _ => {}
     }
 }
 
-/// Reads a number, which OTLP's JSON may write as a text.
+/// Reads a number, which OTLP's JSON may write as a string.
 fn number(value: &Value) -> f64 {
     let text = value.as_str().and_then(|text| text.parse().ok());
     value.as_f64().or(text).unwrap_or_default()
--- a/crates/lab/tests/processes/once.rs
+++ b/crates/lab/tests/processes/once.rs
@@ -1,5 +1,5 @@
-//! A marked request runs at most once, whoever fails and wherever it is sent
-//! again.
+//! A marked request (one with an idempotency key) runs at most once, whichever process
+//! fails and whichever instance gets the retry.
 
 use anyhow::Result;
 use base::Verdict;
@@ -44,10 +44,9 @@
     Ok(())
 }
 
-/// A user sees: "your application was handed in twice" after pressing the
-/// button again, and the second press went to another instance. The first
-/// answer is on its way or was lost; the cause would be a claim that only one
-/// instance knows of.
+/// Guards against a request that runs twice because its retry goes to another instance
+/// while the first answer is on its way or lost, which would happen if only one
+/// instance knew of the claim.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_resend_elsewhere_gets_the_first_answer() -> Result<()> {
     let mut lab = start("once", &two_entries()).await?;
@@ -61,27 +60,31 @@
     assert_that!(other.status, eq(422));
     assert_that!(other.verdict(), some(eq(Verdict::NotRun)));
     assert_that!(executions(&lab, "k-1").await?, eq(1));
-    a_cut_answer_is_honest(&lab, &here, &there).await?;
+    a_broken_answer_has_no_false_verdict(&lab, &here, &there).await?;
     a_killed_instance_leaves_no_second_run(&mut lab).await?;
     lab.stop().await?;
     lab.clean()
 }
 
-/// The service runs the request and breaks off amid its answer: nobody may
-/// say "not run", and nobody may run it again.
-async fn a_cut_answer_is_honest(lab: &Lab, here: &Caller, there: &Caller) -> Result<()> {
+/// The service runs the request and closes the connection during its answer: no
+/// instance may give the verdict "not run", or run it again.
+async fn a_broken_answer_has_no_false_verdict(
+    lab: &Lab,
+    here: &Caller,
+    there: &Caller,
+) -> Result<()> {
     faults(lab, json!({"cut": 1})).await?;
     let cut = apply(here, "k-2", "dora").await?;
-    let honest = !cut.complete || cut.verdict() == Some(Verdict::MayHaveRun);
-    assert_that!(honest, eq(true), "{cut:?}");
+    let true_verdict = !cut.complete || cut.verdict() == Some(Verdict::MayHaveRun);
+    assert_that!(true_verdict, eq(true), "{cut:?}");
     let again = apply(there, "k-2", "dora").await?;
     assert_that!(again.verdict(), some(ge(Verdict::MayHaveRun)), "{again:?}");
     assert_that!(executions(lab, "k-2").await?, eq(1));
     Ok(())
 }
 
-/// The entry instance is killed after it sent the request and before the
-/// answer; the caller sends it again through another one.
+/// The entry instance is killed after it sent the request and before the answer; the
+/// caller retries through another instance.
 async fn a_killed_instance_leaves_no_second_run(lab: &mut Lab) -> Result<()> {
     faults(lab, json!({"mute": 1})).await?;
     let (here, there) = (lab.caller(0, KAZALISTE), lab.caller(1, KAZALISTE));
@@ -102,10 +105,10 @@
     Ok(())
 }
 
-/// A user sees: listing pages answer, an application is refused at once with
-/// "it did not run" and when to come back, and works a moment later. Two of
-/// three control instances are gone, so no claim can be made; the cause of a
-/// wrong answer would be a claim taken without a majority.
+/// Guards against claims made without a majority. Two of three control instances are
+/// killed: applications must be refused with the verdict "not run" and a time to
+/// retry, pages that need no claim must still be served, and applications must work
+/// again once the two are restarted.
 #[tokio::test(flavor = "multi_thread")]
 async fn without_quorum_marked_requests_certainly_do_not_run() -> Result<()> {
     let mut lab = start("quorum", &two_entries()).await?;
@@ -115,7 +118,7 @@
             process.kill().await?;
         }
     }
-    // The last one may still lead for the rest of its lease.
+    // The remaining one may still lead until its lease expires.
     let refused = async || {
         let reply = apply(&caller, "k-4", "dora").await.ok()?;
         (reply.header(header::REASON) == Some("no-quorum")).then_some(reply)
--- a/crates/lab/tests/processes/path.rs
+++ b/crates/lab/tests/processes/path.rs
@@ -1,5 +1,5 @@
-//! Real requests through separate processes: adapter, version, wholeness,
-//! isolation of brands, and a clear error for every bad request.
+//! Requests through separate processes: the right adapter and version, complete
+//! answers, isolation of brands, and a clear error for every bad request.
 
 use anyhow::Result;
 use bytes::Bytes;
@@ -43,13 +43,13 @@
         }
     }
     shares_are_shown(&lab).await?;
-    brands_are_apart(&lab.caller(0, KAZALISTE), &lab.caller(1, FILM)).await?;
+    brands_are_isolated(&lab.caller(0, KAZALISTE), &lab.caller(1, FILM)).await?;
     bad_requests_get_clear_errors(&lab.caller(0, KAZALISTE)).await?;
     assert_that!(lab.stop().await?, eq(true));
     lab.clean()
 }
 
-/// `status` shows each brand's part of the tokens and how long it waited.
+/// The status shows each brand's number of tokens and its share of them.
 async fn shares_are_shown(lab: &Lab) -> Result<()> {
     let shown = async || {
         let leader = lab.wait_leader().await.ok()?;
@@ -63,7 +63,7 @@
     until("both brands' shares in the status", shown).await
 }
 
-async fn brands_are_apart(kazaliste: &Caller, film: &Caller) -> Result<()> {
+async fn brands_are_isolated(kazaliste: &Caller, film: &Caller) -> Result<()> {
     let models = kazaliste.get("/v1/models").await?;
     let ids: Vec<_> = models["data"].as_array().into_iter().flatten().collect();
     assert_that!(ids.len(), eq(1));
@@ -76,7 +76,8 @@
     Ok(())
 }
 
-/// Who sends what, with which headers; the status and the reason expected.
+/// Caller, method, path, body and headers of a bad request; the expected status and
+/// reason.
 type Bad<'a> = (
     &'a Caller,
     Method,
@@ -87,7 +88,8 @@
     &'a str,
 );
 
-/// Each bad request is refused with its own status, and certainly not run.
+/// Each bad request is refused with the right status and reason and the verdict that
+/// it did not run.
 async fn bad_requests_get_clear_errors(good: &Caller) -> Result<()> {
     let chat = "/v1/chat/completions";
     let once = "/kazaliste/submissions/apply";
--- a/crates/lab/tests/processes/rolling.rs
+++ b/crates/lab/tests/processes/rolling.rs
@@ -1,4 +1,4 @@
-//! Planned stops cut off nothing.
+//! Planned restarts interrupt no request.
 
 use std::{
     collections::BTreeMap,
@@ -19,19 +19,19 @@
 
 use crate::common::{KAZALISTE, answered, expected, start};
 
-/// What one caller saw.
+/// Counts of one caller's requests, and descriptions of its unexpected answers.
 #[derive(Debug, Default)]
-struct Seen {
+struct Results {
     sent: u32,
     answered: u32,
     refused: u32,
-    odd: Vec<String>,
+    unexpected: Vec<String>,
 }
 
-/// Sends through the entry instances that are ready, as a balancer does, one
-/// stream and one marked request after the other, until told to stop.
-async fn load(callers: Vec<Caller>, id: usize, stop: Arc<AtomicBool>) -> Seen {
-    let mut seen = Seen::default();
+/// Sends streams and marked requests in turn to entry instances that are ready, as a
+/// load balancer does, until `stop` is set.
+async fn load(callers: Vec<Caller>, id: usize, stop: Arc<AtomicBool>) -> Results {
+    let mut results = Results::default();
     let mut n = 0;
     while !stop.load(Ordering::Relaxed) {
         n += 1;
@@ -39,13 +39,13 @@
             continue;
         };
         let prompt = format!("caller {id} request {n}");
-        stream(&caller, &prompt, &mut seen).await;
-        // The stream may have outlasted what was known of the instance.
+        stream(&caller, &prompt, &mut results).await;
+        // The instance may have started to drain during the stream.
         if let Some(caller) = ready(&callers, id + n + 1).await {
-            marked(&caller, &prompt, &mut seen).await;
+            marked(&caller, &prompt, &mut results).await;
         }
     }
-    seen
+    results
 }
 
 async fn ready(callers: &[Caller], turn: usize) -> Option<Caller> {
@@ -58,48 +58,47 @@
     up.then(|| caller.clone())
 }
 
-async fn stream(caller: &Caller, prompt: &str, seen: &mut Seen) {
-    seen.sent += 1;
+async fn stream(caller: &Caller, prompt: &str, results: &mut Results) {
+    results.sent += 1;
     let chat = Chat::stream("drafting", prompt);
     match caller.chat(&chat).await {
         Ok(reply) if reply.status == 200 && reply.complete => {
-            seen.answered += 1;
+            results.answered += 1;
             if reply.text() != expected("kazaliste-live@1", prompt, 16) {
-                seen.odd.push(format!("{prompt}: other tokens"));
+                results.unexpected.push(format!("{prompt}: other tokens"));
             }
         }
-        Ok(reply) => seen
-            .odd
+        Ok(reply) => results
+            .unexpected
             .push(format!("{prompt}: {} {:?}", reply.status, reply.body)),
-        Err(err) => seen.odd.push(format!("{prompt}: {err:#}")),
+        Err(err) => results.unexpected.push(format!("{prompt}: {err:#}")),
     }
 }
 
-async fn marked(caller: &Caller, key: &str, seen: &mut Seen) {
-    seen.sent += 1;
+async fn marked(caller: &Caller, key: &str, results: &mut Results) {
+    results.sent += 1;
     let path = "/kazaliste/submissions/apply";
     let headers = [(header::IDEMPOTENCY_KEY, key.to_owned())];
     let body = Bytes::from(key.to_owned());
     match caller.send(Method::POST, path, body, &headers).await {
-        Ok(reply) if reply.status == 200 && reply.complete => seen.answered += 1,
-        // While leadership is handed over, a claim may be refused, with when
-        // to come back: certainly not run.
+        Ok(reply) if reply.status == 200 && reply.complete => results.answered += 1,
+        // While leadership is handed over, a claim may be refused with a time to
+        // retry: the request certainly did not run.
         Ok(reply) if reply.header(header::REASON) == Some("no-quorum") => {
-            seen.answered += 1;
-            seen.refused += 1;
+            results.answered += 1;
+            results.refused += 1;
         }
-        Ok(reply) => seen
-            .odd
+        Ok(reply) => results
+            .unexpected
             .push(format!("{key}: {} {:?}", reply.status, reply.body)),
-        Err(err) => seen.odd.push(format!("{key}: {err:#}")),
+        Err(err) => results.unexpected.push(format!("{key}: {err:#}")),
     }
 }
 
-/// A user sees: a letter that stops amid a sentence, or an application that
-/// is handed in twice, whenever the operators restart an instance. Every
-/// entry and control instance is stopped by SIGTERM and started again, one
-/// after the other, under constant load. The cause would be a stop that
-/// closes connections, drops a queue or forgets a claim.
+/// Guards against answers cut off, and applications that run twice, when operators
+/// restart an instance: by a stop that closes connections, drops a queue or forgets a
+/// claim. Every entry and control instance is stopped by SIGTERM and started again,
+/// one after the other, under constant load.
 #[tokio::test(flavor = "multi_thread")]
 async fn rolling_restart() -> Result<()> {
     let plan = Plan {
@@ -132,10 +131,10 @@
     }
     stop.store(true, Ordering::Relaxed);
     let all = tasks.join_all().await;
-    let odd: Vec<_> = all.iter().flat_map(|seen| &seen.odd).collect();
-    let sent: u32 = all.iter().map(|seen| seen.sent).sum();
-    let done: u32 = all.iter().map(|seen| seen.answered).sum();
-    assert_that!(odd, is_empty());
+    let unexpected: Vec<_> = all.iter().flat_map(|results| &results.unexpected).collect();
+    let sent: u32 = all.iter().map(|results| results.sent).sum();
+    let done: u32 = all.iter().map(|results| results.answered).sum();
+    assert_that!(unexpected, is_empty());
     assert_that!(done, eq(sent));
     assert_that!(sent, gt(50));
     let twice = executed_twice(&lab.services).await?;
--- a/crates/lab/tests/processes/targets.rs
+++ b/crates/lab/tests/processes/targets.rs
@@ -1,4 +1,4 @@
-//! Targets that leave, restart empty or can't load; and the samples of both
+//! Targets that leave, restart empty or fail to load; and the sample texts of both
 //! deployments.
 
 use std::{collections::BTreeMap, fs, path::PathBuf};
@@ -34,9 +34,9 @@
     Ok(())
 }
 
-/// A user sees: "no such assistant", or a wait that never ends, after engines
-/// restarted, or while their loads fail. Both engines come back empty, then
-/// each fails its next loads; requests wait for a load that works.
+/// Guards against errors or endless waits after engines restarted without adapters, or
+/// while loads fail. Both engines restart empty, then again with their next two loads
+/// failing; requests must wait for a load that succeeds.
 #[tokio::test(flavor = "multi_thread")]
 async fn engines_that_restart_empty_or_fail_loads_are_loaded_again() -> Result<()> {
     let mut lab = start("empty", &Plan::small()).await?;
@@ -57,9 +57,9 @@
     lab.clean()
 }
 
-/// A user sees: a letter cut off when a machine is replaced, although that was
-/// announced. Once the instance knows of the list's word, the leaving engine
-/// starts no request any more, and the other one answers all.
+/// Guards against answers cut off when a machine is replaced after an announcement.
+/// Once the entry instance has read from the platform's list that an engine is
+/// leaving, that engine starts no more requests, and the other one answers all.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_leaving_engine_starts_nothing_more() -> Result<()> {
     let mut lab = start("leaving", &Plan::small()).await?;
@@ -73,7 +73,7 @@
         let one = targets.iter().find(|t| t["target"] == *leaving)?;
         (one["standing"] == "leaving").then_some(())
     };
-    until("the list's word is known", known).await?;
+    until("the engine is known to be leaving", known).await?;
     let before = stat(&lab, 0, "started").await?;
     for i in 0..20 {
         ask(&lab, &format!("letter {i}")).await?;
@@ -83,8 +83,8 @@
     lab.clean()
 }
 
-/// The sample texts of both deployments are applied in their zones, and a
-/// brand of each is answered in every zone.
+/// The sample text of each deployment can be applied in its zones, and requests of
+/// one of its brands are answered in every zone.
 #[tokio::test(flavor = "multi_thread")]
 async fn the_samples_serve_their_zones() -> Result<()> {
     let agency = ["dubrava", "jankomir", "zitnjak", "blato"];
--- a/crates/lab/tests/processes/timed.rs
+++ b/crates/lab/tests/processes/timed.rs
@@ -1,6 +1,6 @@
-//! What has to happen within a stated time, measured at real processes.
+//! Guarantees with a time limit, checked with real processes.
 //!
-//! Each limit is the promise itself, not what was measured.
+//! Each limit is the guaranteed time, not a value derived from measurements.
 
 use std::{
     net::SocketAddr,
@@ -24,82 +24,84 @@
 
 use crate::common::{KAZALISTE, TEXT, start};
 
-/// After this a target that leaves gets nothing: the least that "a few
-/// seconds" can mean.
-const LEFT: Duration = Duration::from_secs(3);
+/// Time after which a leaving target is given no more requests: the strictest
+/// reading of the guarantee "a few seconds".
+const LEAVING_LIMIT: Duration = Duration::from_secs(3);
 
-/// Callers at each of two entry instances: one of two engines, at least, has a
-/// queue that outlasts the limit, at 1.3 s for a letter and eight at a time.
+/// Callers at each of two entry instances. With 1.3 s for a completion and eight at a
+/// time, at least one of the two engines has a queue that lasts longer than the limit.
 const CALLERS: usize = 48;
 
-/// Load of such an engine in hundredths of its places.
-const LONG: u64 = 500;
+/// Load of such an engine, in percent of the requests that it runs at once.
+const CROWDED_LOAD: u64 = 500;
 
-/// Answers that have to come after the limit, to show that there was work.
-const ENOUGH: u64 = 24;
+/// Answers that have to come after the limit, to show that there still was load.
+const MIN_ANSWERS: u64 = 24;
 
-/// Pause of a caller who was refused.
-const PAUSE: Duration = Duration::from_millis(100);
+/// Pause of a caller after a refusal.
+const REFUSED_PAUSE: Duration = Duration::from_millis(100);
 
-/// What callers who ask again and again came to.
+/// Counts of successful requests of all callers.
 #[derive(Debug, Default)]
 struct Tally {
-    letters: AtomicU64,
+    completions: AtomicU64,
     pages: AtomicU64,
 }
 
-/// Sends letters, or pages of the plain service, without end.
-async fn work(caller: Caller, letters: bool, tally: Arc<Tally>) {
+/// Requests completions, or pages of the plain service, in an endless loop.
+async fn send_load(caller: Caller, completions: bool, tally: Arc<Tally>) {
     loop {
         let mut chat = Chat::stream("drafting", "constant load");
         chat.tokens = 64;
-        let reply = if letters {
+        let reply = if completions {
             caller.chat(&chat).await
         } else {
             let path = "/kazaliste/listing/x";
             caller.send(Method::GET, path, Bytes::new(), &[]).await
         };
         if reply.is_ok_and(|reply| reply.status == 200 && reply.complete) {
-            let count = if letters {
-                &tally.letters
+            let count = if completions {
+                &tally.completions
             } else {
                 &tally.pages
             };
             count.fetch_add(1, Ordering::Relaxed);
         } else {
-            sleep(PAUSE).await;
+            sleep(REFUSED_PAUSE).await;
         }
     }
 }
 
-/// Returns how much work a target has been given.
-async fn given(target: SocketAddr) -> Result<u64> {
+/// Returns how many requests a target has been given.
+async fn requests_given(target: SocketAddr) -> Result<u64> {
     let stats = Caller::new(target, "").get("/admin/stats").await?;
     let count = |name: &str| stats[name].as_u64().unwrap_or_default();
     Ok(count("started") + count("executed") + count("refused"))
 }
 
-/// Returns the place of an engine whose queue outlasts the limit.
+/// Returns the index of an engine whose queue lasts longer than the limit.
 async fn crowded(lab: &Lab) -> Option<usize> {
     let entry = Caller::new(lab.entries[0].peer, "");
     let path = "/v1/explain?brand=kazaliste&service=drafting";
     let explained = entry.get(path).await.ok()?;
     let targets = explained["targets"].as_array()?;
-    let full = targets.iter().find(|t| t["load"].as_u64() >= Some(LONG))?;
+    let full = targets
+        .iter()
+        .find(|t| t["load"].as_u64() >= Some(CROWDED_LOAD))?;
     lab.engines.iter().position(|e| full["target"] == *e.name)
 }
 
-/// Waits until a target is given more than it was until now.
-async fn works(target: SocketAddr) -> Result<()> {
-    let before = given(target).await?;
-    let more = async || (given(target).await.ok()? > before).then_some(());
+/// Waits until a target is given another request.
+async fn wait_for_request(target: SocketAddr) -> Result<()> {
+    let before = requests_given(target).await?;
+    let more = async || (requests_given(target).await.ok()? > before).then_some(());
     until("the target gets work", more).await
 }
 
-/// A user sees: a letter that is cut off when its machine is taken away, a few
-/// seconds after that was announced. Callers of two entry instances keep an
-/// engine and a plain service's replica busy; the platform calls both leaving,
-/// and three seconds later neither may be given anything more.
+/// Guards against answers cut off when a machine is removed a few seconds after that
+/// was announced. Callers of two entry instances keep an engine and a plain service's
+/// replica busy; the platform lists both as leaving, and three seconds later neither
+/// may be given any more requests.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_leaving_target_gets_nothing_after_three_seconds() -> Result<()> {
     let plan = Plan {
@@ -114,10 +116,10 @@
     for entry in 0..lab.entries.len() {
         for _ in 0..CALLERS {
             let caller = lab.caller(entry, KAZALISTE);
-            tasks.spawn(work(caller, true, Arc::clone(&tally)));
+            tasks.spawn(send_load(caller, true, Arc::clone(&tally)));
         }
         let caller = lab.caller(entry, KAZALISTE);
-        tasks.spawn(work(caller, false, Arc::clone(&tally)));
+        tasks.spawn(send_load(caller, false, Arc::clone(&tally)));
     }
     let found = async || crowded(&lab).await;
     let at = until("an engine has a long queue", found).await?;
@@ -125,39 +127,46 @@
     let leaving = [engine.address, service.address];
     let names = [engine.name.clone(), service.name.clone()];
     for target in leaving {
-        works(target).await?;
+        wait_for_request(target).await?;
     }
     lab.publish_leaving(&[&names[0], &names[1]]).await?;
-    sleep_until(Instant::now() + LEFT).await;
-    let before = [given(leaving[0]).await?, given(leaving[1]).await?];
-    let letters = tally.letters.load(Ordering::Relaxed) + ENOUGH;
-    let pages = tally.pages.load(Ordering::Relaxed) + ENOUGH;
+    sleep_until(Instant::now() + LEAVING_LIMIT).await;
+    let before = [
+        requests_given(leaving[0]).await?,
+        requests_given(leaving[1]).await?,
+    ];
+    let completions = tally.completions.load(Ordering::Relaxed) + MIN_ANSWERS;
+    let pages = tally.pages.load(Ordering::Relaxed) + MIN_ANSWERS;
     let enough = async || {
-        let some = tally.letters.load(Ordering::Relaxed) >= letters;
+        let some = tally.completions.load(Ordering::Relaxed) >= completions;
         (some && tally.pages.load(Ordering::Relaxed) >= pages).then_some(())
     };
     until("the others answer", enough).await?;
-    let after = [given(leaving[0]).await?, given(leaving[1]).await?];
+    let after = [
+        requests_given(leaving[0]).await?,
+        requests_given(leaving[1]).await?,
+    ];
     assert_that!(after, eq(before));
     tasks.shutdown().await;
     assert_that!(lab.stop().await?, eq(true));
     lab.clean()
 }
 
-/// Within this a change that was accepted is in force everywhere.
-const IN_FORCE: Duration = Duration::from_secs(3);
+/// Time within which an accepted change is in force at all instances.
+const IN_FORCE_LIMIT: Duration = Duration::from_secs(3);
 
-/// Longest wait for anything; only a failure waits this long.
-const CEILING: Duration = Duration::from_secs(60);
+/// Longest wait for a state; ample, so that only a failure takes that long.
+const TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Pause between two looks.
-const LOOK: Duration = Duration::from_millis(20);
+/// Pause between two checks of a state.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Changes in a row.
+/// Number of changes applied one after the other.
 const CHANGES: u64 = 6;
 
-/// How much later each change comes in the second between two heartbeats.
-const PHASE: Duration = Duration::from_millis(170);
+/// Shift of each change against the one before, so that the changes fall on different
+/// points of the second between two heartbeats.
+const CHANGE_SHIFT: Duration = Duration::from_millis(170);
 
 /// Returns whether an instance serves a page.
 async fn serves(caller: &Caller, page: &str) -> bool {
@@ -167,14 +176,14 @@
 }
 
 /// Returns whether a control instance has a version.
-async fn holds(operator: &Caller, version: u64) -> bool {
+async fn has_version(operator: &Caller, version: u64) -> bool {
     let status = operator.get("/v1/status").await.unwrap_or_default();
     status["version"].as_u64() >= Some(version)
 }
 
-/// Waits until a page is served, or a version held where no page is named, and
+/// Waits until an instance serves `page`, or has `version` if no page is given, and
 /// returns how long after `since` that was.
-async fn told(
+async fn wait_in_force(
     at: Caller,
     page: Option<String>,
     version: u64,
@@ -183,21 +192,21 @@
     loop {
         let there = match &page {
             Some(page) => serves(&at, page).await,
-            None => holds(&at, version).await,
+            None => has_version(&at, version).await,
         };
         if there {
             return Ok((at.address, since.elapsed()));
         }
-        anyhow::ensure!(since.elapsed() < CEILING, "never at {}", at.address);
-        sleep(LOOK).await;
+        anyhow::ensure!(since.elapsed() < TIMEOUT, "never at {}", at.address);
+        sleep(POLL_INTERVAL).await;
     }
 }
 
-/// Applies one change after the other, each of them a new page, and checks
-/// that each is in force in time at all instances but one that is frozen.
+/// Applies changes one after the other, each of which adds a page, and checks that
+/// each is in force in time at all instances except the frozen one.
 async fn changes(lab: &Lab, numbers: std::ops::Range<u64>, frozen: Option<usize>) -> Result<()> {
     for (nth, no) in (0..).zip(numbers) {
-        sleep(PHASE * nth).await;
+        sleep(CHANGE_SHIFT * nth).await;
         let page = format!("page-{no}");
         let service = format!(
             "{TEXT}\n[brands.kazaliste.services.{page}]\nkind = \"plain\"\npool = \"portal\"\n\
@@ -205,26 +214,30 @@
         );
         let version = lab.apply(&page, &service).await?;
         let since = Instant::now();
-        let mut looks = JoinSet::new();
+        let mut waits = JoinSet::new();
         for i in 0..lab.entries.len() {
             let entry = lab.caller(i, KAZALISTE);
-            looks.spawn(told(entry, Some(page.clone()), version, since));
+            waits.spawn(wait_in_force(entry, Some(page.clone()), version, since));
         }
         for i in (0..lab.controls.len()).filter(|i| Some(*i) != frozen) {
-            looks.spawn(told(lab.operator(i), None, version, since));
+            waits.spawn(wait_in_force(lab.operator(i), None, version, since));
         }
-        while let Some(took) = looks.join_next().await {
+        while let Some(took) = waits.join_next().await {
             let (at, took) = took??;
-            assert_that!(took, le(IN_FORCE), "{page} at {at}, frozen: {frozen:?}");
+            assert_that!(
+                took,
+                le(IN_FORCE_LIMIT),
+                "{page} at {at}, frozen: {frozen:?}"
+            );
         }
     }
     Ok(())
 }
 
-/// A user sees: "no such page" a while after the operators were told that it
-/// is there, and only through some instances. Two zones of two entry instances
-/// and three control instances take changes in a row, first all of them, then
-/// with a control instance frozen that doesn't lead.
+/// Guards against instances that still answer "no such page" for some time after the
+/// operators were told that the change is accepted. A deployment of two zones, with
+/// two entry instances each and three control instances, gets several changes, first
+/// with all instances running, then with a control instance frozen that doesn't lead.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_change_is_in_force_everywhere_within_three_seconds() -> Result<()> {
     let plan = Plan {
@@ -248,13 +261,14 @@
     process.context("not running")?.signal(signal).await
 }
 
-/// What "at once" means for a caller's leaving. A token takes far longer here, so
-/// that no piece of the answer has to be written to find it out.
-const AT_ONCE: Duration = Duration::from_secs(1);
+/// Time within which a request is cancelled after its caller disconnects. A token
+/// takes far longer in the test, so the disconnection has to be noticed without a
+/// failed write to the caller.
+const CANCEL_LIMIT: Duration = Duration::from_secs(1);
 
-/// Waits until this many requests hold or await a place at the engines.
-async fn present(lab: &Lab, want: u64) -> Result<()> {
-    let end = Instant::now() + CEILING;
+/// Waits until `want` requests are running or queued at the engines.
+async fn wait_present(lab: &Lab, want: u64) -> Result<()> {
+    let end = Instant::now() + TIMEOUT;
     loop {
         let mut count = 0;
         for engine in &lab.engines {
@@ -265,14 +279,14 @@
             return Ok(());
         }
         anyhow::ensure!(Instant::now() < end, "{count} are present, not {want}");
-        sleep(LOOK).await;
+        sleep(POLL_INTERVAL).await;
     }
 }
 
-/// A user sees: engines busy with letters that nobody reads any more. A caller
-/// leaves between two tokens that are a minute apart; the engine's place has to
-/// be free within a second, also where the request passes a second instance,
-/// and where the answer is held back until it is whole.
+/// Guards against engines that go on with requests whose caller has disconnected. A
+/// caller disconnects between two tokens that are a minute apart; the request must be
+/// gone from the engine within a second, also if it was forwarded by a second instance,
+/// and if the answer isn't streamed but sent once it is complete.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_caller_who_leaves_frees_its_place_within_a_second() -> Result<()> {
     let plan = Plan {
@@ -291,12 +305,12 @@
         chat.stream = stream;
         chat.headers.push((header::DEADLINE, "1200000".to_owned()));
         let ask = tokio::spawn(async move { caller.chat(&chat).await });
-        present(&lab, 1).await?;
+        wait_present(&lab, 1).await?;
         ask.abort();
-        let left = Instant::now();
-        present(&lab, 0).await?;
-        let took = left.elapsed();
-        assert_that!(took, le(AT_ONCE), "entry {entry}, stream {stream}");
+        let disconnected = Instant::now();
+        wait_present(&lab, 0).await?;
+        let took = disconnected.elapsed();
+        assert_that!(took, le(CANCEL_LIMIT), "entry {entry}, stream {stream}");
     }
     assert_that!(lab.stop().await?, eq(true));
     lab.clean()
--- a/crates/lab/tests/processes/trace.rs
+++ b/crates/lab/tests/processes/trace.rs
@@ -1,4 +1,4 @@
-//! One request is one trace, span by span through every process to the engine.
+//! The spans of a request form one trace, through every process to the engine.
 
 use std::{
     collections::BTreeMap,
@@ -13,9 +13,9 @@
 
 use crate::common::{KAZALISTE, collector, expected, start};
 
-/// Trace and span of the caller in the test.
-const TRACE: &str = "0af7651916cd43dd8448eb211c80319c";
-const SPAN: &str = "b7ad6b7169203331";
+/// Trace id and span id that the test sends as the caller.
+const TRACE_ID: &str = "0af7651916cd43dd8448eb211c80319c";
+const CALLER_SPAN: &str = "b7ad6b7169203331";
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct Span {
@@ -26,10 +26,10 @@
 
 type Spans = Arc<Mutex<BTreeMap<String, Span>>>;
 
-fn take(value: &Value, spans: &mut BTreeMap<String, Span>) {
+fn collect(value: &Value, spans: &mut BTreeMap<String, Span>) {
     match value {
-        Value::Array(items) => items.iter().for_each(|item| take(item, spans)),
-        Value::Object(map) if value["traceId"] == TRACE => {
+        Value::Array(items) => items.iter().for_each(|item| collect(item, spans)),
+        Value::Object(map) if value["traceId"] == TRACE_ID => {
             let text = |key: &str| map.get(key).and_then(Value::as_str).unwrap_or_default();
             let span = Span {
                 name: text("name").to_owned(),
@@ -38,7 +38,7 @@
             };
             spans.insert(span.id.clone(), span);
         }
-        Value::Object(map) => map.values().for_each(|item| take(item, spans)),
+        Value::Object(map) => map.values().for_each(|item| collect(item, spans)),
         _ => {}
     }
 }
@@ -47,7 +47,7 @@
 async fn spans_join_hop_by_hop() -> Result<()> {
     let spans = Spans::default();
     let kept = Arc::clone(&spans);
-    let collector = collector(move |value| take(value, &mut kept.lock().unwrap())).await?;
+    let collector = collector(move |value| collect(value, &mut kept.lock().unwrap())).await?;
     let plan = Plan {
         zones: vec!["dubrava".to_owned(), "blato".to_owned()],
         // The entry instance in dubrava has to pass its requests on.
@@ -58,7 +58,7 @@
     };
     let mut lab = start("trace", &plan).await?;
     let mut chat = Chat::stream("drafting", "whose voice is this");
-    let parent = format!("00-{TRACE}-{SPAN}-01");
+    let parent = format!("00-{TRACE_ID}-{CALLER_SPAN}-01");
     chat.headers.push((header::TRACEPARENT, parent));
     let reply = lab.caller(0, KAZALISTE).chat(&chat).await?;
     let want = expected("kazaliste-live@1", &chat.prompt, 16);
@@ -74,16 +74,17 @@
     let stats = engine.get("/admin/stats").await?;
     let last = chain.last().context("no last span")?;
     let seen = stats["traces"].as_array().context("no traces")?;
-    let want = format!("00-{TRACE}-{}-01", last.id);
+    let want = format!("00-{TRACE_ID}-{}-01", last.id);
     assert_that!(seen.iter().any(|trace| *trace == *want), eq(true));
     assert_that!(lab.stop().await?, eq(true));
     lab.clean()
 }
 
-/// Returns the spans from the caller's on, each below the one before.
+/// Returns the chain of spans below the caller's span, each the child of the one
+/// before, once it has four.
 fn chain(spans: &BTreeMap<String, Span>) -> Option<Vec<Span>> {
     let mut chain: Vec<Span> = Vec::new();
-    let mut parent = SPAN.to_owned();
+    let mut parent = CALLER_SPAN.to_owned();
     while let Some(span) = spans.values().find(|span| span.parent == parent) {
         parent = span.id.clone();
         chain.push(span.clone());
