--- a/crates/telemetry/src/logs.rs
+++ b/crates/telemetry/src/logs.rs
@@ -1,7 +1,7 @@
 //! One JSON line for each event.
 //!
 //! [`event`] serialises the event and passes it to `flexi_logger` as the message;
-//! the format function [`line`] puts time, level and origin before it. Lines logged
+//! the format function [`line()`] puts time, level and origin before it. Lines logged
 //! by libraries pass through the same function as event number 0 (`E0`).
 
 use std::{io, sync::OnceLock};
