--- a/crates/measure/src/baseline.rs
+++ b/crates/measure/src/baseline.rs
@@ -1,7 +1,8 @@
-//! The baselines: one choice of engine, loads on demand, one way to evict.
+//! The baseline policies: each combines a choice of engine with an eviction rule and loads
+//! adapters on demand.
 //!
-//! They know every engine's exact load at no delay, which no real system
-//! does; the comparison is meant to err on their side.
+//! They know every engine's exact load without delay, which no real system does, so the
+//! comparison favours the baselines.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -12,15 +13,15 @@
     workload::{Arrival, Sizes},
 };
 
-/// One target as a baseline sees it.
+/// A baseline's view of one target.
 #[derive(Clone, Debug, Default)]
 struct Side {
     zone: usize,
     up: bool,
     slots: BTreeMap<AdapterKey, Slot>,
-    /// Requests that wait for any slot, in order.
+    /// Requests that wait for a free slot, in order of arrival.
     queue: VecDeque<usize>,
-    /// Requests placed and not ended.
+    /// Number of requests placed here that have not ended.
     load: u32,
 }
 
@@ -30,11 +31,11 @@
     loaded: Time,
     used: Time,
     users: u32,
-    /// Requests that wait for the load.
+    /// Requests that wait until the adapter is loaded.
     waiting: Vec<usize>,
 }
 
-/// A baseline at work.
+/// The state of a baseline policy in one run.
 #[derive(Clone, Debug)]
 pub(crate) struct Baseline {
     sizes: Sizes,
@@ -215,7 +216,7 @@
         self.fill(now, target, out);
     }
 
-    /// Gives free slots to those that wait, in order.
+    /// Gives free slots to the queued requests, in order.
     fn fill(&mut self, now: Time, target: TargetNo, out: &mut Vec<Action>) {
         let queue = std::mem::take(&mut self.sides[target.0 as usize].queue);
         for id in queue {
@@ -233,7 +234,7 @@
     }
 }
 
-/// Engines honour priorities; the baselines use that.
+/// Returns the priority at the engine; the simulated engines serve lower numbers first.
 fn priority(class: Class) -> i32 {
     match class {
         Class::Critical => 0,
--- a/crates/measure/src/bound.rs
+++ b/crates/measure/src/bound.rs
@@ -1,33 +1,33 @@
-//! A bound on what anybody could serve in a world, even knowing all of its
-//! requests in advance.
+//! An offline upper bound on the worth that any policy can serve in a world, even a
+//! clairvoyant one that knows all requests in advance.
 //!
-//! Whoever serves needs loads of the store, time in engines' slots and time of
-//! engines. Each gets a price. At any prices, what a policy earns is no more
-//! than what its capacities cost and what each adapter's best plan earns
-//! beyond what it pays; so every choice of prices gives a bound, and a search
-//! takes a low one. A plan at these prices is Belady's choice: an adapter stays
-//! only where its next request is so near that its slot costs less than a load,
-//! so that the one with the farthest next request gives way, and requests that
-//! are worth less than the engine's time are left out.
+//! The bound is a Lagrangian relaxation. Serving consumes three resources: loads from the
+//! store, time in engines' adapter slots, and engine time. Each resource gets a price, its
+//! Lagrange multiplier. At any prices, the worth that a policy serves is at most the cost
+//! of all capacity plus, summed over adapters, the profit (worth minus cost) of the
+//! adapter's best plan. So any choice of prices gives a valid bound, and a search looks for
+//! prices that give a low one. A best plan evicts as Belady's algorithm does: an adapter
+//! stays resident only if its next request is so near that its slot costs less than
+//! another load, so the adapter with the farthest next request is evicted. Requests worth
+//! less than the engine time that they take are not served.
 //!
-//! All that is relaxed helps the clairvoyant:
+//! Every relaxation can only raise the bound:
 //!
-//! - all engines are one: an adapter in any slot serves every engine, and no
-//!   zone is ever cut off;
-//! - the caches at the beginning of the count are as wished, at the price of a
-//!   load for each adapter in a slot;
-//! - loads never fail, go at full speed, and hold their slots no longer;
-//! - a slot is paid for only where it is held for a whole slice of time, and an
-//!   adapter that is there at any moment of a slice serves all who wait for
-//!   their first token then;
-//! - each request shares its steps with as many of its adapter as can be under
-//!   way at once in its time; batches, or else all slots, are always full, each
-//!   of the two a constraint of its own; prompts' heads are cached;
-//! - fractions of plans may be mixed, and capacities need hold over the whole
-//!   count only, not at each moment.
+//! - all engines are pooled into one: an adapter in any slot serves requests on every
+//!   engine, and no zone is ever cut off;
+//! - a plan chooses which adapters are resident at the start of the counted period, at the
+//!   price of a load for each;
+//! - loads never fail, run at full speed, and occupy their slots no longer than that;
+//! - a slot is paid for only if it is held for a whole slice of time, and an adapter that
+//!   is resident at any moment of a slice serves all requests that wait for their first
+//!   token in it;
+//! - each request shares its steps with the highest number of requests for its adapter
+//!   that can be in progress at once during its lifetime; either the batch or the slots
+//!   are always full, which gives two separate constraints; prompts' prefixes are cached;
+//! - plans may be mixed fractionally, and capacity limits hold only in total over the
+//!   counted period, not at each moment.
 //!
-//! One thing is taken for granted that is a rule of every world: a load holds
-//! its slot from its start on.
+//! The bound relies on one rule of every world: a load occupies its slot from its start.
 
 mod line;
 
@@ -45,22 +45,22 @@
 /// Microseconds of a slice of time.
 const SLICE: u64 = 1_000_000;
 
-/// First step of the search, as a part of the price at which a capacity costs
-/// all that is asked for.
+/// Initial step of the search, in units of the price at which a capacity costs as much as
+/// the worth of all requests.
 const FIRST_STEP: f64 = 0.25;
 
-/// Step at which the search ends.
+/// Smallest step of the search.
 const LAST_STEP: f64 = 1.0 / 512.0;
 
-/// Allowance for the rounding of sums, as a part of them.
+/// Relative allowance for rounding errors in sums.
 const ROUNDING: f64 = 1e-9;
 
-/// Capacities over the whole count, in the order of a search's coordinates:
-/// loads, slots times slices, and milliseconds of engines, counted in two ways.
+/// Capacities over the counted period, in the order of the search's coordinates: loads,
+/// slots times slices, and engine milliseconds, computed in the two ways of [`least_ms`].
 type Capacity = [f64; 4];
 
-/// Returns a worth that no policy which keeps the rules exceeds, in the unit of
-/// [`Figures::worth`](crate::figures::Figures::worth).
+/// Returns an upper bound on the worth of any policy without rule violations, in the unit
+/// of [`Figures::worth`](crate::figures::Figures::worth).
 #[must_use]
 pub fn bound(work: &Workload) -> f64 {
     let lines = lines(work);
@@ -69,7 +69,7 @@
     let load_slices = load_slices(work);
     let mut scratch = Scratch::default();
     let least = search(|at| {
-        // A capacity of nothing has any price.
+        // The price of an empty capacity does not matter; this avoids a division by zero.
         let price = |i: usize| at[i] * asked / capacity[i].max(1.0);
         let price = Price {
             load: price(0) + price(1) * load_slices,
@@ -82,7 +82,7 @@
     least * (1.0 + ROUNDING)
 }
 
-/// Returns the requests that count, by adapter.
+/// Returns the requests whose worth counts, grouped by adapter.
 fn lines(work: &Workload) -> Vec<Line> {
     let mut groups: BTreeMap<_, Vec<&Arrival>> = BTreeMap::new();
     for arrival in work.arrivals.iter().filter(|a| work.weighs(a)) {
@@ -96,8 +96,8 @@
     lines.collect()
 }
 
-/// Returns, for each request for one adapter, how many of them, itself among
-/// them, can be under way at once in its time.
+/// Returns, for each request of `group`, the highest number of requests of the group,
+/// itself included, that can be in progress at once during its lifetime.
 fn sharers(work: &Workload, group: &[&Arrival]) -> Vec<u32> {
     let slices = |a: &Arrival| slice(work, a.at)..=slice(work, a.whole_by());
     let mut counts = vec![0; slice(work, work.span.end()) + 1];
@@ -121,13 +121,13 @@
     }
 }
 
-/// Returns for how many slices a load holds its slot at least.
+/// Returns the shortest time, in slices, for which a load occupies its slot.
 fn load_slices(work: &Workload) -> f64 {
     let store = Store::new(work.sizes.loads, work.sizes.parallel);
     store.least_secs() * 1e6 / SLICE as f64
 }
 
-/// Returns the slice of the count in which a moment lies.
+/// Returns the slice of the counted period that contains `at`.
 fn slice(work: &Workload, at: Time) -> usize {
     let micros = at.0 - work.span.start().0;
     usize::try_from(micros / SLICE).unwrap_or(usize::MAX)
@@ -139,8 +139,8 @@
     let slots = f64::from(sizes.slots);
     let up = up(work).as_secs_f64();
     let loads = Store::new(sizes.loads, sizes.parallel).most(secs);
-    // What is there as the count begins was loaded before: both a load and its
-    // time come on top.
+    // Adapters resident at the start of the counted period were loaded before it, so both
+    // the loads and their slot time come on top.
     let there = slots * sizes.engines as f64;
     [
         loads + there,
@@ -150,7 +150,7 @@
     ]
 }
 
-/// Returns for how long engines are up during the count, added up.
+/// Returns the time for which engines are up during the counted period, summed over all.
 fn up(work: &Workload) -> Duration {
     let (start, end) = (work.span.start(), work.span.end());
     let within = |at: Time| at.clamp(start, end);
@@ -173,8 +173,8 @@
     sum
 }
 
-/// Looks for the least value of a convex function from nothing up: polls all
-/// neighbours, and halves the step where none is lower.
+/// Minimises a convex function by pattern search, starting at zero: polls all neighbours
+/// and halves the step when none is lower.
 fn search(mut value: impl FnMut(Capacity) -> f64) -> f64 {
     let mut at = [0.0; 4];
     let mut least = value(at);
@@ -184,7 +184,8 @@
             (here < least).then_some((next, here))
         })
     };
-    // What is no lower one small step away is no lower farther off.
+    // The function is convex: if no neighbour at the smallest step is lower, none farther
+    // away is.
     if lower(at, LAST_STEP, least).is_none() {
         return least;
     }
@@ -198,7 +199,7 @@
     least
 }
 
-/// Returns the points one step away in one or two coordinates, none below 0.
+/// Returns the points one step away in one or two coordinates, clamped to 0 from below.
 fn neighbours(at: [f64; 4], step: f64) -> Vec<[f64; 4]> {
     let moves = (0..at.len()).flat_map(|i| [(i, step), (i, -step)]);
     let moves: Vec<_> = moves.collect();
--- a/crates/measure/src/bound/line.rs
+++ b/crates/measure/src/bound/line.rs
@@ -1,13 +1,16 @@
-//! One adapter's requests, and the best plan for them at given prices.
+//! One adapter's requests, and the most profitable plan for them at given prices.
+//!
+//! A plan says in which slices of time the adapter is resident. Its profit is the worth of
+//! the requests that it serves, minus the prices of loads, slots and engine time.
 
-/// Prices of what serving needs.
+/// Prices of the resources that serving consumes.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Price {
-    /// Of a load.
+    /// Price of a load.
     pub(super) load: f64,
-    /// Of a slot for one slice of time.
+    /// Price of a slot for one slice of time.
     pub(super) slice: f64,
-    /// Of a millisecond of an engine, counted in each of two ways.
+    /// Price of an engine millisecond, for each of the two ways to compute it.
     pub(super) engine: [f64; 2],
 }
 
@@ -16,10 +19,11 @@
 pub(super) struct Ask {
     /// First slice in which it can be served.
     pub(super) from: usize,
-    /// Last one; none when it can wait until the end.
+    /// Last slice in which it can be served; `None` if it can wait until the end.
     pub(super) to: Option<usize>,
+    /// Worth of its answer, in weighted tokens.
     pub(super) worth: f64,
-    /// Milliseconds of an engine that it takes, counted in two ways.
+    /// Engine milliseconds that it takes, computed in two ways.
     pub(super) cost: [f64; 2],
 }
 
@@ -27,25 +31,26 @@
 #[derive(Clone, Debug)]
 pub(super) struct Line {
     asks: Vec<Ask>,
-    /// Slices in which being there can earn anything more than before, in
-    /// order. At equal prices of all moments no other matters: a plan that is
-    /// there only in another slice can be there in the one before as well.
+    /// Slices in which some request can be served, in order. Prices are the same at all
+    /// times, so the others don't matter: instead of being resident in another slice, a
+    /// plan can be resident in the listed slice before it at no higher cost.
     slices: Vec<usize>,
-    /// Slices from the first to the last of the longest wait that ends.
+    /// Number of slices of the longest wait among requests that can't wait until the end.
     widest: usize,
 }
 
-/// Room for the sums of one line, used again for the next.
+/// Buffers for the computation of one adapter, reused for the next one.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Scratch {
-    /// By slice in which they come and by slices that they wait at least: what
-    /// requests earn that wait no longer than the widest.
+    /// Profit of requests with a last slice, by the slice of their arrival and the minimum
+    /// number of slices that they wait; row-major, with rows of the longest wait.
     closed: Vec<f64>,
-    /// What requests earn that come by each slice and can wait until the end.
+    /// Profit of requests that can wait until the end and arrived by each slice.
     open: Vec<f64>,
-    /// The best until each slice in which the adapter was there last.
+    /// Highest profit of plans in which the adapter is last resident in each slice.
     best: Vec<f64>,
-    /// The best of all until each slice, less what open requests earned.
+    /// Highest profit of all plans up to each slice, minus the profit of requests that can
+    /// wait until the end.
     top: Vec<f64>,
 }
 
@@ -71,19 +76,19 @@
         self.asks.iter().map(|ask| ask.worth).sum()
     }
 
-    /// Returns the most that any plan earns beyond what it pays.
+    /// Returns the profit of the best plan: worth served minus the cost of resources.
     pub(super) fn best(&self, price: &Price, scratch: &mut Scratch) -> f64 {
         self.earn(price, scratch);
         scratch.best.clear();
         scratch.top.clear();
         let mut most = 0.0_f64;
-        // The best that still holds its slot at the end of the last slice.
+        // Highest profit of plans that still hold the slot at the end of the previous slice.
         let mut held = f64::NEG_INFINITY;
         for n in 0..self.slices.len() {
             let load = self.load(n, scratch) - price.load;
             let keep = held - self.gap(n) * price.slice + self.added(n, scratch);
             let best = load.max(keep);
-            // Who is there through all of a slice pays for it, or loads again.
+            // A plan that stays resident throughout a slice pays for it, or for another load.
             held = load.max(keep - price.slice.min(price.load));
             let open = best - scratch.open[n];
             let top = scratch.top.last().map_or(open.max(0.0), |t| t.max(open));
@@ -94,7 +99,7 @@
         most
     }
 
-    /// Sums up what requests earn beyond the engine's time.
+    /// Sums up the profit of requests: worth minus the cost of engine time.
     fn earn(&self, price: &Price, scratch: &mut Scratch) {
         let (count, widest) = (self.slices.len(), self.widest);
         scratch.closed.clear();
@@ -120,8 +125,8 @@
         }
     }
 
-    /// Returns the best that comes anew in the `n`-th slice, before it pays for
-    /// its load.
+    /// Returns the highest profit of plans that load the adapter in the `n`-th slice, before
+    /// the price of that load.
     fn load(&self, n: usize, scratch: &Scratch) -> f64 {
         let mut earned = 0.0;
         let mut best = f64::NEG_INFINITY;
@@ -130,7 +135,7 @@
             first -= 1;
             let waited = self.slices[n] - self.slices[first];
             earned += scratch.closed[first * self.widest + waited];
-            // Served last in the slice before `first`.
+            // The plan was last resident in the slice before `first`.
             if first > 0 {
                 let before = scratch.best[first - 1] - scratch.open[first - 1];
                 best = best.max(before + earned);
@@ -143,13 +148,13 @@
         best.max(top + earned) + scratch.open[n]
     }
 
-    /// Returns what requests earn that come in the `n`-th slice.
+    /// Returns the profit of requests that arrive in the `n`-th slice.
     fn added(&self, n: usize, scratch: &Scratch) -> f64 {
         let before = n.checked_sub(1).map_or(0.0, |n| scratch.open[n]);
         scratch.closed[n * self.widest] + scratch.open[n] - before
     }
 
-    /// Counts the whole slices between the `n`-th and the one before.
+    /// Counts the slices of time between the `n`-th listed slice and the one before.
     fn gap(&self, n: usize) -> f64 {
         let before = n.checked_sub(1).map_or(0, |n| self.slices[n] + 1);
         (self.slices[n] - before) as f64
--- a/crates/measure/src/engine.rs
+++ b/crates/measure/src/engine.rs
@@ -1,5 +1,5 @@
-//! A fake of a model engine: slots, a bounded continuous batch, a step time
-//! that grows with the batch and with its distinct adapters.
+//! A simulated model engine with adapter slots, bounded continuous batching, and a step
+//! time that grows with the batch and with the number of distinct adapters in it.
 
 use std::collections::BTreeSet;
 
@@ -7,7 +7,7 @@
 
 use crate::workload::{Arrival, Sizes};
 
-/// Milliseconds of a step apart from what the batch adds.
+/// Fixed milliseconds of a step, before what the batch adds.
 const STEP_MS: f64 = 10.0;
 
 /// Milliseconds that each request in the batch adds to a step.
@@ -16,23 +16,22 @@
 /// Milliseconds that each distinct adapter in the batch adds to a step.
 const ADAPTER_MS: f64 = 0.5;
 
-/// Milliseconds that reading one prompt token takes.
+/// Milliseconds that the prefill of one prompt token takes.
 const PROMPT_MS: f64 = 0.02;
 
-/// Part of a prompt still to be read when its head is cached.
+/// Fraction of a prompt that still needs prefill when its prefix is cached.
 const CACHED_PART: f64 = 0.3;
 
-/// Prompt heads that the cache holds.
+/// Number of prompt prefixes that the cache holds.
 const CACHE: usize = 200;
 
-/// Milliseconds by which a step is shorter at most, its time being cut to whole
-/// microseconds.
+/// Milliseconds by which truncation to whole microseconds shortens a step at most.
 const CUT_MS: f64 = 1e-3;
 
-/// Returns the least milliseconds of an engine that a request takes which
-/// shares its adapter with so many at once, itself among them, counted in two
-/// ways: a step is divided among the places of the batch, or among the slots.
-/// Its prompt is read with the head cached.
+/// Returns a lower bound on the engine milliseconds that a request takes when at most
+/// `sharers` requests, itself included, use its adapter at once. The bound is computed in
+/// two ways: the fixed time of a step is divided among the places of the batch, or among
+/// the adapter slots. The prompt's prefix counts as cached.
 pub(crate) fn least_ms(sizes: &Sizes, arrival: &Arrival, sharers: u32) -> [f64; 2] {
     let sharers = f64::from(sharers.clamp(1, sizes.batch));
     let step = STEP_MS * sizes.pace - CUT_MS;
@@ -43,32 +42,32 @@
     [by_place, by_slot].map(|part| f64::from(arrival.tokens) * (part + own) + read)
 }
 
-/// A request as the engine sees it.
+/// A request in the engine's queue or batch.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Job {
     pub(crate) id: usize,
     pub(crate) key: AdapterKey,
     pub(crate) prompt: u32,
     pub(crate) prefix: u64,
-    /// Tokens still to generate.
+    /// Tokens still to be generated.
     pub(crate) left: u32,
 }
 
-/// What a step brought.
+/// Result of a step.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Step {
-    /// Requests that generated a token.
+    /// Requests for which a token was generated.
     pub(crate) tokens: Vec<usize>,
     /// Requests that ended.
     pub(crate) ended: Vec<usize>,
 }
 
-/// One engine.
+/// One simulated engine.
 #[derive(Clone, Debug)]
 pub(crate) struct Engine {
     pub(crate) resident: BTreeSet<AdapterKey>,
     pub(crate) up: bool,
-    /// Counts lives; also names the step under way.
+    /// Number of crashes so far; lets the event of a step that a crash aborted be ignored.
     pub(crate) life: u64,
     pub(crate) busy_secs: f64,
     batch: usize,
@@ -82,7 +81,7 @@
 }
 
 impl Engine {
-    /// Makes an engine that takes `pace` times as long as the plain one.
+    /// Creates an engine whose steps take `pace` times as long as the reference engine's.
     pub(crate) fn new(batch: usize, pace: f64) -> Self {
         Engine {
             resident: BTreeSet::new(),
@@ -107,7 +106,7 @@
         self.waiting.sort_by_key(|(p, n, _)| (*p, *n));
     }
 
-    /// Takes a request out; returns it with what is left to generate.
+    /// Removes a request; returns it with the number of tokens still to be generated.
     pub(crate) fn cancel(&mut self, id: usize) -> Option<Job> {
         if let Some(at) = self.waiting.iter().position(|(_, _, job)| job.id == id) {
             return Some(self.waiting.remove(at).2);
@@ -126,7 +125,7 @@
             .count()
     }
 
-    /// Goes down and loses everything; returns what was there.
+    /// Goes down and loses its adapters, cache and requests; returns the requests.
     pub(crate) fn crash(&mut self) -> Vec<Job> {
         self.up = false;
         self.life += 1;
@@ -137,8 +136,8 @@
         self.running.drain(..).chain(waiting).collect()
     }
 
-    /// Starts a step if none is under way and there is work; returns its
-    /// length in microseconds.
+    /// Starts a step if none is in progress and there is work; returns its length in
+    /// microseconds.
     pub(crate) fn begin(&mut self) -> Option<u64> {
         if self.stepping || !self.up {
             return None;
@@ -162,7 +161,7 @@
         Some((ms * 1e3) as u64)
     }
 
-    /// Ends the step under way: each request in the batch has one more token.
+    /// Ends the step in progress: each request in the batch has one more token.
     pub(crate) fn end(&mut self) -> Step {
         self.stepping = false;
         let mut step = Step::default();
--- a/crates/measure/src/lib.rs
+++ b/crates/measure/src/lib.rs
@@ -1,11 +1,11 @@
-//! Measures the load and routing decisions in virtual time, from a seed,
-//! against baselines.
+//! Simulates the load and routing decisions in virtual time, from a seed, and compares
+//! them with baselines.
 //!
-//! The [`workload`]s follow the sizes of the two deployments. [`world`] feeds
-//! the same arrivals and faults to every [`Policy`], with the same fakes of
-//! engine and weight store; [`figures`] says what came of it. [`worlds`] are
-//! those that no deployment has. [`bound()`] says what nobody can exceed, not
-//! even knowing all that will come.
+//! The [`workload`]s follow the sizes of the two deployments. [`world`] feeds the same
+//! arrivals and faults to every [`Policy`], with the same simulated engines and weight
+//! store; [`figures`] defines the metrics of a run. [`worlds`] holds synthetic workloads
+//! with sizes that no deployment has. [`bound()`] computes an offline upper bound that
+//! not even a clairvoyant policy exceeds.
 
 mod baseline;
 mod bound;
--- a/crates/measure/src/ours.rs
+++ b/crates/measure/src/ours.rs
@@ -1,6 +1,6 @@
-//! The project's own decisions at work: a router and a scheduler on each entry
-//! instance, messages that take a millisecond, and a leader that divides the
-//! store's budget twice a second.
+//! The project's own policy: a router and a scheduler on each entry instance, messages
+//! that take a millisecond, and a leader that divides the store's load budget twice a
+//! second.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -18,26 +18,26 @@
     workload::{Arrival, Sizes},
 };
 
-/// Between two instances, one way.
+/// One-way delay of a message between two instances.
 const LAG: Duration = Duration::from_millis(1);
 
-/// Between two divisions of the store's budget.
+/// Interval between two divisions of the store's load budget.
 const BEAT: Duration = Duration::from_millis(500);
 
-/// Part of the budget that is dealt out evenly, so that a zone cut off still
-/// has some; the rest goes where loads wait.
+/// Fraction of the load budget that is divided evenly, so that a zone that is cut off still
+/// has some; the rest goes to the instances with waiting loads.
 const FIXED_PART: f64 = 0.5;
 
-/// Pool of the engines.
+/// Pool number of the engines.
 const ENGINES: PoolNo = PoolNo(0);
 
-/// Pool of the plain service.
+/// Pool number of the plain service.
 const PORTALS: PoolNo = PoolNo(1);
 
-/// Requests that a plain service replica runs at once.
+/// Number of requests that a plain service replica runs at once.
 const PORTAL_PLACES: u32 = 32;
 
-/// A message under way.
+/// A message in flight, or the timer of the next budget division.
 #[derive(Clone, Debug)]
 enum Mail {
     ToOwner(usize, Input),
@@ -45,7 +45,7 @@
     Beat,
 }
 
-/// What is known of a request at its entry instance.
+/// State of a request at its entry instance.
 #[derive(Clone, Debug)]
 struct Track {
     arrival: Arrival,
@@ -55,7 +55,7 @@
     attempts: Attempts,
 }
 
-/// All entry instances.
+/// The routers and schedulers of all entry instances.
 pub(crate) struct Ours {
     sizes: Sizes,
     routers: Vec<Router>,
@@ -88,7 +88,7 @@
         ours
     }
 
-    /// Tells all instances of adapters and targets.
+    /// Announces the adapters and targets to all instances.
     fn begin(&mut self) {
         let mut out = Vec::new();
         for adapter in (0..self.sizes.adapters).map(AdapterNo) {
@@ -143,7 +143,7 @@
         self.scheduler(now, self.owner(target_no(i)), input, out);
     }
 
-    /// Returns the instance that owns an engine: one of its zone.
+    /// Returns the owner of an engine: an instance of its zone.
     fn owner(&self, target: TargetNo) -> usize {
         let (i, zones) = (target.0 as usize, self.sizes.zones);
         let zone = zone_of(i, zones);
@@ -278,8 +278,8 @@
         self.scheduler(now, owner, Input::Finished { ticket, ok }, out);
     }
 
-    /// A request that one engine can't take is tried at another, as far as
-    /// the budget of repeats goes.
+    /// Retries a request at another engine if its engine was unavailable and the attempt
+    /// limit and the retry budget allow it; otherwise refuses it.
     fn refused(&mut self, now: Time, id: usize, reason: Refusal, out: &mut Vec<Action>) {
         let Some(mut track) = self.tracks.remove(&id) else {
             return;
@@ -349,7 +349,7 @@
         }
     }
 
-    /// Whether two instances reach each other.
+    /// Returns whether two instances can reach each other.
     fn joined(&self, a: usize, b: usize) -> bool {
         let zone = |i| Some(zone_of(i, self.sizes.zones));
         self.cut.is_none() || (zone(a) == self.cut) == (zone(b) == self.cut)
@@ -378,7 +378,7 @@
     fn deliver(&mut self, now: Time, out: &mut Vec<Action>) {
         while let Some(entry) = self.mail.first_entry().filter(|e| e.key().0 <= now) {
             match entry.remove() {
-                // The caller may have left while its request was under way.
+                // The caller may have disconnected while the message was in flight.
                 Mail::ToOwner(_, Input::Arrive { ticket, .. })
                     if !self.tracks.contains_key(&id_of(ticket)) => {}
                 Mail::ToOwner(i, input) => self.scheduler(now, i, input, out),
@@ -388,7 +388,7 @@
         }
     }
 
-    /// Divides the store's budget, as the leader does.
+    /// Divides the store's load budget among the instances, as the leader does.
     fn beat(&mut self, now: Time, out: &mut Vec<Action>) {
         let all = self.sizes.loads * 1_000.0;
         let count = self.sizes.entries;
@@ -419,7 +419,7 @@
         self.post(now + BEAT, Mail::Beat);
     }
 
-    /// A zone is cut off or joined again.
+    /// Sets which zone is cut off, if any, and updates reachability.
     fn reach(&mut self, now: Time, cut: Option<usize>, out: &mut Vec<Action>) {
         self.cut = cut;
         let zones = self.sizes.zones;
--- a/crates/measure/src/policy.rs
+++ b/crates/measure/src/policy.rs
@@ -1,41 +1,42 @@
-//! What the world asks of a policy, and what a policy orders.
+//! The interface between the simulated world and a policy: the events that a policy
+//! handles and the actions that it orders.
 
 use base::{AdapterKey, TargetNo, Time};
 
 use crate::{baseline::Baseline, ours::Ours, workload::Arrival, workload::Sizes};
 
-/// Which decisions are measured.
+/// A policy that can be simulated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Policy {
-    /// The project's own.
+    /// The project's own router and scheduler.
     Ours,
-    /// A baseline.
+    /// A baseline: how it chooses an engine, and what it evicts.
     Baseline(Spread, Evict),
 }
 
 /// How a baseline chooses an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Spread {
-    /// The one with the fewest requests.
+    /// The engine with the fewest requests.
     LeastLoaded,
-    /// The adapter's own, by hashing.
+    /// The adapter's home engine, chosen by rendezvous hashing.
     Hash,
-    /// Both: the least loaded one that holds the adapter, else the adapter's
-    /// own, as long as they have room; else the least loaded one.
+    /// The least loaded engine on which the adapter is resident, else the adapter's home
+    /// engine, as long as they have room in their batch; else the least loaded engine.
     Holder,
 }
 
-/// What a baseline evicts.
+/// Which adapter a baseline evicts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Evict {
-    /// What was loaded first.
+    /// The adapter that was loaded first.
     Oldest,
-    /// What was used least recently.
+    /// The least recently used adapter.
     LeastRecent,
 }
 
 impl Policy {
-    /// Ours first, then all baselines.
+    /// All simulated policies: ours first, then the baselines.
     pub const ALL: [Policy; 6] = [
         Policy::Ours,
         Policy::Baseline(Spread::LeastLoaded, Evict::Oldest),
@@ -45,7 +46,7 @@
         Policy::Baseline(Spread::Holder, Evict::LeastRecent),
     ];
 
-    /// Returns its name in tables.
+    /// Returns the policy's name in tables.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -60,43 +61,47 @@
     }
 }
 
-/// What happens to a policy.
+/// An event that a policy handles. Requests are named by their index in the workload.
 #[derive(Clone, Debug)]
 pub(crate) enum Event {
-    /// A request comes, or comes back because its engine went down.
+    /// A request arrives, or is retried because its engine went down.
     Arrive(usize, Arrival),
-    /// The caller left.
+    /// The caller disconnected before the first token.
     Left(usize),
-    /// The first token came.
+    /// The first token was generated.
     Began(usize),
-    /// A sent request ended.
+    /// A sent request ended; the flag tells whether it was answered.
     Ended(usize, bool),
-    /// A preempted request has left its engine.
+    /// A preempted request was removed from its engine.
     Paused(usize),
+    /// A load ended; the flag tells whether it succeeded.
     Loaded(TargetNo, AdapterKey, bool),
     Unloaded(TargetNo, AdapterKey),
     Down(TargetNo),
     Up(TargetNo),
+    /// The network partition of a zone from all others begins.
     Cut(usize),
+    /// The network partition has ended.
     Joined,
-    /// The policy's own time has come.
+    /// The time that [`Decider::next_at`] returned has been reached.
     Timer,
 }
 
-/// What a policy orders.
+/// An action that a policy orders.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Action {
-    /// The request waits for this target from now on.
+    /// Queue the request for this target; from here on its load stall counts.
     Place(usize, TargetNo),
+    /// Send the request to this target with a priority; a lower number goes first.
     Send(usize, TargetNo, i32),
     Refuse(usize),
-    /// Cancel the running request; it will be sent again.
+    /// Cancel the running request; the policy sends it again later.
     Preempt(usize),
     Load(TargetNo, AdapterKey),
     Unload(TargetNo, AdapterKey),
 }
 
-/// A policy at work.
+/// The state of a policy in one run.
 pub(crate) enum Decider {
     Ours(Box<Ours>),
     Baseline(Box<Baseline>),
@@ -119,7 +124,7 @@
         }
     }
 
-    /// Returns when it wants [`Event::Timer`].
+    /// Returns the time at which the policy needs [`Event::Timer`].
     pub(crate) fn next_at(&self) -> Option<Time> {
         match self {
             Decider::Ours(ours) => ours.next_at(),
@@ -128,17 +133,19 @@
     }
 }
 
-/// Returns the zone of the `i`-th of things dealt over the zones.
+/// Returns the zone of the `i`-th engine, replica or instance: they are distributed
+/// round-robin over the zones.
 pub(crate) fn zone_of(i: usize, zones: usize) -> usize {
     i % zones
 }
 
-/// Returns the number of the `i`-th plain service replica; engines come first.
+/// Returns the target number of the `i`-th plain service replica; numbers of engines come
+/// first.
 pub(crate) fn portal_no(sizes: &Sizes, i: usize) -> TargetNo {
     target_no(sizes.engines + i)
 }
 
-/// Returns the number of the `i`-th target.
+/// Returns the target number of the `i`-th target.
 pub(crate) fn target_no(i: usize) -> TargetNo {
     TargetNo(u32::try_from(i).unwrap_or(u32::MAX))
 }
--- a/crates/measure/src/standing.rs
+++ b/crates/measure/src/standing.rs
@@ -1,22 +1,23 @@
-//! How far ours is from the bound, beside the best baseline.
+//! Compares the worth served by our policy with the best baseline and the offline bound.
 
 use crate::figures::Figures;
 
-/// Worth that policies gave in a world, and what nobody exceeds.
+/// Worth served in one world by our policy and by the best baseline, and its bound. All
+/// values are in the unit of [`Figures::worth`].
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Standing {
-    /// Asked for.
+    /// Worth of all requests.
     pub asked: f64,
-    /// Given by ours.
+    /// Worth served by our policy.
     pub ours: f64,
-    /// Given by the best baseline.
+    /// Worth served by the best baseline.
     pub best: f64,
-    /// The bound.
+    /// Upper bound on the worth that any policy can serve.
     pub bound: f64,
 }
 
 impl Standing {
-    /// Makes it from the figures of ours, of the baselines, and the bound.
+    /// Creates it from the figures of our policy and of the baselines, and the bound.
     #[must_use]
     pub fn new(ours: &Figures, baselines: &[Figures], bound: f64) -> Self {
         let given = baselines.iter().map(|figures| figures.worth.1);
@@ -28,13 +29,13 @@
         }
     }
 
-    /// Returns whether nobody exceeds the bound.
+    /// Returns whether no policy exceeds the bound.
     #[must_use]
     pub fn holds(&self) -> bool {
         self.ours.max(self.best) <= self.bound
     }
 
-    /// Returns the part of the bound that ours leaves.
+    /// Returns the fraction of the bound that our policy does not serve.
     #[must_use]
     pub fn distance(&self) -> f64 {
         1.0 - self.ours / self.bound.max(f64::MIN_POSITIVE)
@@ -54,7 +55,7 @@
     }
 }
 
-/// Head of the table that [`Standing::row`] makes rows for.
+/// Heading of the table whose rows [`Standing::row`] writes.
 pub const STANDINGS: &str = "\
 | world | ours | best baseline | bound | distance |
 | --- | --- | --- | --- | --- |";
--- a/crates/measure/src/store.rs
+++ b/crates/measure/src/store.rs
@@ -1,35 +1,36 @@
-//! A fake of the weight store: few loads go at full speed, more share it.
+//! A simulated weight store: up to a limit, loads run at full speed; beyond it they share
+//! the bandwidth evenly.
 
 use base::{AdapterKey, TargetNo, Time};
 
-/// Seconds that may be missing when a load counts as done.
+/// Remaining seconds up to which a load counts as done; absorbs rounding errors.
 const DONE: f64 = 1e-6;
 
-/// One load under way.
+/// A load in progress.
 #[derive(Clone, Copy, Debug)]
 struct Job {
     target: TargetNo,
     key: AdapterKey,
-    /// Seconds at full speed still to go.
+    /// Seconds that the load still takes at full speed.
     left: f64,
 }
 
-/// The weight store.
+/// The simulated weight store.
 #[derive(Clone, Debug)]
 pub(crate) struct Store {
     jobs: Vec<Job>,
-    /// Loads served at full speed at once.
+    /// Number of concurrent loads that run at full speed.
     parallel: f64,
     /// Seconds that one load takes at full speed.
     full: f64,
     at: Time,
-    /// Loads started.
+    /// Number of loads started.
     pub(crate) started: u64,
 }
 
 impl Store {
-    /// Makes a store that serves `rate` loads a second, `parallel` of them at
-    /// full speed at once.
+    /// Creates a store that serves `rate` loads per second, with up to `parallel` concurrent
+    /// loads at full speed.
     pub(crate) fn new(rate: f64, parallel: u32) -> Self {
         let parallel = f64::from(parallel);
         Store {
@@ -51,13 +52,13 @@
         });
     }
 
-    /// Drops the loads of an engine that went down.
+    /// Drops the loads to an engine that went down.
     pub(crate) fn drop_target(&mut self, now: Time, target: TargetNo) {
         self.advance(now);
         self.jobs.retain(|job| job.target != target);
     }
 
-    /// Counts the loads under way to an engine.
+    /// Counts the loads in progress to an engine.
     pub(crate) fn under_way(&self, target: TargetNo) -> usize {
         self.jobs.iter().filter(|job| job.target == target).count()
     }
@@ -73,19 +74,19 @@
         Some(Time(self.at.0 + micros))
     }
 
-    /// Takes out the loads that have ended.
+    /// Removes and returns the loads that have ended.
     pub(crate) fn take_done(&mut self, now: Time) -> Vec<(TargetNo, AdapterKey)> {
         self.advance(now);
         let done = self.jobs.extract_if(.., |job| job.left <= DONE);
         done.map(|job| (job.target, job.key)).collect()
     }
 
-    /// Returns the most loads that it can do in a time.
+    /// Returns the highest number of loads that the store can complete in `secs` seconds.
     pub(crate) fn most(&self, secs: f64) -> f64 {
         secs * self.parallel / self.least_secs()
     }
 
-    /// Returns the least seconds that a load takes.
+    /// Returns the shortest time in seconds that a load can take.
     pub(crate) fn least_secs(&self) -> f64 {
         self.full - DONE
     }
--- a/crates/measure/src/verdict.rs
+++ b/crates/measure/src/verdict.rs
@@ -1,35 +1,35 @@
-//! Ours against the best baseline, and whether the aim is met.
+//! Compares our policy with the best baseline and decides whether the targets are met.
 
 use std::fmt;
 
 use crate::figures::Figures;
 
-/// Part of the best baseline's load stalls that live requests may have.
+/// Highest ratio of our live load stalls to the best baseline's that meets the target.
 const STALL_AIM: f64 = 0.25;
 
-/// Part of live requests answered in time, and of batch requests done, that
-/// ours may be below the best baseline: differences below it are chance.
+/// Fraction of live requests answered in time, and of batch requests done, by which our
+/// policy may be below the best baseline: smaller differences are statistical noise.
 const CHANCE: f64 = 0.005;
 
-/// Ours against the best baseline over one or more workloads.
+/// Our policy compared with the best baseline over one or more workloads.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Comparison {
-    /// Our live load stalls as a part of the best baseline's.
+    /// Ratio of our live load stalls to the best baseline's.
     pub stalls: f64,
-    /// Our batch efficiency as a part of the best baseline's.
+    /// Ratio of our batch efficiency to the best baseline's.
     pub efficiency: f64,
-    /// Our part of live requests answered in time, less the best baseline's.
+    /// Our fraction of live requests answered in time, minus the best baseline's.
     pub answered: f64,
-    /// Our part of batch requests done by their time, less the best
-    /// baseline's.
+    /// Our fraction of batch requests done by their deadline, minus the best baseline's.
     pub done: f64,
-    /// Critical requests that ours lost.
+    /// Critical requests that our policy did not answer by their deadline.
     pub lost: u64,
-    /// Rules that ours broke.
+    /// Rule violations of our policy; see [`Figures::broken`].
     pub broken: u64,
 }
 
-/// Compares ours with the best baseline, taken anew for each figure.
+/// Compares our policy with the best baseline; which baseline is the best is decided for
+/// each figure on its own.
 #[must_use]
 pub fn compare(ours: &Figures, baselines: &[Figures]) -> Comparison {
     let most = |f: fn(&Figures) -> f64| baselines.iter().map(f).fold(0.0, f64::max);
@@ -45,8 +45,8 @@
     }
 }
 
-/// Returns the geometric mean of the parts of the best baseline's stalls: it
-/// weighs each workload alike, where the sum is ruled by the worst overload.
+/// Returns the geometric mean of the stall ratios. It gives every workload the same
+/// weight; a sum would be dominated by the workload with the worst overload.
 #[must_use]
 pub fn mean_stalls(all: &[Comparison]) -> f64 {
     let logs = all.iter().map(|c| c.stalls.max(f64::MIN_POSITIVE).ln());
@@ -54,7 +54,7 @@
 }
 
 impl Comparison {
-    /// Returns whether the aim is met.
+    /// Returns whether all targets are met.
     #[must_use]
     pub fn is_met(&self) -> bool {
         self.stalls <= STALL_AIM
--- a/crates/measure/src/workload.rs
+++ b/crates/measure/src/workload.rs
@@ -1,4 +1,4 @@
-//! The workloads of both deployments, as the brief sizes them.
+//! The workloads of both deployments, with the sizes given by their requirements.
 
 use std::time::Duration;
 
@@ -6,82 +6,82 @@
 use rand::{RngExt as _, SeedableRng as _, seq::SliceRandom as _};
 use rand_chacha::ChaCha8Rng;
 
-/// How long a run takes.
+/// Length of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Span {
-    /// The first part, in which all caches are still cold; it is not counted.
+    /// Warm-up with initially cold caches; it is not counted.
     pub warm: Duration,
-    /// The counted part.
+    /// The counted period, which follows the warm-up.
     pub counted: Duration,
 }
 
 impl Span {
-    /// That of the report.
+    /// Span of a full measurement.
     pub const FULL: Span = Span {
         warm: Duration::from_secs(60),
         counted: Duration::from_secs(240),
     };
 
-    /// That of tests over all worlds.
+    /// Short span, for tests that run all worlds.
     pub const SHORT: Span = Span {
         warm: Duration::from_secs(10),
         counted: Duration::from_secs(20),
     };
 
-    /// Returns when the count begins.
+    /// Returns the start of the counted period.
     #[must_use]
     pub fn start(&self) -> Time {
         Time::ZERO + self.warm
     }
 
-    /// Returns when the run ends.
+    /// Returns the end of the run, which is also the end of the counted period.
     #[must_use]
     pub fn end(&self) -> Time {
         Time::ZERO + self.warm + self.counted
     }
 
-    /// Returns where a second of a full run stands in this one.
+    /// Scales a time in seconds of a full run to this run.
     fn at(&self, secs: u64) -> Time {
         let full = Span::FULL.end().0 / 1_000_000;
         Time(self.end().0 * secs / full)
     }
 }
 
-/// How long somebody who watches waits for the first token before leaving.
+/// How long an interactive caller waits for the first token before disconnecting.
 const LIVE_PATIENCE: Duration = Duration::from_secs(5);
 
-/// How long somebody takes to read a token.
+/// Time that a reader takes per token.
 const READING: Duration = Duration::from_millis(50);
 
-/// How long a listing page or receipt may take.
+/// Time limit of a listing page or receipt.
 const CRITICAL_PATIENCE: Duration = Duration::from_secs(5);
 
 /// One request of a workload.
 #[derive(Clone, Copy, Debug)]
 pub struct Arrival {
-    /// When it comes.
+    /// Time of arrival.
     pub at: Time,
-    /// Which entry instance the platform's balancer gives it to.
+    /// Index of the entry instance to which the platform's load balancer sends it.
     pub entry: usize,
-    /// The adapter; none for the plain service.
+    /// The adapter; `None` for the plain service.
     pub key: Option<AdapterKey>,
-    /// Whose it is.
+    /// The brand that sends it.
     pub brand: BrandNo,
-    /// How urgent it is.
+    /// Its priority class.
     pub class: Class,
-    /// Hash of its conversation's head.
+    /// Hash of the conversation's prefix, which engines cache.
     pub prefix: u64,
-    /// Tokens of its prompt.
+    /// Number of tokens of its prompt.
     pub prompt: u32,
-    /// Tokens of its answer.
+    /// Number of tokens of its answer.
     pub tokens: u32,
-    /// First token by then; for batch work, the last one.
+    /// Deadline of the first token; for batch work, of the last one.
     pub deadline: Time,
 }
 
 impl Arrival {
-    /// Returns when the whole answer is due: as soon as somebody has read it who
-    /// began at the deadline; for batch work, the deadline.
+    /// Returns when the complete answer is due: when a reader who began at the deadline
+    /// reaches its end; for batch work, the deadline.
     #[must_use]
     pub fn whole_by(&self) -> Time {
         match self.class {
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Returns what its answer is worth: its tokens by the weight of its class.
+    /// Returns the worth of its answer: its number of tokens times the weight of its class.
     #[must_use]
     pub fn worth(&self) -> u64 {
         let weight = match self.class {
@@ -102,84 +102,84 @@
     }
 }
 
-/// Something that goes wrong.
+/// A fault, or its end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// The engine goes down and loses everything.
+    /// The engine goes down and loses its adapters, cache and requests.
     Down(usize),
     /// The engine comes back empty.
     Up(usize),
-    /// The zone is cut off from all others.
+    /// A network partition cuts the zone off from all others.
     Cut(usize),
-    /// The zone is joined again.
+    /// The network partition ends.
     Joined,
 }
 
-/// A deployment's sizes.
+/// Sizes of a deployment.
 #[derive(Clone, Debug)]
 pub struct Sizes {
-    /// Its name.
+    /// Name of the deployment.
     pub name: &'static str,
-    /// Availability zones.
+    /// Number of availability zones.
     pub zones: usize,
-    /// Model engines, dealt over the zones.
+    /// Number of model engines, distributed round-robin over the zones.
     pub engines: usize,
-    /// Plain service replicas, dealt over the zones.
+    /// Number of plain service replicas, distributed round-robin over the zones.
     pub portals: usize,
-    /// Entry instances, dealt over the zones.
+    /// Number of entry instances, distributed round-robin over the zones.
     pub entries: usize,
-    /// Adapters.
+    /// Number of adapters.
     pub adapters: u32,
     /// Adapter slots of an engine.
     pub slots: u32,
     /// Places in an engine's batch.
     pub batch: u32,
-    /// Loads a second from the weight store.
+    /// Loads per second that the weight store can serve.
     pub loads: f64,
-    /// Loads that the store serves at full speed at once.
+    /// Number of concurrent loads that the store serves at full speed.
     pub parallel: u32,
-    /// Time that an engine takes for what the plain one does in a unit.
+    /// Step time of an engine relative to the reference engine; 1.0 is equal.
     pub pace: f64,
-    /// Brands; adapters are dealt over them.
+    /// Number of brands; adapters are distributed round-robin over them.
     pub brands: u32,
 }
 
-/// What is asked for over time.
+/// The requests and faults of a run over time.
 #[derive(Clone, Debug)]
 pub struct Workload {
-    /// Its name.
+    /// Name of the workload, as tables print it.
     pub name: String,
-    /// How long it takes.
+    /// Length of the run.
     pub span: Span,
-    /// The deployment.
+    /// Sizes of the deployment that it runs on.
     pub sizes: Sizes,
-    /// Requests in order of time.
+    /// Requests in order of arrival.
     pub arrivals: Vec<Arrival>,
     /// Faults in order of time.
     pub faults: Vec<(Time, Fault)>,
-    /// Adapters whose loads fail, always.
+    /// Adapters whose loads always fail.
     pub broken: Vec<AdapterNo>,
-    /// Part of all loads that fail.
+    /// Probability with which a load of any other adapter fails.
     pub failing: f64,
 }
 
 impl Workload {
-    /// Returns whether a request counts: what comes so late that its time is
-    /// not over by the end is left out.
+    /// Returns whether a request counts: it arrives in the counted period and its deadline
+    /// is not after the end of the run.
     #[must_use]
     pub fn counts(&self, arrival: &Arrival) -> bool {
         arrival.at >= self.span.start() && arrival.deadline <= self.span.end()
     }
 
-    /// Returns whether a request's worth counts: one to an engine that can be
-    /// answered, and whose whole answer is due before the end.
+    /// Returns whether a request's worth counts: it asks for an adapter that can be loaded,
+    /// and its complete answer is due by the end of the run.
     #[must_use]
     pub fn weighs(&self, arrival: &Arrival) -> bool {
         let within = self.counts(arrival) && arrival.whole_by() <= self.span.end();
         within && arrival.key.is_some() && self.possible(arrival)
     }
 
-    /// Returns whether anybody can load what a request asks for.
+    /// Returns whether the adapter that a request asks for can be loaded at all.
     #[must_use]
     pub fn possible(&self, arrival: &Arrival) -> bool {
         let key = arrival.key;
@@ -187,25 +187,26 @@
     }
 }
 
-/// How a workload differs from the plain day. Times are those of a full run.
+/// Demand and faults of a workload. Times are seconds of a full run.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Shape {
     pub(crate) name: &'static str,
-    /// Live requests a second, per engine.
+    /// Live requests per second and engine.
     pub(crate) live: f64,
-    /// Batch requests a second, per engine.
+    /// Batch requests per second and engine.
     pub(crate) batch: f64,
-    /// Skew of popularity: the n-th most popular adapter is asked for by live
-    /// callers in proportion to n to the minus this.
+    /// Exponent of the Zipf distribution of popularity among live callers: requests for the
+    /// n-th most popular adapter are proportional to n^-skew.
     pub(crate) skew: f64,
-    /// When the popularity of adapters is dealt anew.
+    /// Seconds at which the popularity of adapters is reshuffled.
     pub(crate) shifts: &'static [u64],
-    /// Part of live requests that the first brand makes; it is else dealt by
-    /// popularity alone.
+    /// Probability with which a live conversation is moved to the first brand; brands
+    /// otherwise get requests by the popularity of their adapters alone.
     pub(crate) flood: f64,
     pub(crate) faults: &'static [(u64, Fault)],
-    /// Part of adapters that can't be loaded.
+    /// Fraction of adapters that can't be loaded.
     pub(crate) broken: f64,
+    /// Probability with which a load of any other adapter fails.
     pub(crate) failing: f64,
 }
 
@@ -259,22 +260,23 @@
     },
 ];
 
-/// Skew of batch work, which screens every call that has closed.
+/// Zipf exponent of batch work, which screens the submissions to every casting call that
+/// has closed; so its demand is spread more evenly than that of live callers.
 const BATCH_SKEW: f64 = 0.8;
 
-/// Requests of one live conversation, on average.
+/// Mean number of requests of a live conversation.
 const TURNS: f64 = 4.0;
 
-/// Seconds between two requests of one conversation, on average.
+/// Mean number of seconds between two requests of a conversation.
 const THINK_SECS: f64 = 8.0;
 
-/// Requests of one screening, on average.
+/// Mean number of requests of a screening.
 const SCREENED: f64 = 40.0;
 
-/// Critical requests a second to each plain service replica.
+/// Critical requests per second and plain service replica.
 const RECEIPTS: f64 = 5.0;
 
-/// One live request in this many is critical, as an urgent confirmation.
+/// One live request in this many is critical, such as an urgent confirmation.
 const URGENT_IN: u32 = 100;
 
 /// Returns the sizes of both deployments.
@@ -315,7 +317,7 @@
         .collect()
 }
 
-/// Makes the `i`-th workload of [`names`].
+/// Creates the `i`-th workload of [`names`].
 ///
 /// # Panics
 ///
@@ -325,8 +327,8 @@
     within(i, seed, Span::FULL)
 }
 
-/// Makes the `i`-th workload of [`names`] for a run of another length, with
-/// its faults at the same part of it.
+/// Creates the `i`-th workload of [`names`] for a run of another length, with the times
+/// of faults scaled to it.
 ///
 /// # Panics
 ///
@@ -348,7 +350,7 @@
     format!("{} {}", sizes.name, shape.name)
 }
 
-/// Makes a workload from its seed.
+/// Creates a workload from its seed.
 pub(crate) fn make(sizes: &Sizes, shape: &Shape, span: Span, seed: u64) -> Workload {
     let mut maker = Maker {
         rng: ChaCha8Rng::seed_from_u64(seed),
@@ -360,7 +362,7 @@
     let mut ranks: Vec<u32> = (0..sizes.adapters).collect();
     ranks.shuffle(&mut maker.rng);
     let broken = (f64::from(sizes.adapters) * shape.broken) as usize;
-    // Broken ones are spread over all ranks, hot ones included.
+    // Adapters that can't be loaded are spread over all ranks, popular ones included.
     let broken: Vec<_> = (0..broken)
         .map(|i| AdapterNo(ranks[i * 97 % ranks.len()]))
         .collect();
@@ -387,7 +389,7 @@
     }
 }
 
-/// Draws one workload's arrivals.
+/// Generates the arrivals of one workload.
 struct Maker<'a> {
     rng: ChaCha8Rng,
     sizes: &'a Sizes,
@@ -397,7 +399,7 @@
 }
 
 impl Maker<'_> {
-    /// Conversations: each stays with one adapter for a few requests.
+    /// Generates live conversations, each a few requests for one adapter.
     fn live(&mut self, shape: &Shape, ranks: &[u32], later: &[(Time, Vec<u32>)]) {
         let popular = Zipf::new(self.sizes.adapters, shape.skew);
         let rate = shape.live * self.sizes.engines as f64 / TURNS;
@@ -442,15 +444,15 @@
         }
     }
 
-    /// Screenings: many requests at once for one adapter, done by morning,
-    /// which is the end of the run.
+    /// Generates screenings: many batch requests at once for one adapter, due by the end of
+    /// the run.
     fn screening(&mut self, shape: &Shape, ranks: &[u32]) {
         if shape.batch == 0.0 {
             return;
         }
         let popular = Zipf::new(self.sizes.adapters, BATCH_SKEW);
         let rate = shape.batch * self.sizes.engines as f64 / SCREENED;
-        // Work stops coming early enough that all of it can be done.
+        // The last third of the counted period brings no new work, so that all can be done.
         let last = self.end - self.span.counted.as_secs_f64() / 3.0;
         let mut at = 0.0;
         loop {
@@ -513,7 +515,7 @@
         });
     }
 
-    /// Draws from the exponential distribution.
+    /// Draws from the exponential distribution with this mean.
     fn gap(&mut self, mean: f64) -> f64 {
         -mean * (1.0 - self.rng.random::<f64>()).ln()
     }
--- a/crates/measure/src/world.rs
+++ b/crates/measure/src/world.rs
@@ -1,4 +1,4 @@
-//! Feeds one workload to one policy in virtual time.
+//! A discrete-event simulation of one workload under one policy, in virtual time.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -20,44 +20,51 @@
 /// Time that an unload takes.
 const UNLOAD: Duration = Duration::from_millis(2);
 
-/// Requests that a plain service replica runs at once.
+/// Number of requests that a plain service replica runs at once.
 const PORTAL_PLACES: usize = 32;
 
-/// Time that a plain service takes for one request.
+/// Time that a plain service replica takes for one request.
 const PORTAL_TIME: Duration = Duration::from_millis(20);
 
-/// Something that is due.
+/// A scheduled event. Requests, engines and replicas are named by index.
 #[derive(Clone, Copy, Debug)]
 enum Due {
     Arrive(usize),
+    /// The step of an engine ends, unless the engine has crashed since it began.
     Step(usize, u64),
+    /// A plain service replica finishes a request.
     Portal(usize, usize),
+    /// The deadline of a request passes; its caller disconnects if no token has come.
     Patience(usize),
     Unloaded(TargetNo, AdapterKey),
     Fault(Fault),
 }
 
-/// Where a request is.
+/// State of a request in the simulation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
+    /// Not placed at any target.
     Away,
+    /// Queued for a target.
     Placed(TargetNo),
+    /// Sent to a target.
     Sent(TargetNo),
+    /// Answered, refused or abandoned by its caller.
     Over,
 }
 
-/// A request and what became of it.
+/// A request and its outcome so far.
 #[derive(Clone, Debug)]
 struct Request {
     arrival: Arrival,
     state: State,
     left: u32,
     told: Told,
-    /// Since when it has waited for a load.
+    /// Start of its current load stall.
     stalled: Option<Time>,
 }
 
-/// One run.
+/// State of one run.
 struct World<'a> {
     work: &'a Workload,
     now: Time,
@@ -73,7 +80,7 @@
     figures: Figures,
 }
 
-/// Runs a workload under a policy.
+/// Runs a workload under a policy and returns the metrics of its counted period.
 #[must_use]
 pub fn run(work: &Workload, policy: Policy, seed: u64) -> Figures {
     let sizes = &work.sizes;
@@ -179,7 +186,7 @@
             Action::Preempt(id) => self.preempt(id),
             Action::Load(target, key) => {
                 let engine = &self.engines[target.0 as usize];
-                // A load holds its slot from its start on.
+                // A load occupies its slot from its start.
                 let held = engine.resident.len() + self.store.under_way(target);
                 let room = held < self.work.sizes.slots as usize;
                 self.figures.broken += u64::from(!room);
@@ -217,7 +224,7 @@
         self.waiting.entry((target, key)).or_default().push(id);
     }
 
-    /// Takes a request out of the line before its engine, and ends its stall.
+    /// Removes a request from its engine's queue and ends its stall.
     fn unplace(&mut self, id: usize) {
         let request = &mut self.requests[id];
         if let Some(since) = request.stalled.take() {
@@ -325,8 +332,8 @@
         self.tell(Event::Loaded(target, key, ok));
     }
 
-    /// An engine goes down: what was there comes back as new attempts, with
-    /// what is left to generate.
+    /// Takes an engine down; its requests arrive again as new attempts that generate only
+    /// the remaining tokens.
     fn down(&mut self, i: usize) {
         let target = target_no(i);
         self.engines[i].crash();
@@ -371,7 +378,7 @@
         self.due.insert((at, self.posted), due);
     }
 
-    /// Forgets what was counted while the caches were cold.
+    /// Resets the counters at the end of the warm-up.
     fn begin_count(&mut self) {
         self.figures.tokens = 0;
         self.store.started = 0;
--- a/crates/measure/src/worlds.rs
+++ b/crates/measure/src/worlds.rs
@@ -1,20 +1,21 @@
-//! Worlds that no deployment has: places, stores, engines and demand far from
-//! those that the decisions were made for.
+//! Synthetic workloads whose adapter slots, store bandwidth, engine speed and demand are
+//! far from the deployments that the policy was designed for.
 
 use crate::workload::{DAY, Shape, Sizes, Span, Workload, make};
 
-/// What one world is.
+/// Parameters of one synthetic world.
 #[derive(Clone, Copy, Debug)]
 struct World {
     name: &'static str,
     /// Adapter slots of an engine.
     places: u32,
-    /// Loads that the store serves at full speed at once.
+    /// Number of concurrent loads that the store serves at full speed.
     loads: u32,
-    /// Time that engines take for what a plain one does in a unit.
+    /// Step time of the engines relative to the reference engine; 1.0 is equal.
     pace: f64,
+    /// Exponent of the Zipf distribution of adapter popularity.
     skew: f64,
-    /// When popularity is dealt anew.
+    /// Seconds of a full run at which the adapters' popularity is reshuffled.
     shifts: &'static [u64],
 }
 
@@ -27,7 +28,7 @@
     shifts: &[],
 };
 
-/// Popularity that is dealt anew every 40 seconds.
+/// Reshuffles the adapters' popularity every 40 seconds.
 const MOVING: &[u64] = &[60, 100, 140, 180, 220, 260];
 
 #[rustfmt::skip]
@@ -50,14 +51,14 @@
 /// Seconds that a load takes at full speed.
 const LOAD_SECS: f64 = 0.25;
 
-/// What is asked of each engine of every world.
+/// Demand per engine, the same in every world.
 const ASKED: Shape = Shape {
     live: 6.0,
     batch: 1.0,
     ..DAY
 };
 
-/// Sets the seeds of these worlds apart from those of the deployments.
+/// Offset that keeps the seeds of these worlds distinct from those of the deployments.
 const SEEDS: u64 = 500;
 
 /// Returns the names of all worlds.
@@ -66,7 +67,7 @@
     WORLDS.iter().map(|world| world.name.to_owned()).collect()
 }
 
-/// Makes the `i`-th world of [`names`].
+/// Creates the `i`-th world of [`names`].
 ///
 /// # Panics
 ///
@@ -79,7 +80,7 @@
         shifts: world.shifts,
         ..ASKED
     };
-    // All worlds of a seed differ in nothing but their row.
+    // The seed does not depend on `i`, so worlds of one seed differ only in their parameters.
     let seed = seed.wrapping_mul(1_000) + SEEDS;
     let mut work = make(&sizes(world), &shape, span, seed);
     work.name = world.name.to_owned();
--- a/crates/measure/tests/bound.rs
+++ b/crates/measure/tests/bound.rs
@@ -1,5 +1,5 @@
-//! The bound: no policy exceeds it in any world, and it is as low as it can be
-//! told by hand in the smallest ones.
+//! Tests of the offline bound: no policy exceeds it in any world, and in the smallest
+//! worlds it is close to the optimum computed by hand.
 
 use std::time::Duration;
 
@@ -11,11 +11,12 @@
     world, worlds,
 };
 
-/// A seed, and the worlds that it runs in.
+/// A seed, and the worlds that are run with it.
 type Worlds = (u64, fn() -> Vec<String>, fn(usize, u64) -> Workload);
 
 base::cases! {
-    /// Guards against a relaxation that forbids what a policy does.
+    /// Guards against a relaxation that excludes something a policy can do: the bound would
+    /// then be below the worth that a policy serves.
     nobody_exceeds_the_bound: check_holds => {
         deployments_1: (1, workload::names, deployment),
         deployments_2: (2, workload::names, deployment),
@@ -49,64 +50,66 @@
     }
 }
 
-/// How the smallest world is changed, and the bound in requests of 100 tokens.
+/// How the smallest world is changed, and the expected bound in requests of 100 tokens.
 type Small = (fn(&mut Workload), f64);
 
 base::cases! {
-    /// Where the least of its capacities is the only one that matters, the bound
-    /// can be told by hand. Guards against one that is always the whole.
+    /// In worlds with a single scarce capacity the optimum can be computed by hand. Guards
+    /// against a bound that is too high, such as one that is always the worth of all
+    /// requests.
     bound_by_hand: check_small => {
-        // A hundred requests, one a second, and nothing that is short.
+        // A hundred requests, one per second, and no capacity is scarce.
         all: (|w| w.sizes.slots = 2, 100.0),
-        // One load in four seconds, and one adapter there before.
+        // One load in four seconds, and one adapter resident from the start.
         store: (|w| w.sizes.loads = 0.25, 26.0),
-        // Steps of 10.749 ms for one request alone in the only slot.
+        // Steps of 10.749 ms, each with one request: the only slot is never shared.
         slots: (|w| each(w, 2, |_, _| {}), 100_000.0 / 1074.9),
         // Steps of 10.999 ms for two requests that share the only adapter.
         places: (|w| each(w, 4, one_adapter), 100_000.0 / 549.95),
-        // The same, with half of them worth twice as much.
+        // The same, with half of the requests worth twice as much.
         worth: (|w| each(w, 4, urgent), 2.0 * 100_000.0 / 549.95),
-        // The same while the engine is up, which is for half of the time.
+        // The same, but the engine is up for only half of the time.
         down: (|w| {
             each(w, 4, one_adapter);
             w.faults = vec![(secs(60.0), Fault::Down(0))];
         }, 50_000.0 / 549.95),
-        // No load at all, but what is there may stay.
+        // No loads at all, but an adapter resident from the start may stay.
         kept: (|w| {
             each(w, 1, one_adapter);
             w.sizes.loads = 1e-6;
         }, 100.0),
-        // Every other request is for an adapter that has no slot.
+        // Every other request is for an adapter for which there is no slot.
         displaced: (|w| {
             each(w, 1, |i, a| a.key = key(i % 2));
             w.sizes.loads = 1e-6;
         }, 50.0),
-        // What nobody can load is not asked for.
+        // Requests for adapters that can't be loaded don't count.
         broken: (|w| w.broken = (50..100).map(AdapterNo).collect(), 50.0),
     }
 }
 
 fn check_small((change, requests): Small) {
-    // The search stops near the least; it never goes below.
+    // The search ends close to the minimum and never goes below it.
     check_between((change, requests * 0.9999, requests * 1.01));
 }
 
-/// How the smallest world is changed, the requests that a plan told by hand
-/// serves, and what the bound stays under.
+/// How the smallest world is changed, the number of requests that a plan made by hand
+/// serves, and the highest bound allowed.
 type Planned = (fn(&mut Workload), f64, f64);
 
 base::cases! {
-    /// Guards against a bound that is under a plan which keeps every rule.
+    /// Guards against a bound below what a plan without rule violations serves.
     bound_by_plan: check_between => {
-        // Every load serves the five that have come in the four seconds before;
-        // there are five loads, and one adapter there before.
+        // Every load serves the five requests that arrived in the four seconds before; there
+        // are five loads, and one adapter resident from the start.
         patience: (|w| {
             each(w, 1, |i, a| a.key = key(i / 5));
             w.sizes.loads = 0.05;
         }, 30.0, 30.5),
-        // One of two adapters stays. It takes 20 s of the slot to be loaded and
-        // stays for 84 s at least; with the time of what was there before there
-        // are 120 s, which parts of such plans can share out.
+        // One of two adapters stays resident. Its load takes 20 s of the slot, and it stays
+        // for at least 84 s. With the load time granted for adapters resident from the start
+        // there are 120 s of slot time, so fractions of such plans can be mixed: the bound
+        // is above the 50 requests of the best plan.
         stays: (|w| {
             each(w, 1, |i, a| a.key = key(i % 2));
             w.sizes.loads = 0.05;
@@ -121,10 +124,11 @@
     assert_that!(requests, all![ge(reached), le(most)]);
 }
 
-/// Tokens of each answer in the smallest world.
+/// Number of tokens of each answer in the smallest world.
 const TOKENS: u32 = 100;
 
-/// One engine with one slot, and a hundred adapters asked for once each.
+/// Returns the smallest world: one engine with one slot, and a hundred adapters with one
+/// request each.
 fn small() -> Workload {
     let [agency, _] = workload::deployments();
     let mut work = Workload {
@@ -150,8 +154,8 @@
     work
 }
 
-/// Asks a hundred times as often as this, evenly over the time in which an
-/// answer is still due before the end, and changes each request.
+/// Replaces the requests by `100 * times` requests, spread evenly over the time in which
+/// answers are still due before the end, and applies `change` to each with its index.
 fn each(work: &mut Workload, times: u32, change: fn(u32, &mut Arrival)) {
     let one = |i: u32| {
         let at = secs(10.0 + 0.89 * f64::from(i) / f64::from(times));
--- a/crates/measure/tests/measure.rs
+++ b/crates/measure/tests/measure.rs
@@ -1,4 +1,4 @@
-//! The measurement itself: repeatable, and able to say that the aim is missed.
+//! Tests of the measurement: it is deterministic, and it reports a missed target.
 
 use base::{AdapterKey, AdapterNo, BrandNo, Class, Time, Version};
 use googletest::prelude::*;
@@ -26,7 +26,7 @@
     }
 }
 
-/// Figures of live requests that stalled so long each and were answered.
+/// Returns the figures of answered live requests with these load stalls.
 fn stalled(millis: &[u64]) -> Figures {
     let mut figures = Figures {
         tokens: 100,
@@ -71,11 +71,12 @@
     }
 }
 
-/// What ours stalled against a baseline's 4 s, and whether the aim is met.
+/// Load stalls of our policy against a baseline's 4 s, a change of its figures, and whether
+/// the targets are met.
 type Row = (&'static [u64], fn(&mut Figures), bool);
 
 base::cases! {
-    /// Each part of the aim can be missed alone.
+    /// Guards against a target that is not checked: each is missed alone.
     aim: check_aim => {
         met: (&[1_000], |_| {}, true),
         stalls: (&[1_001], |_| {}, false),
@@ -106,6 +107,6 @@
             figures.add(&arrival(Class::Live, brand), &answered(n < given), true);
         }
     }
-    // Of nine answers each brand is due three; the third got one of them.
+    // The fair share of each brand is three of the nine answers; the third brand got one.
     assert_that!(figures.fairness(), approx_eq(1.0 / 3.0));
 }
