--- a/crates/measure/src/baseline.rs
+++ b/crates/measure/src/baseline.rs
@@ -15,7 +15,7 @@
 
 /// A baseline's view of one target.
 #[derive(Clone, Debug, Default)]
-struct Side {
+struct TargetState {
     zone: usize,
     up: bool,
     slots: BTreeMap<AdapterKey, Slot>,
@@ -41,24 +41,24 @@
     sizes: Sizes,
     spread: Spread,
     evict: Evict,
-    sides: Vec<Side>,
+    targets: Vec<TargetState>,
     requests: BTreeMap<usize, (Arrival, TargetNo)>,
     cut: Option<usize>,
 }
 
 impl Baseline {
     pub(crate) fn new(sizes: &Sizes, spread: Spread, evict: Evict) -> Self {
-        let side = |i| Side {
+        let state = |i| TargetState {
             zone: zone_of(i, sizes.zones),
             up: true,
-            ..Side::default()
+            ..TargetState::default()
         };
-        let engines = (0..sizes.engines).map(side);
+        let engines = (0..sizes.engines).map(state);
         Baseline {
             sizes: sizes.clone(),
             spread,
             evict,
-            sides: engines.chain((0..sizes.portals).map(side)).collect(),
+            targets: engines.chain((0..sizes.portals).map(state)).collect(),
             requests: BTreeMap::new(),
             cut: None,
         }
@@ -70,12 +70,12 @@
             Event::Left(id) | Event::Ended(id, _) => self.ended(now, id, out),
             Event::Loaded(target, key, ok) => self.loaded(now, target, key, ok, out),
             Event::Down(target) => {
-                let side = &mut self.sides[target.0 as usize];
-                side.up = false;
-                side.slots.clear();
-                side.queue.clear();
+                let state = &mut self.targets[target.0 as usize];
+                state.up = false;
+                state.slots.clear();
+                state.queue.clear();
             }
-            Event::Up(target) => self.sides[target.0 as usize].up = true,
+            Event::Up(target) => self.targets[target.0 as usize].up = true,
             Event::Cut(zone) => self.cut = Some(zone),
             Event::Joined => self.cut = None,
             Event::Began(_) | Event::Paused(_) | Event::Unloaded(..) | Event::Timer => {}
@@ -88,7 +88,7 @@
             return;
         };
         self.requests.insert(id, (arrival, target));
-        self.sides[target.0 as usize].load += 1;
+        self.targets[target.0 as usize].load += 1;
         out.push(Action::Place(id, target));
         match arrival.key {
             Some(key) => self.use_slot(now, id, target, key, out),
@@ -99,11 +99,11 @@
     fn choose(&self, arrival: &Arrival) -> Option<TargetNo> {
         let from = zone_of(arrival.entry, self.sizes.zones);
         let reach = |t: &TargetNo| {
-            let side = &self.sides[t.0 as usize];
-            let cut = self.cut.is_some_and(|z| (z == from) != (z == side.zone));
-            side.up && !cut
+            let state = &self.targets[t.0 as usize];
+            let cut = self.cut.is_some_and(|z| (z == from) != (z == state.zone));
+            state.up && !cut
         };
-        let least = |t: &TargetNo| (self.sides[t.0 as usize].load, *t);
+        let least = |t: &TargetNo| (self.targets[t.0 as usize].load, *t);
         let Some(key) = arrival.key else {
             let portals = (0..self.sizes.portals).map(|i| portal_no(&self.sizes, i));
             return portals.filter(reach).min_by_key(least);
@@ -114,8 +114,8 @@
             Spread::LeastLoaded => engines().min_by_key(least),
             Spread::Hash => engines().max_by_key(home),
             Spread::Holder => {
-                let holds = |t: &TargetNo| self.sides[t.0 as usize].slots.contains_key(&key);
-                let room = |t: &TargetNo| self.sides[t.0 as usize].load < self.sizes.batch;
+                let holds = |t: &TargetNo| self.targets[t.0 as usize].slots.contains_key(&key);
+                let room = |t: &TargetNo| self.targets[t.0 as usize].load < self.sizes.batch;
                 let holder = engines().filter(holds).min_by_key(least).filter(room);
                 let home = || engines().max_by_key(home).filter(room);
                 holder.or_else(home).or_else(|| engines().min_by_key(least))
@@ -132,9 +132,9 @@
         out: &mut Vec<Action>,
     ) {
         let class = self.requests[&id].0.class;
-        let full = self.sides[target.0 as usize].slots.len() >= self.sizes.slots as usize;
-        let side = &mut self.sides[target.0 as usize];
-        if let Some(slot) = side.slots.get_mut(&key) {
+        let full = self.targets[target.0 as usize].slots.len() >= self.sizes.slots as usize;
+        let state = &mut self.targets[target.0 as usize];
+        if let Some(slot) = state.slots.get_mut(&key) {
             slot.users += 1;
             slot.used = now;
             match slot.ready {
@@ -144,16 +144,16 @@
             return;
         }
         if full {
-            let unused = side.slots.iter().filter(|(_, s)| s.users == 0 && s.ready);
+            let unused = state.slots.iter().filter(|(_, s)| s.users == 0 && s.ready);
             let victim = unused.min_by_key(|(key, s)| match self.evict {
                 Evict::Oldest => (s.loaded, **key),
                 Evict::LeastRecent => (s.used, **key),
             });
             let Some(victim) = victim.map(|(key, _)| *key) else {
-                side.queue.push_back(id);
+                state.queue.push_back(id);
                 return;
             };
-            side.slots.remove(&victim);
+            state.slots.remove(&victim);
             out.push(Action::Unload(target, victim));
         }
         let slot = Slot {
@@ -163,7 +163,7 @@
             users: 1,
             waiting: vec![id],
         };
-        side.slots.insert(key, slot);
+        state.slots.insert(key, slot);
         out.push(Action::Load(target, key));
     }
 
@@ -175,15 +175,15 @@
         ok: bool,
         out: &mut Vec<Action>,
     ) {
-        let side = &mut self.sides[target.0 as usize];
-        let Some(slot) = side.slots.get_mut(&key) else {
+        let state = &mut self.targets[target.0 as usize];
+        let Some(slot) = state.slots.get_mut(&key) else {
             return;
         };
         let waiting = std::mem::take(&mut slot.waiting);
         slot.ready = true;
         slot.loaded = now;
         if !ok {
-            side.slots.remove(&key);
+            state.slots.remove(&key);
         }
         for id in waiting {
             let Some((arrival, _)) = self.requests.get(&id) else {
@@ -192,33 +192,33 @@
             match ok {
                 true => out.push(Action::Send(id, target, priority(arrival.class))),
                 false => {
-                    self.forget(id);
+                    self.remove_request(id);
                     out.push(Action::Refuse(id));
                 }
             }
         }
-        self.fill(now, target, out);
+        self.serve_queue(now, target, out);
     }
 
     fn ended(&mut self, now: Time, id: usize, out: &mut Vec<Action>) {
-        let Some((arrival, target)) = self.forget(id) else {
+        let Some((arrival, target)) = self.remove_request(id) else {
             return;
         };
-        let side = &mut self.sides[target.0 as usize];
-        if let Some(at) = side.queue.iter().position(|q| *q == id) {
-            side.queue.remove(at);
+        let state = &mut self.targets[target.0 as usize];
+        if let Some(at) = state.queue.iter().position(|q| *q == id) {
+            state.queue.remove(at);
             return;
         }
-        if let Some(slot) = arrival.key.and_then(|key| side.slots.get_mut(&key)) {
+        if let Some(slot) = arrival.key.and_then(|key| state.slots.get_mut(&key)) {
             slot.users = slot.users.saturating_sub(1);
             slot.waiting.retain(|w| *w != id);
         }
-        self.fill(now, target, out);
+        self.serve_queue(now, target, out);
     }
 
     /// Gives free slots to the queued requests, in order.
-    fn fill(&mut self, now: Time, target: TargetNo, out: &mut Vec<Action>) {
-        let queue = std::mem::take(&mut self.sides[target.0 as usize].queue);
+    fn serve_queue(&mut self, now: Time, target: TargetNo, out: &mut Vec<Action>) {
+        let queue = std::mem::take(&mut self.targets[target.0 as usize].queue);
         for id in queue {
             if let Some(key) = self.requests.get(&id).and_then(|(a, _)| a.key) {
                 self.use_slot(now, id, target, key, out);
@@ -226,10 +226,10 @@
         }
     }
 
-    fn forget(&mut self, id: usize) -> Option<(Arrival, TargetNo)> {
+    fn remove_request(&mut self, id: usize) -> Option<(Arrival, TargetNo)> {
         let found = self.requests.remove(&id)?;
-        let side = &mut self.sides[found.1.0 as usize];
-        side.load = side.load.saturating_sub(1);
+        let state = &mut self.targets[found.1.0 as usize];
+        state.load = state.load.saturating_sub(1);
         Some(found)
     }
 }
--- a/crates/measure/src/bound.rs
+++ b/crates/measure/src/bound.rs
@@ -36,7 +36,7 @@
 use base::Time;
 
 use crate::{
-    bound::line::{Ask, Line, Price, Scratch},
+    bound::line::{Demand, Price, Request, Scratch},
     engine::least_ms,
     store::Store,
     workload::{Arrival, Fault, Workload},
@@ -63,37 +63,44 @@
 /// of [`Figures::worth`](crate::figures::Figures::worth).
 #[must_use]
 pub fn bound(work: &Workload) -> f64 {
-    let lines = lines(work);
-    let asked: f64 = lines.iter().map(Line::asked).sum();
+    let demands = demands(work);
+    let total_worth: f64 = demands.iter().map(Demand::total_worth).sum();
     let capacity = capacity(work);
     let load_slices = load_slices(work);
     let mut scratch = Scratch::default();
     let least = search(|at| {
         // The price of an empty capacity does not matter; this avoids a division by zero.
-        let price = |i: usize| at[i] * asked / capacity[i].max(1.0);
+        let price = |i: usize| at[i] * total_worth / capacity[i].max(1.0);
         let price = Price {
             load: price(0) + price(1) * load_slices,
             slice: price(1),
             engine: [price(2), price(3)],
         };
-        let earned: f64 = lines.iter().map(|l| l.best(&price, &mut scratch)).sum();
-        earned + asked * at.iter().sum::<f64>()
+        let profit: f64 = demands
+            .iter()
+            .map(|d| d.best_profit(&price, &mut scratch))
+            .sum();
+        profit + total_worth * at.iter().sum::<f64>()
     });
     least * (1.0 + ROUNDING)
 }
 
 /// Returns the requests whose worth counts, grouped by adapter.
-fn lines(work: &Workload) -> Vec<Line> {
+fn demands(work: &Workload) -> Vec<Demand> {
     let mut groups: BTreeMap<_, Vec<&Arrival>> = BTreeMap::new();
     for arrival in work.arrivals.iter().filter(|a| work.weighs(a)) {
         groups.entry(arrival.key).or_default().push(arrival);
     }
-    let lines = groups.values().map(|group| {
+    let demands = groups.values().map(|group| {
         let sharers = sharers(work, group);
-        let asks = group.iter().zip(sharers);
-        Line::new(asks.map(|(a, sharers)| ask(work, a, sharers)).collect())
+        let requests = group.iter().zip(sharers);
+        Demand::new(
+            requests
+                .map(|(a, sharers)| request(work, a, sharers))
+                .collect(),
+        )
     });
-    lines.collect()
+    demands.collect()
 }
 
 /// Returns, for each request of `group`, the highest number of requests of the group,
@@ -106,14 +113,14 @@
             counts[n] += 1;
         }
     }
-    let most = |a: &&Arrival| slices(a).map(|n| counts[n]).max().unwrap_or(1);
-    group.iter().map(most).collect()
+    let highest = |a: &&Arrival| slices(a).map(|n| counts[n]).max().unwrap_or(1);
+    group.iter().map(highest).collect()
 }
 
-fn ask(work: &Workload, arrival: &Arrival, sharers: u32) -> Ask {
+fn request(work: &Workload, arrival: &Arrival, sharers: u32) -> Request {
     let last = slice(work, work.span.end()) - 1;
     let to = slice(work, arrival.deadline).min(last);
-    Ask {
+    Request {
         from: slice(work, arrival.at).min(last),
         to: Some(to).filter(|to| *to < last),
         worth: arrival.worth() as f64,
@@ -124,7 +131,7 @@
 /// Returns the shortest time, in slices, for which a load occupies its slot.
 fn load_slices(work: &Workload) -> f64 {
     let store = Store::new(work.sizes.loads, work.sizes.parallel);
-    store.least_secs() * 1e6 / SLICE as f64
+    store.min_load_secs() * 1e6 / SLICE as f64
 }
 
 /// Returns the slice of the counted period that contains `at`.
@@ -138,13 +145,13 @@
     let secs = work.span.counted.as_secs_f64();
     let slots = f64::from(sizes.slots);
     let up = up(work).as_secs_f64();
-    let loads = Store::new(sizes.loads, sizes.parallel).most(secs);
+    let loads = Store::new(sizes.loads, sizes.parallel).max_loads(secs);
     // Adapters resident at the start of the counted period were loaded before it, so both
     // the loads and their slot time come on top.
-    let there = slots * sizes.engines as f64;
+    let resident = slots * sizes.engines as f64;
     [
-        loads + there,
-        slots * up * 1e6 / SLICE as f64 + there * load_slices(work),
+        loads + resident,
+        slots * up * 1e6 / SLICE as f64 + resident * load_slices(work),
         up * 1e3,
         up * 1e3,
     ]
--- a/crates/measure/src/engine.rs
+++ b/crates/measure/src/engine.rs
@@ -17,16 +17,16 @@
 const ADAPTER_MS: f64 = 0.5;
 
 /// Milliseconds that the prefill of one prompt token takes.
-const PROMPT_MS: f64 = 0.02;
+const PREFILL_MS: f64 = 0.02;
 
 /// Fraction of a prompt that still needs prefill when its prefix is cached.
-const CACHED_PART: f64 = 0.3;
+const CACHED_FRACTION: f64 = 0.3;
 
 /// Number of prompt prefixes that the cache holds.
-const CACHE: usize = 200;
+const CACHED_PREFIXES: usize = 200;
 
 /// Milliseconds by which truncation to whole microseconds shortens a step at most.
-const CUT_MS: f64 = 1e-3;
+const ROUNDING_MS: f64 = 1e-3;
 
 /// Returns a lower bound on the engine milliseconds that a request takes when at most
 /// `sharers` requests, itself included, use its adapter at once. The bound is computed in
@@ -34,12 +34,12 @@
 /// the adapter slots. The prompt's prefix counts as cached.
 pub(crate) fn least_ms(sizes: &Sizes, arrival: &Arrival, sharers: u32) -> [f64; 2] {
     let sharers = f64::from(sharers.clamp(1, sizes.batch));
-    let step = STEP_MS * sizes.pace - CUT_MS;
+    let step = STEP_MS * sizes.pace - ROUNDING_MS;
     let own = (REQUEST_MS + ADAPTER_MS / sharers) * sizes.pace;
-    let read = PROMPT_MS * CACHED_PART * f64::from(arrival.prompt) * sizes.pace;
+    let prefill = PREFILL_MS * CACHED_FRACTION * f64::from(arrival.prompt) * sizes.pace;
     let by_place = step / f64::from(sizes.batch);
     let by_slot = step / f64::from(sizes.slots) / sharers;
-    [by_place, by_slot].map(|part| f64::from(arrival.tokens) * (part + own) + read)
+    [by_place, by_slot].map(|part| f64::from(arrival.tokens) * (part + own) + prefill)
 }
 
 /// A request in the engine's queue or batch.
@@ -68,7 +68,7 @@
     pub(crate) resident: BTreeSet<AdapterKey>,
     pub(crate) up: bool,
     /// Number of crashes so far; lets the event of a step that a crash aborted be ignored.
-    pub(crate) life: u64,
+    pub(crate) incarnation: u64,
     pub(crate) busy_secs: f64,
     batch: usize,
     pace: f64,
@@ -77,7 +77,7 @@
     arrivals: u64,
     cache: Vec<u64>,
     stepping: bool,
-    unread_ms: f64,
+    prefill_ms: f64,
 }
 
 impl Engine {
@@ -86,7 +86,7 @@
         Engine {
             resident: BTreeSet::new(),
             up: true,
-            life: 0,
+            incarnation: 0,
             busy_secs: 0.0,
             batch,
             pace,
@@ -95,7 +95,7 @@
             arrivals: 0,
             cache: Vec::new(),
             stepping: false,
-            unread_ms: 0.0,
+            prefill_ms: 0.0,
         }
     }
 
@@ -128,7 +128,7 @@
     /// Goes down and loses its adapters, cache and requests; returns the requests.
     pub(crate) fn crash(&mut self) -> Vec<Job> {
         self.up = false;
-        self.life += 1;
+        self.incarnation += 1;
         self.stepping = false;
         self.resident.clear();
         self.cache.clear();
@@ -138,13 +138,13 @@
 
     /// Starts a step if none is in progress and there is work; returns its length in
     /// microseconds.
-    pub(crate) fn begin(&mut self) -> Option<u64> {
+    pub(crate) fn begin_step(&mut self) -> Option<u64> {
         if self.stepping || !self.up {
             return None;
         }
         while self.running.len() < self.batch && !self.waiting.is_empty() {
             let (_, _, job) = self.waiting.remove(0);
-            self.read(&job);
+            self.prefill(&job);
             self.running.push(job);
         }
         if self.running.is_empty() {
@@ -154,7 +154,7 @@
         let ms = STEP_MS
             + REQUEST_MS * self.running.len() as f64
             + ADAPTER_MS * adapters.len() as f64
-            + std::mem::take(&mut self.unread_ms);
+            + std::mem::take(&mut self.prefill_ms);
         let ms = ms * self.pace;
         self.stepping = true;
         self.busy_secs += ms / 1e3;
@@ -162,7 +162,7 @@
     }
 
     /// Ends the step in progress: each request in the batch has one more token.
-    pub(crate) fn end(&mut self) -> Step {
+    pub(crate) fn end_step(&mut self) -> Step {
         self.stepping = false;
         let mut step = Step::default();
         for job in &mut self.running {
@@ -174,13 +174,13 @@
         step
     }
 
-    fn read(&mut self, job: &Job) {
+    fn prefill(&mut self, job: &Job) {
         let cached = self.cache.contains(&job.prefix);
-        let part = if cached { CACHED_PART } else { 1.0 };
-        self.unread_ms += PROMPT_MS * f64::from(job.prompt) * part;
+        let part = if cached { CACHED_FRACTION } else { 1.0 };
+        self.prefill_ms += PREFILL_MS * f64::from(job.prompt) * part;
         self.cache.retain(|p| *p != job.prefix);
         self.cache.push(job.prefix);
-        if self.cache.len() > CACHE {
+        if self.cache.len() > CACHED_PREFIXES {
             self.cache.remove(0);
         }
     }
--- a/crates/measure/src/ours.rs
+++ b/crates/measure/src/ours.rs
@@ -19,14 +19,14 @@
 };
 
 /// One-way delay of a message between two instances.
-const LAG: Duration = Duration::from_millis(1);
+const MESSAGE_DELAY: Duration = Duration::from_millis(1);
 
 /// Interval between two divisions of the store's load budget.
-const BEAT: Duration = Duration::from_millis(500);
+const BUDGET_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Fraction of the load budget that is divided evenly, so that a zone that is cut off still
 /// has some; the rest goes to the instances with waiting loads.
-const FIXED_PART: f64 = 0.5;
+const EVEN_FRACTION: f64 = 0.5;
 
 /// Pool number of the engines.
 const ENGINES: PoolNo = PoolNo(0);
@@ -39,15 +39,15 @@
 
 /// A message in flight, or the timer of the next budget division.
 #[derive(Clone, Debug)]
-enum Mail {
+enum Message {
     ToOwner(usize, Input),
     ToRouter(usize, RouterUpdate),
-    Beat,
+    DivideBudget,
 }
 
 /// State of a request at its entry instance.
 #[derive(Clone, Debug)]
-struct Track {
+struct RequestState {
     arrival: Arrival,
     target: TargetNo,
     placed: Time,
@@ -61,10 +61,10 @@
     routers: Vec<Router>,
     schedulers: Vec<Scheduler>,
     retries: Vec<RetryBudget>,
-    tracks: BTreeMap<usize, Track>,
-    mail: BTreeMap<(Time, u64), Mail>,
-    posted: u64,
-    lives: Vec<u64>,
+    requests: BTreeMap<usize, RequestState>,
+    messages: BTreeMap<(Time, u64), Message>,
+    seq: u64,
+    incarnations: Vec<u64>,
     cut: Option<usize>,
 }
 
@@ -78,18 +78,18 @@
                 .map(|i| Scheduler::new(seed + 100 + i as u64))
                 .collect(),
             retries: vec![RetryBudget::new(); sizes.entries],
-            tracks: BTreeMap::new(),
-            mail: BTreeMap::new(),
-            posted: 0,
-            lives: vec![1; sizes.engines],
+            requests: BTreeMap::new(),
+            messages: BTreeMap::new(),
+            seq: 0,
+            incarnations: vec![1; sizes.engines],
             cut: None,
         };
-        ours.begin();
+        ours.announce_all();
         ours
     }
 
     /// Announces the adapters and targets to all instances.
-    fn begin(&mut self) {
+    fn announce_all(&mut self) {
         let mut out = Vec::new();
         for adapter in (0..self.sizes.adapters).map(AdapterNo) {
             let hash = stable_hash(&[&adapter.0.to_le_bytes()]);
@@ -100,14 +100,14 @@
         }
         for i in 0..self.sizes.portals {
             let target = self.target(portal_no(&self.sizes, i), i, PORTALS);
-            self.tell_all(Time::ZERO, &RouterUpdate::Target(target));
+            self.broadcast(Time::ZERO, &RouterUpdate::Target(target));
         }
         for i in 0..self.sizes.engines {
             let target = self.target(target_no(i), i, ENGINES);
-            self.tell_all(Time::ZERO, &RouterUpdate::Target(target));
-            self.own(Time::ZERO, i, LoadPolicy::Full, &mut out);
+            self.broadcast(Time::ZERO, &RouterUpdate::Target(target));
+            self.assign_engine(Time::ZERO, i, LoadPolicy::Full, &mut out);
         }
-        self.beat(Time::ZERO, &mut out);
+        self.divide_budget(Time::ZERO, &mut out);
     }
 
     fn target(&self, target: TargetNo, i: usize, pool: PoolNo) -> Target {
@@ -117,7 +117,7 @@
             pool,
             zone: zone_no(zone_of(i, self.sizes.zones)),
             hash: hash_of(target),
-            incarnation: Incarnation(if engine { self.lives[i] } else { 1 }),
+            incarnation: Incarnation(if engine { self.incarnations[i] } else { 1 }),
             batch: if engine {
                 self.sizes.batch
             } else {
@@ -127,10 +127,10 @@
         }
     }
 
-    fn own(&mut self, now: Time, i: usize, policy: LoadPolicy, out: &mut Vec<Action>) {
+    fn assign_engine(&mut self, now: Time, i: usize, policy: LoadPolicy, out: &mut Vec<Action>) {
         let engine = Engine {
             target: target_no(i),
-            incarnation: Incarnation(self.lives[i]),
+            incarnation: Incarnation(self.incarnations[i]),
             slots: self.sizes.slots,
             batch: self.sizes.batch,
             policy,
@@ -147,14 +147,14 @@
     fn owner(&self, target: TargetNo) -> usize {
         let (i, zones) = (target.0 as usize, self.sizes.zones);
         let zone = zone_of(i, zones);
-        let mates: Vec<_> = (0..self.sizes.entries)
+        let candidates: Vec<_> = (0..self.sizes.entries)
             .filter(|e| zone_of(*e, zones) == zone)
             .collect();
-        mates[(i / zones) % mates.len()]
+        candidates[(i / zones) % candidates.len()]
     }
 
     pub(crate) fn next_at(&self) -> Option<Time> {
-        self.mail.first_key_value().map(|((at, _), _)| *at)
+        self.messages.first_key_value().map(|((at, _), _)| *at)
     }
 
     pub(crate) fn on(&mut self, now: Time, event: Event, out: &mut Vec<Action>) {
@@ -179,51 +179,51 @@
                 );
             }
             Event::Down(target) => {
-                self.tell_all(now, &RouterUpdate::Reachable(target, false));
-                self.own(now, target.0 as usize, LoadPolicy::None, out);
+                self.broadcast(now, &RouterUpdate::Reachable(target, false));
+                self.assign_engine(now, target.0 as usize, LoadPolicy::None, out);
             }
             Event::Up(target) => {
                 let i = target.0 as usize;
-                self.lives[i] += 1;
+                self.incarnations[i] += 1;
                 let known = self.target(target, i, ENGINES);
-                self.tell_all(now, &RouterUpdate::Target(known));
-                self.tell_all(now, &RouterUpdate::Reachable(target, true));
-                self.own(now, i, LoadPolicy::Full, out);
+                self.broadcast(now, &RouterUpdate::Target(known));
+                self.broadcast(now, &RouterUpdate::Reachable(target, true));
+                self.assign_engine(now, i, LoadPolicy::Full, out);
             }
-            Event::Cut(zone) => self.reach(now, Some(zone), out),
-            Event::Joined => self.reach(now, None, out),
+            Event::Cut(zone) => self.set_cut(now, Some(zone), out),
+            Event::Joined => self.set_cut(now, None, out),
             Event::Timer => self.deliver(now, out),
         }
     }
 
     fn arrive(&mut self, now: Time, id: usize, arrival: Arrival, out: &mut Vec<Action>) {
-        let mut track = Track {
+        let mut request = RequestState {
             arrival,
             target: TargetNo(0),
             placed: now,
             tried: Vec::new(),
             attempts: Attempts::default(),
         };
-        track.attempts.another();
-        self.place(now, id, track, out);
+        request.attempts.another();
+        self.place(now, id, request, out);
     }
 
-    fn place(&mut self, now: Time, id: usize, mut track: Track, out: &mut Vec<Action>) {
-        let ask = ask_of(&track.arrival);
-        let entry = track.arrival.entry;
-        let Ok(choice) = self.routers[entry].choose(now, &ask, &track.tried) else {
+    fn place(&mut self, now: Time, id: usize, mut request: RequestState, out: &mut Vec<Action>) {
+        let spec = request_spec(&request.arrival);
+        let entry = request.arrival.entry;
+        let Ok(choice) = self.routers[entry].choose(now, &spec, &request.tried) else {
             out.push(Action::Refuse(id));
             return;
         };
         let target = choice.target;
         self.routers[entry].apply(now, RouterUpdate::AttemptSent(target));
-        if track.tried.is_empty() {
+        if request.tried.is_empty() {
             self.retries[entry].earn(target);
         }
-        (track.target, track.placed) = (target, now);
-        self.tracks.insert(id, track);
+        (request.target, request.placed) = (target, now);
+        self.requests.insert(id, request);
         out.push(Action::Place(id, target));
-        if ask.key.is_none() {
+        if spec.key.is_none() {
             out.push(Action::Send(id, target, 0));
             return;
         }
@@ -231,30 +231,30 @@
         let input = Input::Arrive {
             ticket,
             target,
-            spec: ask,
+            spec,
         };
-        self.ask_owner(now, entry, target, input, out);
+        self.send_to_owner(now, entry, target, input, out);
     }
 
     fn left(&mut self, now: Time, id: usize, out: &mut Vec<Action>) {
-        let Some(track) = self.tracks.get(&id) else {
+        let Some(request) = self.requests.get(&id) else {
             return;
         };
-        if track.arrival.key.is_some() {
-            let owner = self.owner(track.target);
+        if request.arrival.key.is_some() {
+            let owner = self.owner(request.target);
             self.scheduler(now, owner, Input::Cancel(Ticket(id as u64)), out);
         }
         self.ended(now, id, true, out);
     }
 
     fn began(&mut self, now: Time, id: usize, out: &mut Vec<Action>) {
-        let Some(track) = self.tracks.get(&id) else {
+        let Some(request) = self.requests.get(&id) else {
             return;
         };
-        let after = now.since(track.placed);
-        let (entry, target) = (track.arrival.entry, track.target);
+        let after = now.since(request.placed);
+        let (entry, target) = (request.arrival.entry, request.target);
         self.routers[entry].apply(now, RouterUpdate::ResponseBegan(target, after));
-        if track.arrival.key.is_some() {
+        if request.arrival.key.is_some() {
             let owner = self.owner(target);
             self.scheduler(now, owner, Input::FirstToken(Ticket(id as u64)), out);
         }
@@ -262,50 +262,50 @@
 
     fn ended(&mut self, now: Time, id: usize, ok: bool, out: &mut Vec<Action>) {
         self.finish(now, id, ok, out);
-        let Some(track) = self.tracks.remove(&id) else {
+        let Some(request) = self.requests.remove(&id) else {
             return;
         };
-        let target = track.target;
-        self.routers[track.arrival.entry].apply(now, RouterUpdate::AttemptEnded { target, ok });
+        let target = request.target;
+        self.routers[request.arrival.entry].apply(now, RouterUpdate::AttemptEnded { target, ok });
     }
 
     fn finish(&mut self, now: Time, id: usize, ok: bool, out: &mut Vec<Action>) {
-        let Some(track) = self.tracks.get(&id).filter(|t| t.arrival.key.is_some()) else {
+        let Some(request) = self.requests.get(&id).filter(|t| t.arrival.key.is_some()) else {
             return;
         };
         let ticket = Ticket(id as u64);
-        let owner = self.owner(track.target);
+        let owner = self.owner(request.target);
         self.scheduler(now, owner, Input::Finished { ticket, ok }, out);
     }
 
     /// Retries a request at another engine if its engine was unavailable and the attempt
     /// limit and the retry budget allow it; otherwise refuses it.
     fn refused(&mut self, now: Time, id: usize, reason: Refusal, out: &mut Vec<Action>) {
-        let Some(mut track) = self.tracks.remove(&id) else {
+        let Some(mut request) = self.requests.remove(&id) else {
             return;
         };
-        let (entry, target) = (track.arrival.entry, track.target);
+        let (entry, target) = (request.arrival.entry, request.target);
         self.routers[entry].apply(now, RouterUpdate::AttemptEnded { target, ok: true });
-        let again = reason == Refusal::Unavailable
-            && track.attempts.another()
+        let retry = reason == Refusal::Unavailable
+            && request.attempts.another()
             && self.retries[entry].spend(target);
-        if !again {
+        if !retry {
             out.push(Action::Refuse(id));
             return;
         }
-        track.tried.push(target);
-        self.place(now, id, track, out);
+        request.tried.push(target);
+        self.place(now, id, request, out);
     }
 
     fn scheduler(&mut self, now: Time, i: usize, input: Input, out: &mut Vec<Action>) {
         let mut outputs = Vec::new();
         self.schedulers[i].handle(now, input, &mut outputs);
         for output in outputs {
-            self.obey(now, i, output, out);
+            self.apply_output(now, i, output, out);
         }
     }
 
-    fn obey(&mut self, now: Time, i: usize, output: Output, out: &mut Vec<Action>) {
+    fn apply_output(&mut self, now: Time, i: usize, output: Output, out: &mut Vec<Action>) {
         match output {
             Output::Send {
                 ticket,
@@ -327,7 +327,7 @@
                 queued,
                 evict_cost,
             } => {
-                let news = RouterUpdate::Residents(Residents {
+                let update = RouterUpdate::Residents(Residents {
                     target,
                     fence: Fence(1),
                     full,
@@ -338,24 +338,28 @@
                     evict_cost,
                 });
                 for to in 0..self.sizes.entries {
-                    if !self.joined(i, to) {
+                    if !self.connected(i, to) {
                         continue;
                     }
-                    let lag = if to == i { Duration::ZERO } else { LAG };
-                    self.post(now + lag, Mail::ToRouter(to, news.clone()));
+                    let delay = if to == i {
+                        Duration::ZERO
+                    } else {
+                        MESSAGE_DELAY
+                    };
+                    self.schedule(now + delay, Message::ToRouter(to, update.clone()));
                 }
             }
-            Output::Wake(at) => self.post(at, Mail::ToOwner(i, Input::Wake)),
+            Output::Wake(at) => self.schedule(at, Message::ToOwner(i, Input::Wake)),
         }
     }
 
     /// Returns whether two instances can reach each other.
-    fn joined(&self, a: usize, b: usize) -> bool {
+    fn connected(&self, a: usize, b: usize) -> bool {
         let zone = |i| Some(zone_of(i, self.sizes.zones));
         self.cut.is_none() || (zone(a) == self.cut) == (zone(b) == self.cut)
     }
 
-    fn ask_owner(
+    fn send_to_owner(
         &mut self,
         now: Time,
         from: usize,
@@ -366,70 +370,70 @@
         let owner = self.owner(target);
         match owner == from {
             true => self.scheduler(now, owner, input, out),
-            false => self.post(now + LAG, Mail::ToOwner(owner, input)),
+            false => self.schedule(now + MESSAGE_DELAY, Message::ToOwner(owner, input)),
         }
     }
 
-    fn post(&mut self, at: Time, mail: Mail) {
-        self.posted += 1;
-        self.mail.insert((at, self.posted), mail);
+    fn schedule(&mut self, at: Time, message: Message) {
+        self.seq += 1;
+        self.messages.insert((at, self.seq), message);
     }
 
     fn deliver(&mut self, now: Time, out: &mut Vec<Action>) {
-        while let Some(entry) = self.mail.first_entry().filter(|e| e.key().0 <= now) {
+        while let Some(entry) = self.messages.first_entry().filter(|e| e.key().0 <= now) {
             match entry.remove() {
                 // The caller may have disconnected while the message was in flight.
-                Mail::ToOwner(_, Input::Arrive { ticket, .. })
-                    if !self.tracks.contains_key(&id_of(ticket)) => {}
-                Mail::ToOwner(i, input) => self.scheduler(now, i, input, out),
-                Mail::ToRouter(i, news) => self.routers[i].apply(now, news),
-                Mail::Beat => self.beat(now, out),
+                Message::ToOwner(_, Input::Arrive { ticket, .. })
+                    if !self.requests.contains_key(&id_of(ticket)) => {}
+                Message::ToOwner(i, input) => self.scheduler(now, i, input, out),
+                Message::ToRouter(i, update) => self.routers[i].apply(now, update),
+                Message::DivideBudget => self.divide_budget(now, out),
             }
         }
     }
 
     /// Divides the store's load budget among the instances, as the leader does.
-    fn beat(&mut self, now: Time, out: &mut Vec<Action>) {
+    fn divide_budget(&mut self, now: Time, out: &mut Vec<Action>) {
         let all = self.sizes.loads * 1_000.0;
         let count = self.sizes.entries;
         let leader = (0..count).find(|i| Some(zone_of(*i, self.sizes.zones)) != self.cut);
-        let heard = |i: usize| leader.is_some_and(|l| self.joined(i, l));
-        let heard: Vec<bool> = (0..count).map(heard).collect();
-        let wants: Vec<f64> = (0..count)
+        let reached = |i: usize| leader.is_some_and(|l| self.connected(i, l));
+        let reached: Vec<bool> = (0..count).map(reached).collect();
+        let wanted: Vec<f64> = (0..count)
             .map(|i| {
-                if heard[i] {
+                if reached[i] {
                     f64::from(self.schedulers[i].loads_wanted())
                 } else {
                     0.0
                 }
             })
             .collect();
-        let sum: f64 = wants.iter().sum();
-        let listeners = heard.iter().filter(|yes| **yes).count() as f64;
+        let sum: f64 = wanted.iter().sum();
+        let reached_count = reached.iter().filter(|yes| **yes).count() as f64;
         for i in 0..count {
-            let fixed = all * FIXED_PART / count as f64;
-            let part = match (heard[i], sum > 0.0) {
+            let even = all * EVEN_FRACTION / count as f64;
+            let part = match (reached[i], sum > 0.0) {
                 (false, _) => 0.0,
-                (true, true) => wants[i] / sum,
-                (true, false) => 1.0 / listeners,
+                (true, true) => wanted[i] / sum,
+                (true, false) => 1.0 / reached_count,
             };
-            let rate = fixed + all * (1.0 - FIXED_PART) * part;
+            let rate = even + all * (1.0 - EVEN_FRACTION) * part;
             self.scheduler(now, i, Input::Budget(rate as u32), out);
         }
-        self.post(now + BEAT, Mail::Beat);
+        self.schedule(now + BUDGET_INTERVAL, Message::DivideBudget);
     }
 
     /// Sets which zone is cut off, if any, and updates reachability.
-    fn reach(&mut self, now: Time, cut: Option<usize>, out: &mut Vec<Action>) {
+    fn set_cut(&mut self, now: Time, cut: Option<usize>, out: &mut Vec<Action>) {
         self.cut = cut;
         let zones = self.sizes.zones;
         let engines = (0..self.sizes.engines).map(|i| (target_no(i), i));
         let portals = (0..self.sizes.portals).map(|i| (portal_no(&self.sizes, i), i));
         for (target, i) in engines.chain(portals) {
             for entry in 0..self.sizes.entries {
-                let apart =
+                let cut_off =
                     cut.is_some_and(|z| (zone_of(entry, zones) == z) != (zone_of(i, zones) == z));
-                self.routers[entry].apply(now, RouterUpdate::Reachable(target, !apart));
+                self.routers[entry].apply(now, RouterUpdate::Reachable(target, !cut_off));
             }
         }
         for i in 0..self.sizes.engines {
@@ -442,14 +446,14 @@
         }
     }
 
-    fn tell_all(&mut self, now: Time, news: &RouterUpdate) {
+    fn broadcast(&mut self, now: Time, update: &RouterUpdate) {
         for router in &mut self.routers {
-            router.apply(now, news.clone());
+            router.apply(now, update.clone());
         }
     }
 }
 
-fn ask_of(arrival: &Arrival) -> RequestSpec {
+fn request_spec(arrival: &Arrival) -> RequestSpec {
     let plain = arrival.key.is_none();
     RequestSpec {
         pool: if plain { PORTALS } else { ENGINES },
--- a/crates/measure/src/policy.rs
+++ b/crates/measure/src/policy.rs
@@ -83,7 +83,7 @@
     Cut(usize),
     /// The network partition has ended.
     Joined,
-    /// The time that [`Decider::next_at`] returned has been reached.
+    /// The time that [`PolicyState::next_at`] returned has been reached.
     Timer,
 }
 
@@ -102,33 +102,33 @@
 }
 
 /// The state of a policy in one run.
-pub(crate) enum Decider {
+pub(crate) enum PolicyState {
     Ours(Box<Ours>),
     Baseline(Box<Baseline>),
 }
 
-impl Decider {
+impl PolicyState {
     pub(crate) fn new(policy: Policy, sizes: &Sizes, seed: u64) -> Self {
         match policy {
-            Policy::Ours => Decider::Ours(Box::new(Ours::new(sizes, seed))),
+            Policy::Ours => PolicyState::Ours(Box::new(Ours::new(sizes, seed))),
             Policy::Baseline(spread, evict) => {
-                Decider::Baseline(Box::new(Baseline::new(sizes, spread, evict)))
+                PolicyState::Baseline(Box::new(Baseline::new(sizes, spread, evict)))
             }
         }
     }
 
     pub(crate) fn on(&mut self, now: Time, event: Event, out: &mut Vec<Action>) {
         match self {
-            Decider::Ours(ours) => ours.on(now, event, out),
-            Decider::Baseline(baseline) => baseline.on(now, event, out),
+            PolicyState::Ours(ours) => ours.on(now, event, out),
+            PolicyState::Baseline(baseline) => baseline.on(now, event, out),
         }
     }
 
     /// Returns the time at which the policy needs [`Event::Timer`].
     pub(crate) fn next_at(&self) -> Option<Time> {
         match self {
-            Decider::Ours(ours) => ours.next_at(),
-            Decider::Baseline(_) => None,
+            PolicyState::Ours(ours) => ours.next_at(),
+            PolicyState::Baseline(_) => None,
         }
     }
 }
--- a/crates/measure/src/store.rs
+++ b/crates/measure/src/store.rs
@@ -4,7 +4,7 @@
 use base::{AdapterKey, TargetNo, Time};
 
 /// Remaining seconds up to which a load counts as done; absorbs rounding errors.
-const DONE: f64 = 1e-6;
+const DONE_TOLERANCE: f64 = 1e-6;
 
 /// A load in progress.
 #[derive(Clone, Copy, Debug)]
@@ -22,7 +22,7 @@
     /// Number of concurrent loads that run at full speed.
     parallel: f64,
     /// Seconds that one load takes at full speed.
-    full: f64,
+    load_secs: f64,
     at: Time,
     /// Number of loads started.
     pub(crate) started: u64,
@@ -36,7 +36,7 @@
         Store {
             jobs: Vec::new(),
             parallel,
-            full: parallel / rate,
+            load_secs: parallel / rate,
             at: Time::ZERO,
             started: 0,
         }
@@ -48,7 +48,7 @@
         self.jobs.push(Job {
             target,
             key,
-            left: self.full,
+            left: self.load_secs,
         });
     }
 
@@ -59,7 +59,7 @@
     }
 
     /// Counts the loads in progress to an engine.
-    pub(crate) fn under_way(&self, target: TargetNo) -> usize {
+    pub(crate) fn in_progress(&self, target: TargetNo) -> usize {
         self.jobs.iter().filter(|job| job.target == target).count()
     }
 
@@ -77,18 +77,18 @@
     /// Removes and returns the loads that have ended.
     pub(crate) fn take_done(&mut self, now: Time) -> Vec<(TargetNo, AdapterKey)> {
         self.advance(now);
-        let done = self.jobs.extract_if(.., |job| job.left <= DONE);
+        let done = self.jobs.extract_if(.., |job| job.left <= DONE_TOLERANCE);
         done.map(|job| (job.target, job.key)).collect()
     }
 
     /// Returns the highest number of loads that the store can complete in `secs` seconds.
-    pub(crate) fn most(&self, secs: f64) -> f64 {
-        secs * self.parallel / self.least_secs()
+    pub(crate) fn max_loads(&self, secs: f64) -> f64 {
+        secs * self.parallel / self.min_load_secs()
     }
 
     /// Returns the shortest time in seconds that a load can take.
-    pub(crate) fn least_secs(&self) -> f64 {
-        self.full - DONE
+    pub(crate) fn min_load_secs(&self) -> f64 {
+        self.load_secs - DONE_TOLERANCE
     }
 
     fn speed(&self) -> f64 {
--- a/crates/measure/src/world.rs
+++ b/crates/measure/src/world.rs
@@ -12,7 +12,7 @@
 use crate::{
     engine::{Engine, Job},
     figures::{Figures, Told},
-    policy::{Action, Decider, Event, Policy, target_no},
+    policy::{Action, Event, Policy, PolicyState, target_no},
     store::Store,
     workload::{Arrival, Fault, Workload},
 };
@@ -28,14 +28,14 @@
 
 /// A scheduled event. Requests, engines and replicas are named by index.
 #[derive(Clone, Copy, Debug)]
-enum Due {
+enum Scheduled {
     Arrive(usize),
     /// The step of an engine ends, unless the engine has crashed since it began.
     Step(usize, u64),
     /// A plain service replica finishes a request.
     Portal(usize, usize),
     /// The deadline of a request passes; its caller disconnects if no token has come.
-    Patience(usize),
+    CallerTimeout(usize),
     Unloaded(TargetNo, AdapterKey),
     Fault(Fault),
 }
@@ -44,13 +44,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
     /// Not placed at any target.
-    Away,
+    Unplaced,
     /// Queued for a target.
     Placed(TargetNo),
     /// Sent to a target.
     Sent(TargetNo),
     /// Answered, refused or abandoned by its caller.
-    Over,
+    Ended,
 }
 
 /// A request and its outcome so far.
@@ -68,9 +68,9 @@
 struct World<'a> {
     work: &'a Workload,
     now: Time,
-    due: BTreeMap<(Time, u64), Due>,
-    posted: u64,
-    decider: Decider,
+    scheduled: BTreeMap<(Time, u64), Scheduled>,
+    seq: u64,
+    policy: PolicyState,
     engines: Vec<Engine>,
     portals: Vec<(usize, VecDeque<usize>)>,
     store: Store,
@@ -87,9 +87,9 @@
     let mut world = World {
         work,
         now: Time::ZERO,
-        due: BTreeMap::new(),
-        posted: 0,
-        decider: Decider::new(policy, sizes, seed),
+        scheduled: BTreeMap::new(),
+        seq: 0,
+        policy: PolicyState::new(policy, sizes, seed),
         engines: vec![Engine::new(sizes.batch as usize, sizes.pace); sizes.engines],
         portals: vec![(0, VecDeque::new()); sizes.portals],
         store: Store::new(sizes.loads, sizes.parallel),
@@ -99,16 +99,16 @@
         figures: Figures::default(),
     };
     for (i, arrival) in work.arrivals.iter().enumerate() {
-        world.post(arrival.at, Due::Arrive(i));
+        world.schedule(arrival.at, Scheduled::Arrive(i));
         if arrival.class != Class::Batch {
-            world.post(arrival.deadline, Due::Patience(i));
+            world.schedule(arrival.deadline, Scheduled::CallerTimeout(i));
         }
     }
     for (at, fault) in &work.faults {
-        world.post(*at, Due::Fault(*fault));
+        world.schedule(*at, Scheduled::Fault(*fault));
     }
     world.run_to(work.span.start());
-    world.begin_count();
+    world.reset_counters();
     world.run_to(work.span.end());
     world.finish()
 }
@@ -117,7 +117,7 @@
     fn new(arrival: &Arrival) -> Self {
         Request {
             arrival: *arrival,
-            state: State::Away,
+            state: State::Unplaced,
             left: arrival.tokens,
             told: Told::default(),
             stalled: None,
@@ -128,8 +128,8 @@
 impl World<'_> {
     fn run_to(&mut self, end: Time) {
         loop {
-            let due = self.due.first_key_value().map(|((at, _), _)| *at);
-            let next = [due, self.decider.next_at(), self.store.next_at()];
+            let scheduled = self.scheduled.first_key_value().map(|((at, _), _)| *at);
+            let next = [scheduled, self.policy.next_at(), self.store.next_at()];
             let Some(at) = next.into_iter().flatten().min().filter(|at| *at <= end) else {
                 self.now = end;
                 return;
@@ -138,56 +138,58 @@
             for (target, key) in self.store.take_done(self.now) {
                 self.loaded(target, key);
             }
-            if self.decider.next_at().is_some_and(|t| t <= self.now) {
-                self.tell(Event::Timer);
+            if self.policy.next_at().is_some_and(|t| t <= self.now) {
+                self.notify(Event::Timer);
             }
-            while let Some(entry) = self.due.first_entry().filter(|e| e.key().0 <= at) {
-                let due = entry.remove();
-                self.happen(due);
+            while let Some(entry) = self.scheduled.first_entry().filter(|e| e.key().0 <= at) {
+                let scheduled = entry.remove();
+                self.handle(scheduled);
             }
         }
     }
 
-    fn happen(&mut self, due: Due) {
-        match due {
-            Due::Arrive(id) => self.tell(Event::Arrive(id, self.requests[id].arrival)),
-            Due::Step(i, life) if self.engines[i].life == life => self.step(i),
-            Due::Step(..) => {}
-            Due::Portal(i, id) => self.portal_done(i, id),
-            Due::Patience(id) => self.patience(id),
-            Due::Unloaded(target, key) => self.tell(Event::Unloaded(target, key)),
-            Due::Fault(Fault::Down(i)) => self.down(i),
-            Due::Fault(Fault::Up(i)) => {
+    fn handle(&mut self, scheduled: Scheduled) {
+        match scheduled {
+            Scheduled::Arrive(id) => self.notify(Event::Arrive(id, self.requests[id].arrival)),
+            Scheduled::Step(i, incarnation) if self.engines[i].incarnation == incarnation => {
+                self.step(i)
+            }
+            Scheduled::Step(..) => {}
+            Scheduled::Portal(i, id) => self.portal_done(i, id),
+            Scheduled::CallerTimeout(id) => self.caller_timeout(id),
+            Scheduled::Unloaded(target, key) => self.notify(Event::Unloaded(target, key)),
+            Scheduled::Fault(Fault::Down(i)) => self.down(i),
+            Scheduled::Fault(Fault::Up(i)) => {
                 self.engines[i].up = true;
-                self.tell(Event::Up(target_no(i)));
+                self.notify(Event::Up(target_no(i)));
             }
-            Due::Fault(Fault::Cut(zone)) => self.tell(Event::Cut(zone)),
-            Due::Fault(Fault::Joined) => self.tell(Event::Joined),
+            Scheduled::Fault(Fault::Cut(zone)) => self.notify(Event::Cut(zone)),
+            Scheduled::Fault(Fault::Joined) => self.notify(Event::Joined),
         }
     }
 
-    fn tell(&mut self, event: Event) {
+    fn notify(&mut self, event: Event) {
         let mut actions = Vec::new();
-        self.decider.on(self.now, event, &mut actions);
+        self.policy.on(self.now, event, &mut actions);
         for action in actions {
-            self.act(action);
+            self.apply(action);
         }
     }
 
-    fn act(&mut self, action: Action) {
+    fn apply(&mut self, action: Action) {
         match action {
             Action::Place(id, target) => self.place(id, target),
             Action::Send(id, target, priority) => self.send(id, target, priority),
             Action::Refuse(id) => {
                 self.unplace(id);
-                self.requests[id].state = State::Over;
+                self.requests[id].state = State::Ended;
                 self.requests[id].told.refused = true;
             }
             Action::Preempt(id) => self.preempt(id),
             Action::Load(target, key) => {
                 let engine = &self.engines[target.0 as usize];
                 // A load occupies its slot from its start.
-                let held = engine.resident.len() + self.store.under_way(target);
+                let held = engine.resident.len() + self.store.in_progress(target);
                 let room = held < self.work.sizes.slots as usize;
                 self.figures.broken += u64::from(!room);
                 if engine.up {
@@ -206,7 +208,7 @@
                 {
                     self.requests[id].stalled.get_or_insert(self.now);
                 }
-                self.post(self.now + UNLOAD, Due::Unloaded(target, key));
+                self.schedule(self.now + UNLOAD, Scheduled::Unloaded(target, key));
             }
         }
     }
@@ -238,7 +240,7 @@
     }
 
     fn send(&mut self, id: usize, target: TargetNo, priority: i32) {
-        if self.requests[id].state == State::Over {
+        if self.requests[id].state == State::Ended {
             return;
         }
         self.unplace(id);
@@ -266,26 +268,26 @@
     }
 
     fn begin_step(&mut self, i: usize) {
-        if let Some(micros) = self.engines[i].begin() {
-            let life = self.engines[i].life;
-            self.post(Time(self.now.0 + micros), Due::Step(i, life));
+        if let Some(micros) = self.engines[i].begin_step() {
+            let incarnation = self.engines[i].incarnation;
+            self.schedule(Time(self.now.0 + micros), Scheduled::Step(i, incarnation));
         }
     }
 
     fn step(&mut self, i: usize) {
-        let step = self.engines[i].end();
+        let step = self.engines[i].end_step();
         self.figures.tokens += step.tokens.len() as u64;
         for id in step.tokens {
             self.requests[id].left -= 1;
             if self.requests[id].told.first.is_none() {
                 self.requests[id].told.first = Some(self.now);
-                self.tell(Event::Began(id));
+                self.notify(Event::Began(id));
             }
         }
         for id in step.ended {
-            self.requests[id].state = State::Over;
+            self.requests[id].state = State::Ended;
             self.requests[id].told.done = Some(self.now);
-            self.tell(Event::Ended(id, true));
+            self.notify(Event::Ended(id, true));
         }
         self.begin_step(i);
     }
@@ -296,20 +298,20 @@
         };
         self.engines[target.0 as usize].cancel(id);
         self.place(id, target);
-        self.tell(Event::Paused(id));
+        self.notify(Event::Paused(id));
     }
 
-    fn patience(&mut self, id: usize) {
+    fn caller_timeout(&mut self, id: usize) {
         let request = &self.requests[id];
-        if request.told.first.is_some() || request.state == State::Over {
+        if request.told.first.is_some() || request.state == State::Ended {
             return;
         }
         if let (State::Sent(target), Some(_)) = (request.state, request.arrival.key) {
             self.engines[target.0 as usize].cancel(id);
         }
         self.unplace(id);
-        self.requests[id].state = State::Over;
-        self.tell(Event::Left(id));
+        self.requests[id].state = State::Ended;
+        self.notify(Event::Left(id));
     }
 
     fn loaded(&mut self, target: TargetNo, key: AdapterKey) {
@@ -329,7 +331,7 @@
                 }
             }
         }
-        self.tell(Event::Loaded(target, key, ok));
+        self.notify(Event::Loaded(target, key, ok));
     }
 
     /// Takes an engine down; its requests arrive again as new attempts that generate only
@@ -338,14 +340,14 @@
         let target = target_no(i);
         self.engines[i].crash();
         self.store.drop_target(self.now, target);
-        self.tell(Event::Down(target));
+        self.notify(Event::Down(target));
         let here = |state| state == State::Sent(target) || state == State::Placed(target);
         let ids = (0..self.requests.len()).filter(|id| here(self.requests[*id].state));
         for id in ids.collect::<Vec<_>>() {
             self.unplace(id);
-            self.requests[id].state = State::Away;
-            self.tell(Event::Ended(id, false));
-            self.tell(Event::Arrive(id, self.requests[id].arrival));
+            self.requests[id].state = State::Unplaced;
+            self.notify(Event::Ended(id, false));
+            self.notify(Event::Arrive(id, self.requests[id].arrival));
         }
     }
 
@@ -355,7 +357,7 @@
             return;
         }
         self.portals[i].0 += 1;
-        self.post(self.now + PORTAL_TIME, Due::Portal(i, id));
+        self.schedule(self.now + PORTAL_TIME, Scheduled::Portal(i, id));
     }
 
     fn portal_done(&mut self, i: usize, id: usize) {
@@ -363,23 +365,23 @@
         if let Some(next) = self.portals[i].1.pop_front() {
             self.enter_portal(next, i);
         }
-        if self.requests[id].state == State::Over {
+        if self.requests[id].state == State::Ended {
             return;
         }
-        self.requests[id].state = State::Over;
+        self.requests[id].state = State::Ended;
         self.requests[id].told.first = Some(self.now);
         self.requests[id].told.done = Some(self.now);
-        self.tell(Event::Began(id));
-        self.tell(Event::Ended(id, true));
+        self.notify(Event::Began(id));
+        self.notify(Event::Ended(id, true));
     }
 
-    fn post(&mut self, at: Time, due: Due) {
-        self.posted += 1;
-        self.due.insert((at, self.posted), due);
+    fn schedule(&mut self, at: Time, scheduled: Scheduled) {
+        self.seq += 1;
+        self.scheduled.insert((at, self.seq), scheduled);
     }
 
     /// Resets the counters at the end of the warm-up.
-    fn begin_count(&mut self) {
+    fn reset_counters(&mut self) {
         self.figures.tokens = 0;
         self.store.started = 0;
         for engine in &mut self.engines {
