--- a/crates/measure/src/baseline.rs
+++ b/crates/measure/src/baseline.rs
@@ -9,7 +9,7 @@
 use base::{AdapterKey, Class, TargetNo, Time, stable_hash};
 
 use crate::{
-    policy::{Action, Event, Evict, Spread, portal_no, target_no, zone_of},
+    policy::{Action, Event, Evict, Placement, replica_no, target_no, zone_of},
     workload::{Arrival, Sizes},
 };
 
@@ -39,7 +39,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Baseline {
     sizes: Sizes,
-    spread: Spread,
+    placement: Placement,
     evict: Evict,
     targets: Vec<TargetState>,
     requests: BTreeMap<usize, (Arrival, TargetNo)>,
@@ -47,7 +47,7 @@
 }
 
 impl Baseline {
-    pub(crate) fn new(sizes: &Sizes, spread: Spread, evict: Evict) -> Self {
+    pub(crate) fn new(sizes: &Sizes, placement: Placement, evict: Evict) -> Self {
         let state = |i| TargetState {
             zone: zone_of(i, sizes.zones),
             up: true,
@@ -56,9 +56,9 @@
         let engines = (0..sizes.engines).map(state);
         Baseline {
             sizes: sizes.clone(),
-            spread,
+            placement,
             evict,
-            targets: engines.chain((0..sizes.portals).map(state)).collect(),
+            targets: engines.chain((0..sizes.replicas).map(state)).collect(),
             requests: BTreeMap::new(),
             cut: None,
         }
@@ -77,7 +77,7 @@
             }
             Event::Up(target) => self.targets[target.0 as usize].up = true,
             Event::Cut(zone) => self.cut = Some(zone),
-            Event::Joined => self.cut = None,
+            Event::Healed => self.cut = None,
             Event::Began(_) | Event::Paused(_) | Event::Unloaded(..) | Event::Timer => {}
         }
     }
@@ -105,15 +105,15 @@
         };
         let least = |t: &TargetNo| (self.targets[t.0 as usize].load, *t);
         let Some(key) = arrival.key else {
-            let portals = (0..self.sizes.portals).map(|i| portal_no(&self.sizes, i));
-            return portals.filter(reach).min_by_key(least);
+            let replicas = (0..self.sizes.replicas).map(|i| replica_no(&self.sizes, i));
+            return replicas.filter(reach).min_by_key(least);
         };
         let engines = || (0..self.sizes.engines).map(target_no).filter(reach);
         let home = |t: &TargetNo| stable_hash(&[&key.adapter.0.to_le_bytes(), &t.0.to_le_bytes()]);
-        match self.spread {
-            Spread::LeastLoaded => engines().min_by_key(least),
-            Spread::Hash => engines().max_by_key(home),
-            Spread::Holder => {
+        match self.placement {
+            Placement::LeastLoaded => engines().min_by_key(least),
+            Placement::Hash => engines().max_by_key(home),
+            Placement::Holder => {
                 let holds = |t: &TargetNo| self.targets[t.0 as usize].slots.contains_key(&key);
                 let room = |t: &TargetNo| self.targets[t.0 as usize].load < self.sizes.batch;
                 let holder = engines().filter(holds).min_by_key(least).filter(room);
--- a/crates/measure/src/bound.rs
+++ b/crates/measure/src/bound.rs
@@ -88,7 +88,7 @@
 /// Returns the requests whose worth counts, grouped by adapter.
 fn demands(work: &Workload) -> Vec<Demand> {
     let mut groups: BTreeMap<_, Vec<&Arrival>> = BTreeMap::new();
-    for arrival in work.arrivals.iter().filter(|a| work.weighs(a)) {
+    for arrival in work.arrivals.iter().filter(|a| work.counts_worth(a)) {
         groups.entry(arrival.key).or_default().push(arrival);
     }
     let demands = groups.values().map(|group| {
@@ -106,7 +106,7 @@
 /// Returns, for each request of `group`, the highest number of requests of the group,
 /// itself included, that can be in progress at once during its lifetime.
 fn sharers(work: &Workload, group: &[&Arrival]) -> Vec<u32> {
-    let slices = |a: &Arrival| slice(work, a.at)..=slice(work, a.whole_by());
+    let slices = |a: &Arrival| slice(work, a.at)..=slice(work, a.complete_by());
     let mut counts = vec![0; slice(work, work.span.end()) + 1];
     for arrival in group {
         for n in slices(arrival) {
@@ -130,7 +130,7 @@
 
 /// Returns the shortest time, in slices, for which a load occupies its slot.
 fn load_slices(work: &Workload) -> f64 {
-    let store = Store::new(work.sizes.loads, work.sizes.parallel);
+    let store = Store::new(work.sizes.load_rate, work.sizes.parallel);
     store.min_load_secs() * 1e6 / SLICE as f64
 }
 
@@ -145,7 +145,7 @@
     let secs = work.span.counted.as_secs_f64();
     let slots = f64::from(sizes.slots);
     let up = up(work).as_secs_f64();
-    let loads = Store::new(sizes.loads, sizes.parallel).max_loads(secs);
+    let loads = Store::new(sizes.load_rate, sizes.parallel).max_loads(secs);
     // Adapters resident at the start of the counted period were loaded before it, so both
     // the loads and their slot time come on top.
     let resident = slots * sizes.engines as f64;
--- a/crates/measure/src/figures.rs
+++ b/crates/measure/src/figures.rs
@@ -27,7 +27,7 @@
 
 /// Outcome of one request.
 #[derive(Clone, Debug, Default)]
-pub struct Told {
+pub struct Outcome {
     /// Its load stall: time spent waiting for loads.
     pub stall: Duration,
     /// Time of its first token.
@@ -44,13 +44,13 @@
     /// Load stalls of live requests, in seconds.
     pub stalls: Vec<f64>,
     /// Times from arrival to first token of live requests, in seconds.
-    pub firsts: Vec<f64>,
+    pub first_tokens: Vec<f64>,
     /// Live requests answered in time.
     pub answered: u64,
     /// Live requests refused.
     pub refused: u64,
     /// Critical requests not answered by their deadline.
-    pub lost: u64,
+    pub critical_missed: u64,
     /// Batch requests, and those of them done by their deadline.
     pub batch: (u64, u64),
     /// Tokens asked for and given in time, by brand.
@@ -65,36 +65,36 @@
     pub loads: u64,
     /// Rule violations: an adapter evicted in use, a request sent to an engine without its
     /// adapter, more adapters than slots.
-    pub broken: u64,
+    pub violations: u64,
 }
 
 impl Figures {
-    /// Adds one request; `possible` is false when its adapter can't be loaded at all, and
+    /// Adds one request; `loadable` is false when its adapter can't be loaded at all, and
     /// then only its load stall counts.
-    pub fn add(&mut self, arrival: &Arrival, told: &Told, possible: bool) {
-        if !possible {
+    pub fn add(&mut self, arrival: &Arrival, outcome: &Outcome, loadable: bool) {
+        if !loadable {
             if arrival.class == Class::Live {
-                self.stalls.push(told.stall.as_secs_f64());
+                self.stalls.push(outcome.stall.as_secs_f64());
             }
             return;
         }
-        let first = told.first.filter(|at| *at <= arrival.deadline);
+        let first = outcome.first.filter(|at| *at <= arrival.deadline);
         let given = match arrival.class {
             Class::Critical => {
-                self.lost += u64::from(first.is_none());
+                self.critical_missed += u64::from(first.is_none());
                 return;
             }
             Class::Live => {
-                let patience = arrival.deadline.since(arrival.at);
-                let wait = first.map_or(patience, |at| at.since(arrival.at));
-                self.firsts.push(wait.as_secs_f64());
-                self.stalls.push(told.stall.as_secs_f64());
+                let timeout = arrival.deadline.since(arrival.at);
+                let wait = first.map_or(timeout, |at| at.since(arrival.at));
+                self.first_tokens.push(wait.as_secs_f64());
+                self.stalls.push(outcome.stall.as_secs_f64());
                 self.answered += u64::from(first.is_some());
-                self.refused += u64::from(told.refused);
+                self.refused += u64::from(outcome.refused);
                 first.is_some()
             }
             Class::Batch => {
-                let done = told.done.is_some_and(|at| at <= arrival.deadline);
+                let done = outcome.done.is_some_and(|at| at <= arrival.deadline);
                 self.batch.0 += 1;
                 self.batch.1 += u64::from(done);
                 done
@@ -106,10 +106,10 @@
     }
 
     /// Adds the worth of one request.
-    pub fn add_worth(&mut self, arrival: &Arrival, told: &Told) {
-        let began = told.first.is_some_and(|at| at <= arrival.deadline);
-        let whole = told.done.is_some_and(|at| at <= arrival.whole_by());
-        let given = whole && (began || arrival.class == Class::Batch);
+    pub fn add_worth(&mut self, arrival: &Arrival, outcome: &Outcome) {
+        let began = outcome.first.is_some_and(|at| at <= arrival.deadline);
+        let complete = outcome.done.is_some_and(|at| at <= arrival.complete_by());
+        let given = complete && (began || arrival.class == Class::Batch);
         self.worth.0 += arrival.worth();
         self.worth.1 += arrival.worth() * u64::from(given);
     }
@@ -117,10 +117,10 @@
     /// Adds the metrics of another run.
     pub fn merge(&mut self, other: Figures) {
         self.stalls.extend(other.stalls);
-        self.firsts.extend(other.firsts);
+        self.first_tokens.extend(other.first_tokens);
         self.answered += other.answered;
         self.refused += other.refused;
-        self.lost += other.lost;
+        self.critical_missed += other.critical_missed;
         self.batch.0 += other.batch.0;
         self.batch.1 += other.batch.1;
         for (brand, (asked, given)) in other.brands {
@@ -132,7 +132,7 @@
         self.tokens += other.tokens;
         self.busy_secs += other.busy_secs;
         self.loads += other.loads;
-        self.broken += other.broken;
+        self.violations += other.violations;
     }
 
     /// Returns the sum of the load stalls of live requests, in seconds.
@@ -143,20 +143,20 @@
 
     /// Returns the fraction of live requests that stalled.
     #[must_use]
-    pub fn stalled_part(&self) -> f64 {
+    pub fn stalled_fraction(&self) -> f64 {
         let stalled = self.stalls.iter().filter(|s| **s > 0.0).count();
         stalled as f64 / self.stalls.len().max(1) as f64
     }
 
     /// Returns the fraction of live requests answered in time.
     #[must_use]
-    pub fn answered_part(&self) -> f64 {
-        self.answered as f64 / self.firsts.len().max(1) as f64
+    pub fn answered_fraction(&self) -> f64 {
+        self.answered as f64 / self.first_tokens.len().max(1) as f64
     }
 
     /// Returns the fraction of batch requests done by their deadline, 1.0 if there are none.
     #[must_use]
-    pub fn done_part(&self) -> f64 {
+    pub fn done_fraction(&self) -> f64 {
         match self.batch.0 {
             0 => 1.0,
             all => self.batch.1 as f64 / all as f64,
@@ -191,12 +191,12 @@
             stall(0.5),
             stall(0.95),
             stall(0.99),
-            self.stalled_part() * 100.0,
+            self.stalled_fraction() * 100.0,
             self.efficiency(),
-            quantile(&self.firsts, 0.95),
-            self.answered_part() * 100.0,
-            self.lost,
-            self.done_part() * 100.0,
+            quantile(&self.first_tokens, 0.95),
+            self.answered_fraction() * 100.0,
+            self.critical_missed,
+            self.done_fraction() * 100.0,
             self.fairness(),
             self.loads,
         )
--- a/crates/measure/src/lib.rs
+++ b/crates/measure/src/lib.rs
@@ -23,7 +23,7 @@
 
 pub use crate::{
     bound::bound,
-    policy::{Evict, Policy, Spread},
-    standing::{STANDINGS, Standing},
-    verdict::{Comparison, compare, mean_stalls},
+    policy::{Evict, Placement, Policy},
+    standing::{BOUND_GAP_HEAD, BoundGap},
+    verdict::{Comparison, compare, mean_stall_ratio},
 };
--- a/crates/measure/src/ours.rs
+++ b/crates/measure/src/ours.rs
@@ -14,7 +14,7 @@
 };
 
 use crate::{
-    policy::{Action, Event, portal_no, target_no, zone_of},
+    policy::{Action, Event, replica_no, target_no, zone_of},
     workload::{Arrival, Sizes},
 };
 
@@ -32,10 +32,10 @@
 const ENGINES: PoolNo = PoolNo(0);
 
 /// Pool number of the plain service.
-const PORTALS: PoolNo = PoolNo(1);
+const SERVICE: PoolNo = PoolNo(1);
 
 /// Number of requests that a plain service replica runs at once.
-const PORTAL_PLACES: u32 = 32;
+const REPLICA_SLOTS: u32 = 32;
 
 /// A message in flight, or the timer of the next budget division.
 #[derive(Clone, Debug)]
@@ -98,8 +98,8 @@
                 self.scheduler(Time::ZERO, i, Input::Adapter { adapter, hash }, &mut out);
             }
         }
-        for i in 0..self.sizes.portals {
-            let target = self.target(portal_no(&self.sizes, i), i, PORTALS);
+        for i in 0..self.sizes.replicas {
+            let target = self.target(replica_no(&self.sizes, i), i, SERVICE);
             self.broadcast(Time::ZERO, &RouterUpdate::Target(target));
         }
         for i in 0..self.sizes.engines {
@@ -121,7 +121,7 @@
             batch: if engine {
                 self.sizes.batch
             } else {
-                PORTAL_PLACES
+                REPLICA_SLOTS
             },
             slots: if engine { self.sizes.slots } else { 0 },
         }
@@ -191,7 +191,7 @@
                 self.assign_engine(now, i, LoadPolicy::Full, out);
             }
             Event::Cut(zone) => self.set_cut(now, Some(zone), out),
-            Event::Joined => self.set_cut(now, None, out),
+            Event::Healed => self.set_cut(now, None, out),
             Event::Timer => self.deliver(now, out),
         }
     }
@@ -394,7 +394,7 @@
 
     /// Divides the store's load budget among the instances, as the leader does.
     fn divide_budget(&mut self, now: Time, out: &mut Vec<Action>) {
-        let all = self.sizes.loads * 1_000.0;
+        let all = self.sizes.load_rate * 1_000.0;
         let count = self.sizes.entries;
         let leader = (0..count).find(|i| Some(zone_of(*i, self.sizes.zones)) != self.cut);
         let reached = |i: usize| leader.is_some_and(|l| self.connected(i, l));
@@ -428,8 +428,8 @@
         self.cut = cut;
         let zones = self.sizes.zones;
         let engines = (0..self.sizes.engines).map(|i| (target_no(i), i));
-        let portals = (0..self.sizes.portals).map(|i| (portal_no(&self.sizes, i), i));
-        for (target, i) in engines.chain(portals) {
+        let replicas = (0..self.sizes.replicas).map(|i| (replica_no(&self.sizes, i), i));
+        for (target, i) in engines.chain(replicas) {
             for entry in 0..self.sizes.entries {
                 let cut_off =
                     cut.is_some_and(|z| (zone_of(entry, zones) == z) != (zone_of(i, zones) == z));
@@ -456,7 +456,7 @@
 fn request_spec(arrival: &Arrival) -> RequestSpec {
     let plain = arrival.key.is_none();
     RequestSpec {
-        pool: if plain { PORTALS } else { ENGINES },
+        pool: if plain { SERVICE } else { ENGINES },
         key: arrival.key,
         brand: arrival.brand,
         class: arrival.class,
--- a/crates/measure/src/policy.rs
+++ b/crates/measure/src/policy.rs
@@ -11,12 +11,12 @@
     /// The project's own router and scheduler.
     Ours,
     /// A baseline: how it chooses an engine, and what it evicts.
-    Baseline(Spread, Evict),
+    Baseline(Placement, Evict),
 }
 
 /// How a baseline chooses an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Spread {
+pub enum Placement {
     /// The engine with the fewest requests.
     LeastLoaded,
     /// The adapter's home engine, chosen by rendezvous hashing.
@@ -39,11 +39,11 @@
     /// All simulated policies: ours first, then the baselines.
     pub const ALL: [Policy; 6] = [
         Policy::Ours,
-        Policy::Baseline(Spread::LeastLoaded, Evict::Oldest),
-        Policy::Baseline(Spread::Hash, Evict::Oldest),
-        Policy::Baseline(Spread::LeastLoaded, Evict::LeastRecent),
-        Policy::Baseline(Spread::Hash, Evict::LeastRecent),
-        Policy::Baseline(Spread::Holder, Evict::LeastRecent),
+        Policy::Baseline(Placement::LeastLoaded, Evict::Oldest),
+        Policy::Baseline(Placement::Hash, Evict::Oldest),
+        Policy::Baseline(Placement::LeastLoaded, Evict::LeastRecent),
+        Policy::Baseline(Placement::Hash, Evict::LeastRecent),
+        Policy::Baseline(Placement::Holder, Evict::LeastRecent),
     ];
 
     /// Returns the policy's name in tables.
@@ -51,12 +51,12 @@
     pub fn name(self) -> &'static str {
         match self {
             Policy::Ours => "ours",
-            Policy::Baseline(Spread::LeastLoaded, Evict::Oldest) => "least-loaded",
-            Policy::Baseline(Spread::Hash, Evict::Oldest) => "hash",
-            Policy::Baseline(Spread::Holder, Evict::Oldest) => "holder",
-            Policy::Baseline(Spread::LeastLoaded, Evict::LeastRecent) => "least-loaded+lru",
-            Policy::Baseline(Spread::Hash, Evict::LeastRecent) => "hash+lru",
-            Policy::Baseline(Spread::Holder, Evict::LeastRecent) => "holder+lru",
+            Policy::Baseline(Placement::LeastLoaded, Evict::Oldest) => "least-loaded",
+            Policy::Baseline(Placement::Hash, Evict::Oldest) => "hash",
+            Policy::Baseline(Placement::Holder, Evict::Oldest) => "holder",
+            Policy::Baseline(Placement::LeastLoaded, Evict::LeastRecent) => "least-loaded+lru",
+            Policy::Baseline(Placement::Hash, Evict::LeastRecent) => "hash+lru",
+            Policy::Baseline(Placement::Holder, Evict::LeastRecent) => "holder+lru",
         }
     }
 }
@@ -82,7 +82,7 @@
     /// The network partition of a zone from all others begins.
     Cut(usize),
     /// The network partition has ended.
-    Joined,
+    Healed,
     /// The time that [`PolicyState::next_at`] returned has been reached.
     Timer,
 }
@@ -111,8 +111,8 @@
     pub(crate) fn new(policy: Policy, sizes: &Sizes, seed: u64) -> Self {
         match policy {
             Policy::Ours => PolicyState::Ours(Box::new(Ours::new(sizes, seed))),
-            Policy::Baseline(spread, evict) => {
-                PolicyState::Baseline(Box::new(Baseline::new(sizes, spread, evict)))
+            Policy::Baseline(placement, evict) => {
+                PolicyState::Baseline(Box::new(Baseline::new(sizes, placement, evict)))
             }
         }
     }
@@ -141,7 +141,7 @@
 
 /// Returns the target number of the `i`-th plain service replica; numbers of engines come
 /// first.
-pub(crate) fn portal_no(sizes: &Sizes, i: usize) -> TargetNo {
+pub(crate) fn replica_no(sizes: &Sizes, i: usize) -> TargetNo {
     target_no(sizes.engines + i)
 }
 
--- a/crates/measure/src/standing.rs
+++ b/crates/measure/src/standing.rs
@@ -5,7 +5,7 @@
 /// Worth served in one world by our policy and by the best baseline, and its bound. All
 /// values are in the unit of [`Figures::worth`].
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Standing {
+pub struct BoundGap {
     /// Worth of all requests.
     pub asked: f64,
     /// Worth served by our policy.
@@ -16,12 +16,12 @@
     pub bound: f64,
 }
 
-impl Standing {
+impl BoundGap {
     /// Creates it from the figures of our policy and of the baselines, and the bound.
     #[must_use]
     pub fn new(ours: &Figures, baselines: &[Figures], bound: f64) -> Self {
         let given = baselines.iter().map(|figures| figures.worth.1);
-        Standing {
+        BoundGap {
             asked: ours.worth.0 as f64,
             ours: ours.worth.1 as f64,
             best: given.max().unwrap_or(0) as f64,
@@ -31,7 +31,7 @@
 
     /// Returns whether no policy exceeds the bound.
     #[must_use]
-    pub fn holds(&self) -> bool {
+    pub fn bound_holds(&self) -> bool {
         self.ours.max(self.best) <= self.bound
     }
 
@@ -55,7 +55,7 @@
     }
 }
 
-/// Heading of the table whose rows [`Standing::row`] writes.
-pub const STANDINGS: &str = "\
+/// Heading of the table whose rows [`BoundGap::row`] writes.
+pub const BOUND_GAP_HEAD: &str = "\
 | world | ours | best baseline | bound | distance |
 | --- | --- | --- | --- | --- |";
--- a/crates/measure/src/verdict.rs
+++ b/crates/measure/src/verdict.rs
@@ -5,27 +5,27 @@
 use crate::figures::Figures;
 
 /// Highest ratio of our live load stalls to the best baseline's that meets the target.
-const STALL_AIM: f64 = 0.25;
+const STALL_RATIO_TARGET: f64 = 0.25;
 
 /// Fraction of live requests answered in time, and of batch requests done, by which our
 /// policy may be below the best baseline: smaller differences are statistical noise.
-const CHANCE: f64 = 0.005;
+const NOISE: f64 = 0.005;
 
 /// Our policy compared with the best baseline over one or more workloads.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Comparison {
     /// Ratio of our live load stalls to the best baseline's.
-    pub stalls: f64,
+    pub stall_ratio: f64,
     /// Ratio of our batch efficiency to the best baseline's.
-    pub efficiency: f64,
+    pub efficiency_ratio: f64,
     /// Our fraction of live requests answered in time, minus the best baseline's.
-    pub answered: f64,
+    pub answered_diff: f64,
     /// Our fraction of batch requests done by their deadline, minus the best baseline's.
-    pub done: f64,
+    pub done_diff: f64,
     /// Critical requests that our policy did not answer by their deadline.
-    pub lost: u64,
-    /// Rule violations of our policy; see [`Figures::broken`].
-    pub broken: u64,
+    pub critical_missed: u64,
+    /// Rule violations of our policy; see [`Figures::violations`].
+    pub violations: u64,
 }
 
 /// Compares our policy with the best baseline; which baseline is the best is decided for
@@ -36,20 +36,22 @@
     let stalls = baselines.iter().map(Figures::stall_secs);
     let least = stalls.fold(f64::INFINITY, f64::min);
     Comparison {
-        stalls: ours.stall_secs() / least.max(f64::MIN_POSITIVE),
-        efficiency: ours.efficiency() / most(Figures::efficiency).max(f64::MIN_POSITIVE),
-        answered: ours.answered_part() - most(Figures::answered_part),
-        done: ours.done_part() - most(Figures::done_part),
-        lost: ours.lost,
-        broken: ours.broken,
+        stall_ratio: ours.stall_secs() / least.max(f64::MIN_POSITIVE),
+        efficiency_ratio: ours.efficiency() / most(Figures::efficiency).max(f64::MIN_POSITIVE),
+        answered_diff: ours.answered_fraction() - most(Figures::answered_fraction),
+        done_diff: ours.done_fraction() - most(Figures::done_fraction),
+        critical_missed: ours.critical_missed,
+        violations: ours.violations,
     }
 }
 
 /// Returns the geometric mean of the stall ratios. It gives every workload the same
 /// weight; a sum would be dominated by the workload with the worst overload.
 #[must_use]
-pub fn mean_stalls(all: &[Comparison]) -> f64 {
-    let logs = all.iter().map(|c| c.stalls.max(f64::MIN_POSITIVE).ln());
+pub fn mean_stall_ratio(all: &[Comparison]) -> f64 {
+    let logs = all
+        .iter()
+        .map(|c| c.stall_ratio.max(f64::MIN_POSITIVE).ln());
     (logs.sum::<f64>() / all.len().max(1) as f64).exp()
 }
 
@@ -57,12 +59,12 @@
     /// Returns whether all targets are met.
     #[must_use]
     pub fn is_met(&self) -> bool {
-        self.stalls <= STALL_AIM
-            && self.efficiency >= 1.0
-            && self.answered >= -CHANCE
-            && self.done >= -CHANCE
-            && self.lost == 0
-            && self.broken == 0
+        self.stall_ratio <= STALL_RATIO_TARGET
+            && self.efficiency_ratio >= 1.0
+            && self.answered_diff >= -NOISE
+            && self.done_diff >= -NOISE
+            && self.critical_missed == 0
+            && self.violations == 0
     }
 }
 
@@ -72,12 +74,12 @@
             f,
             "stalls x{:.2}, efficiency x{:.3}, answered {:+.1} points, batch done {:+.1} points, \
              critical lost {}, rules broken {}: {}",
-            self.stalls,
-            self.efficiency,
-            self.answered * 100.0,
-            self.done * 100.0,
-            self.lost,
-            self.broken,
+            self.stall_ratio,
+            self.efficiency_ratio,
+            self.answered_diff * 100.0,
+            self.done_diff * 100.0,
+            self.critical_missed,
+            self.violations,
             if self.is_met() { "met" } else { "NOT met" },
         )
     }
--- a/crates/measure/src/workload.rs
+++ b/crates/measure/src/workload.rs
@@ -10,7 +10,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Span {
     /// Warm-up with initially cold caches; it is not counted.
-    pub warm: Duration,
+    pub warm_up: Duration,
     /// The counted period, which follows the warm-up.
     pub counted: Duration,
 }
@@ -18,26 +18,26 @@
 impl Span {
     /// Span of a full measurement.
     pub const FULL: Span = Span {
-        warm: Duration::from_secs(60),
+        warm_up: Duration::from_secs(60),
         counted: Duration::from_secs(240),
     };
 
     /// Short span, for tests that run all worlds.
     pub const SHORT: Span = Span {
-        warm: Duration::from_secs(10),
+        warm_up: Duration::from_secs(10),
         counted: Duration::from_secs(20),
     };
 
     /// Returns the start of the counted period.
     #[must_use]
     pub fn start(&self) -> Time {
-        Time::ZERO + self.warm
+        Time::ZERO + self.warm_up
     }
 
     /// Returns the end of the run, which is also the end of the counted period.
     #[must_use]
     pub fn end(&self) -> Time {
-        Time::ZERO + self.warm + self.counted
+        Time::ZERO + self.warm_up + self.counted
     }
 
     /// Scales a time in seconds of a full run to this run.
@@ -48,13 +48,13 @@
 }
 
 /// How long an interactive caller waits for the first token before disconnecting.
-const LIVE_PATIENCE: Duration = Duration::from_secs(5);
+const LIVE_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Time that a reader takes per token.
-const READING: Duration = Duration::from_millis(50);
+const READ_TIME: Duration = Duration::from_millis(50);
 
 /// Time limit of a listing page or receipt.
-const CRITICAL_PATIENCE: Duration = Duration::from_secs(5);
+const CRITICAL_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// One request of a workload.
 #[derive(Clone, Copy, Debug)]
@@ -83,10 +83,10 @@
     /// Returns when the complete answer is due: when a reader who began at the deadline
     /// reaches its end; for batch work, the deadline.
     #[must_use]
-    pub fn whole_by(&self) -> Time {
+    pub fn complete_by(&self) -> Time {
         match self.class {
             Class::Batch => self.deadline,
-            Class::Critical | Class::Live => self.deadline + READING * self.tokens,
+            Class::Critical | Class::Live => self.deadline + READ_TIME * self.tokens,
         }
     }
 
@@ -112,7 +112,7 @@
     /// A network partition cuts the zone off from all others.
     Cut(usize),
     /// The network partition ends.
-    Joined,
+    Healed,
 }
 
 /// Sizes of a deployment.
@@ -125,7 +125,7 @@
     /// Number of model engines, distributed round-robin over the zones.
     pub engines: usize,
     /// Number of plain service replicas, distributed round-robin over the zones.
-    pub portals: usize,
+    pub replicas: usize,
     /// Number of entry instances, distributed round-robin over the zones.
     pub entries: usize,
     /// Number of adapters.
@@ -135,7 +135,7 @@
     /// Places in an engine's batch.
     pub batch: u32,
     /// Loads per second that the weight store can serve.
-    pub loads: f64,
+    pub load_rate: f64,
     /// Number of concurrent loads that the store serves at full speed.
     pub parallel: u32,
     /// Step time of an engine relative to the reference engine; 1.0 is equal.
@@ -158,9 +158,9 @@
     /// Faults in order of time.
     pub faults: Vec<(Time, Fault)>,
     /// Adapters whose loads always fail.
-    pub broken: Vec<AdapterNo>,
+    pub unloadable: Vec<AdapterNo>,
     /// Probability with which a load of any other adapter fails.
-    pub failing: f64,
+    pub failure_rate: f64,
 }
 
 impl Workload {
@@ -174,16 +174,16 @@
     /// Returns whether a request's worth counts: it asks for an adapter that can be loaded,
     /// and its complete answer is due by the end of the run.
     #[must_use]
-    pub fn weighs(&self, arrival: &Arrival) -> bool {
-        let within = self.counts(arrival) && arrival.whole_by() <= self.span.end();
-        within && arrival.key.is_some() && self.possible(arrival)
+    pub fn counts_worth(&self, arrival: &Arrival) -> bool {
+        let within = self.counts(arrival) && arrival.complete_by() <= self.span.end();
+        within && arrival.key.is_some() && self.loadable(arrival)
     }
 
     /// Returns whether the adapter that a request asks for can be loaded at all.
     #[must_use]
-    pub fn possible(&self, arrival: &Arrival) -> bool {
+    pub fn loadable(&self, arrival: &Arrival) -> bool {
         let key = arrival.key;
-        key.is_none_or(|key| !self.broken.contains(&key.adapter))
+        key.is_none_or(|key| !self.unloadable.contains(&key.adapter))
     }
 }
 
@@ -199,15 +199,15 @@
     /// n-th most popular adapter are proportional to n^-skew.
     pub(crate) skew: f64,
     /// Seconds at which the popularity of adapters is reshuffled.
-    pub(crate) shifts: &'static [u64],
+    pub(crate) reshuffles: &'static [u64],
     /// Probability with which a live conversation is moved to the first brand; brands
     /// otherwise get requests by the popularity of their adapters alone.
     pub(crate) flood: f64,
     pub(crate) faults: &'static [(u64, Fault)],
     /// Fraction of adapters that can't be loaded.
-    pub(crate) broken: f64,
+    pub(crate) unloadable: f64,
     /// Probability with which a load of any other adapter fails.
-    pub(crate) failing: f64,
+    pub(crate) failure_rate: f64,
 }
 
 pub(crate) const DAY: Shape = Shape {
@@ -215,11 +215,11 @@
     live: 3.0,
     batch: 0.0,
     skew: 1.3,
-    shifts: &[],
+    reshuffles: &[],
     flood: 0.0,
     faults: &[],
-    broken: 0.0,
-    failing: 0.0,
+    unloadable: 0.0,
+    failure_rate: 0.0,
 };
 
 const SHAPES: [Shape; 7] = [
@@ -232,7 +232,7 @@
     },
     Shape {
         name: "shift",
-        shifts: &[140],
+        reshuffles: &[140],
         ..DAY
     },
     Shape {
@@ -242,13 +242,13 @@
     },
     Shape {
         name: "failing",
-        broken: 0.01,
-        failing: 0.1,
+        unloadable: 0.01,
+        failure_rate: 0.1,
         ..DAY
     },
     Shape {
         name: "cut",
-        faults: &[(120, Fault::Cut(0)), (180, Fault::Joined)],
+        faults: &[(120, Fault::Cut(0)), (180, Fault::Healed)],
         ..DAY
     },
     Shape {
@@ -265,19 +265,19 @@
 const BATCH_SKEW: f64 = 0.8;
 
 /// Mean number of requests of a live conversation.
-const TURNS: f64 = 4.0;
+const CONVERSATION_LENGTH: f64 = 4.0;
 
 /// Mean number of seconds between two requests of a conversation.
 const THINK_SECS: f64 = 8.0;
 
 /// Mean number of requests of a screening.
-const SCREENED: f64 = 40.0;
+const SCREENING_SIZE: f64 = 40.0;
 
 /// Critical requests per second and plain service replica.
-const RECEIPTS: f64 = 5.0;
+const RECEIPT_RATE: f64 = 5.0;
 
 /// One live request in this many is critical, such as an urgent confirmation.
-const URGENT_IN: u32 = 100;
+const CRITICAL_ONE_IN: u32 = 100;
 
 /// Returns the sizes of both deployments.
 #[must_use]
@@ -286,12 +286,12 @@
         name: "agency",
         zones: 4,
         engines: 12,
-        portals: 4,
+        replicas: 4,
         entries: 7,
         adapters: 3_000,
         slots: 8,
         batch: 32,
-        loads: 5.0,
+        load_rate: 5.0,
         parallel: 2,
         pace: 1.0,
         brands: 3,
@@ -300,9 +300,9 @@
         name: "consortium",
         zones: 3,
         engines: 18,
-        portals: 3,
+        replicas: 3,
         entries: 6,
-        loads: 6.0,
+        load_rate: 6.0,
         ..agency
     };
     [agency, consortium]
@@ -323,8 +323,8 @@
 ///
 /// Panics when there is no such workload.
 #[must_use]
-pub fn one(i: usize, seed: u64) -> Workload {
-    within(i, seed, Span::FULL)
+pub fn nth(i: usize, seed: u64) -> Workload {
+    nth_with_span(i, seed, Span::FULL)
 }
 
 /// Creates the `i`-th workload of [`names`] for a run of another length, with the times
@@ -334,7 +334,7 @@
 ///
 /// Panics when there is no such workload.
 #[must_use]
-pub fn within(i: usize, seed: u64, span: Span) -> Workload {
+pub fn nth_with_span(i: usize, seed: u64, span: Span) -> Workload {
     let (sizes, shape) = &pairs()[i];
     make(sizes, shape, span, seed.wrapping_mul(1_000) + i as u64)
 }
@@ -352,30 +352,30 @@
 
 /// Creates a workload from its seed.
 pub(crate) fn make(sizes: &Sizes, shape: &Shape, span: Span, seed: u64) -> Workload {
-    let mut maker = Maker {
+    let mut generator = Generator {
         rng: ChaCha8Rng::seed_from_u64(seed),
         sizes,
         span,
         arrivals: Vec::new(),
-        end: (span.warm + span.counted).as_secs_f64(),
+        end: (span.warm_up + span.counted).as_secs_f64(),
     };
     let mut ranks: Vec<u32> = (0..sizes.adapters).collect();
-    ranks.shuffle(&mut maker.rng);
-    let broken = (f64::from(sizes.adapters) * shape.broken) as usize;
+    ranks.shuffle(&mut generator.rng);
+    let unloadable = (f64::from(sizes.adapters) * shape.unloadable) as usize;
     // Adapters that can't be loaded are spread over all ranks, popular ones included.
-    let broken: Vec<_> = (0..broken)
+    let unloadable: Vec<_> = (0..unloadable)
         .map(|i| AdapterNo(ranks[i * 97 % ranks.len()]))
         .collect();
     let mut later = Vec::new();
-    for secs in shape.shifts {
-        let mut anew = ranks.clone();
-        anew.shuffle(&mut maker.rng);
-        later.push((span.at(*secs), anew));
+    for secs in shape.reshuffles {
+        let mut shuffled = ranks.clone();
+        shuffled.shuffle(&mut generator.rng);
+        later.push((span.at(*secs), shuffled));
     }
-    maker.live(shape, &ranks, &later);
-    maker.screening(shape, &ranks);
-    maker.receipts();
-    let mut arrivals = maker.arrivals;
+    generator.live(shape, &ranks, &later);
+    generator.screening(shape, &ranks);
+    generator.receipts();
+    let mut arrivals = generator.arrivals;
     arrivals.sort_by_key(|a| a.at);
     let faults = shape.faults.iter();
     Workload {
@@ -384,13 +384,13 @@
         sizes: sizes.clone(),
         arrivals,
         faults: faults.map(|(secs, f)| (span.at(*secs), *f)).collect(),
-        broken,
-        failing: shape.failing,
+        unloadable,
+        failure_rate: shape.failure_rate,
     }
 }
 
 /// Generates the arrivals of one workload.
-struct Maker<'a> {
+struct Generator<'a> {
     rng: ChaCha8Rng,
     sizes: &'a Sizes,
     span: Span,
@@ -398,20 +398,20 @@
     end: f64,
 }
 
-impl Maker<'_> {
+impl Generator<'_> {
     /// Generates live conversations, each a few requests for one adapter.
     fn live(&mut self, shape: &Shape, ranks: &[u32], later: &[(Time, Vec<u32>)]) {
         let popular = Zipf::new(self.sizes.adapters, shape.skew);
-        let rate = shape.live * self.sizes.engines as f64 / TURNS;
+        let rate = shape.live * self.sizes.engines as f64 / CONVERSATION_LENGTH;
         let mut at = 0.0;
         loop {
-            at += self.gap(1.0 / rate);
+            at += self.exponential(1.0 / rate);
             if at > self.end {
                 return;
             }
-            let dealt = later.iter().rev();
-            let mut dealt = dealt.filter(|(from, _)| at >= from.0 as f64 / 1e6);
-            let ranks = dealt.next().map_or(ranks, |(_, ranks)| ranks);
+            let current = later.iter().rev();
+            let mut current = current.filter(|(from, _)| at >= from.0 as f64 / 1e6);
+            let ranks = current.next().map_or(ranks, |(_, ranks)| ranks);
             let mut adapter = ranks[popular.draw(&mut self.rng)];
             if shape.flood > 0.0 && self.rng.random_bool(shape.flood) {
                 adapter -= adapter % self.sizes.brands;
@@ -424,7 +424,7 @@
         let prefix = self.rng.random_range(1..u64::MAX);
         let mut at = start;
         while at < self.end {
-            let class = match self.rng.random_ratio(1, URGENT_IN) {
+            let class = match self.rng.random_ratio(1, CRITICAL_ONE_IN) {
                 true => Class::Critical,
                 false => Class::Live,
             };
@@ -435,12 +435,12 @@
                 Some(adapter),
                 class,
                 (prefix, prompt, tokens),
-                LIVE_PATIENCE,
+                LIVE_TIMEOUT,
             );
-            if !self.rng.random_bool(1.0 - 1.0 / TURNS) {
+            if !self.rng.random_bool(1.0 - 1.0 / CONVERSATION_LENGTH) {
                 return;
             }
-            at += 2.0 + self.gap(THINK_SECS - 2.0);
+            at += 2.0 + self.exponential(THINK_SECS - 2.0);
         }
     }
 
@@ -451,17 +451,17 @@
             return;
         }
         let popular = Zipf::new(self.sizes.adapters, BATCH_SKEW);
-        let rate = shape.batch * self.sizes.engines as f64 / SCREENED;
+        let rate = shape.batch * self.sizes.engines as f64 / SCREENING_SIZE;
         // The last third of the counted period brings no new work, so that all can be done.
         let last = self.end - self.span.counted.as_secs_f64() / 3.0;
         let mut at = 0.0;
         loop {
-            at += self.gap(1.0 / rate);
+            at += self.exponential(1.0 / rate);
             if at > last {
                 return;
             }
             let adapter = ranks[popular.draw(&mut self.rng)];
-            let count = self.gap(SCREENED).ceil() as u32;
+            let count = self.exponential(SCREENING_SIZE).ceil() as u32;
             let left = Duration::from_secs_f64(self.end - at);
             for _ in 0..count {
                 let head = u64::from(adapter) + 1;
@@ -481,11 +481,11 @@
     fn receipts(&mut self) {
         let mut at = 0.0;
         loop {
-            at += self.gap(1.0 / (RECEIPTS * self.sizes.portals as f64));
+            at += self.exponential(1.0 / (RECEIPT_RATE * self.sizes.replicas as f64));
             if at > self.end {
                 return;
             }
-            self.push(at, None, Class::Critical, (0, 0, 1), CRITICAL_PATIENCE);
+            self.push(at, None, Class::Critical, (0, 0, 1), CRITICAL_TIMEOUT);
         }
     }
 
@@ -495,7 +495,7 @@
         adapter: Option<u32>,
         class: Class,
         (prefix, prompt, tokens): (u64, u32, u32),
-        patience: Duration,
+        timeout: Duration,
     ) {
         let at = Time((secs * 1e6) as u64);
         let key = adapter.map(|adapter| AdapterKey {
@@ -511,12 +511,12 @@
             prefix,
             prompt,
             tokens,
-            deadline: at + patience,
+            deadline: at + timeout,
         });
     }
 
     /// Draws from the exponential distribution with this mean.
-    fn gap(&mut self, mean: f64) -> f64 {
+    fn exponential(&mut self, mean: f64) -> f64 {
         -mean * (1.0 - self.rng.random::<f64>()).ln()
     }
 }
--- a/crates/measure/src/world.rs
+++ b/crates/measure/src/world.rs
@@ -11,7 +11,7 @@
 
 use crate::{
     engine::{Engine, Job},
-    figures::{Figures, Told},
+    figures::{Figures, Outcome},
     policy::{Action, Event, Policy, PolicyState, target_no},
     store::Store,
     workload::{Arrival, Fault, Workload},
@@ -21,10 +21,10 @@
 const UNLOAD: Duration = Duration::from_millis(2);
 
 /// Number of requests that a plain service replica runs at once.
-const PORTAL_PLACES: usize = 32;
+const REPLICA_SLOTS: usize = 32;
 
 /// Time that a plain service replica takes for one request.
-const PORTAL_TIME: Duration = Duration::from_millis(20);
+const REPLICA_TIME: Duration = Duration::from_millis(20);
 
 /// A scheduled event. Requests, engines and replicas are named by index.
 #[derive(Clone, Copy, Debug)]
@@ -33,7 +33,7 @@
     /// The step of an engine ends, unless the engine has crashed since it began.
     Step(usize, u64),
     /// A plain service replica finishes a request.
-    Portal(usize, usize),
+    Replica(usize, usize),
     /// The deadline of a request passes; its caller disconnects if no token has come.
     CallerTimeout(usize),
     Unloaded(TargetNo, AdapterKey),
@@ -59,7 +59,7 @@
     arrival: Arrival,
     state: State,
     left: u32,
-    told: Told,
+    outcome: Outcome,
     /// Start of its current load stall.
     stalled: Option<Time>,
 }
@@ -72,7 +72,7 @@
     seq: u64,
     policy: PolicyState,
     engines: Vec<Engine>,
-    portals: Vec<(usize, VecDeque<usize>)>,
+    replicas: Vec<(usize, VecDeque<usize>)>,
     store: Store,
     requests: Vec<Request>,
     waiting: BTreeMap<(TargetNo, AdapterKey), Vec<usize>>,
@@ -91,8 +91,8 @@
         seq: 0,
         policy: PolicyState::new(policy, sizes, seed),
         engines: vec![Engine::new(sizes.batch as usize, sizes.pace); sizes.engines],
-        portals: vec![(0, VecDeque::new()); sizes.portals],
-        store: Store::new(sizes.loads, sizes.parallel),
+        replicas: vec![(0, VecDeque::new()); sizes.replicas],
+        store: Store::new(sizes.load_rate, sizes.parallel),
         requests: work.arrivals.iter().map(Request::new).collect(),
         waiting: BTreeMap::new(),
         rng: ChaCha8Rng::seed_from_u64(seed),
@@ -119,7 +119,7 @@
             arrival: *arrival,
             state: State::Unplaced,
             left: arrival.tokens,
-            told: Told::default(),
+            outcome: Outcome::default(),
             stalled: None,
         }
     }
@@ -155,7 +155,7 @@
                 self.step(i)
             }
             Scheduled::Step(..) => {}
-            Scheduled::Portal(i, id) => self.portal_done(i, id),
+            Scheduled::Replica(i, id) => self.replica_done(i, id),
             Scheduled::CallerTimeout(id) => self.caller_timeout(id),
             Scheduled::Unloaded(target, key) => self.notify(Event::Unloaded(target, key)),
             Scheduled::Fault(Fault::Down(i)) => self.down(i),
@@ -164,7 +164,7 @@
                 self.notify(Event::Up(target_no(i)));
             }
             Scheduled::Fault(Fault::Cut(zone)) => self.notify(Event::Cut(zone)),
-            Scheduled::Fault(Fault::Joined) => self.notify(Event::Joined),
+            Scheduled::Fault(Fault::Healed) => self.notify(Event::Healed),
         }
     }
 
@@ -183,7 +183,7 @@
             Action::Refuse(id) => {
                 self.unplace(id);
                 self.requests[id].state = State::Ended;
-                self.requests[id].told.refused = true;
+                self.requests[id].outcome.refused = true;
             }
             Action::Preempt(id) => self.preempt(id),
             Action::Load(target, key) => {
@@ -191,14 +191,14 @@
                 // A load occupies its slot from its start.
                 let held = engine.resident.len() + self.store.in_progress(target);
                 let room = held < self.work.sizes.slots as usize;
-                self.figures.broken += u64::from(!room);
+                self.figures.violations += u64::from(!room);
                 if engine.up {
                     self.store.start(self.now, target, key);
                 }
             }
             Action::Unload(target, key) => {
                 let users = self.engines[target.0 as usize].users(key);
-                self.figures.broken += u64::from(users > 0);
+                self.figures.violations += u64::from(users > 0);
                 self.engines[target.0 as usize].resident.remove(&key);
                 for id in self
                     .waiting
@@ -230,7 +230,7 @@
     fn unplace(&mut self, id: usize) {
         let request = &mut self.requests[id];
         if let Some(since) = request.stalled.take() {
-            request.told.stall += self.now.since(since);
+            request.outcome.stall += self.now.since(since);
         }
         if let (State::Placed(target), Some(key)) = (request.state, request.arrival.key)
             && let Some(line) = self.waiting.get_mut(&(target, key))
@@ -247,11 +247,11 @@
         self.requests[id].state = State::Sent(target);
         let arrival = self.requests[id].arrival;
         let Some(key) = arrival.key else {
-            return self.enter_portal(id, target.0 as usize - self.engines.len());
+            return self.enter_replica(id, target.0 as usize - self.engines.len());
         };
         let engine = &mut self.engines[target.0 as usize];
         if !engine.resident.contains(&key) || !engine.up {
-            self.figures.broken += 1;
+            self.figures.violations += 1;
             return;
         }
         engine.submit(
@@ -279,14 +279,14 @@
         self.figures.tokens += step.tokens.len() as u64;
         for id in step.tokens {
             self.requests[id].left -= 1;
-            if self.requests[id].told.first.is_none() {
-                self.requests[id].told.first = Some(self.now);
+            if self.requests[id].outcome.first.is_none() {
+                self.requests[id].outcome.first = Some(self.now);
                 self.notify(Event::Began(id));
             }
         }
         for id in step.ended {
             self.requests[id].state = State::Ended;
-            self.requests[id].told.done = Some(self.now);
+            self.requests[id].outcome.done = Some(self.now);
             self.notify(Event::Ended(id, true));
         }
         self.begin_step(i);
@@ -303,7 +303,7 @@
 
     fn caller_timeout(&mut self, id: usize) {
         let request = &self.requests[id];
-        if request.told.first.is_some() || request.state == State::Ended {
+        if request.outcome.first.is_some() || request.state == State::Ended {
             return;
         }
         if let (State::Sent(target), Some(_)) = (request.state, request.arrival.key) {
@@ -315,8 +315,8 @@
     }
 
     fn loaded(&mut self, target: TargetNo, key: AdapterKey) {
-        let broken = self.work.broken.contains(&key.adapter);
-        let ok = !broken && !self.rng.random_bool(self.work.failing);
+        let unloadable = self.work.unloadable.contains(&key.adapter);
+        let ok = !unloadable && !self.rng.random_bool(self.work.failure_rate);
         if ok {
             self.engines[target.0 as usize].resident.insert(key);
             for id in self
@@ -327,7 +327,7 @@
             {
                 let request = &mut self.requests[id];
                 if let Some(since) = request.stalled.take() {
-                    request.told.stall += self.now.since(since);
+                    request.outcome.stall += self.now.since(since);
                 }
             }
         }
@@ -351,26 +351,26 @@
         }
     }
 
-    fn enter_portal(&mut self, id: usize, i: usize) {
-        if self.portals[i].0 >= PORTAL_PLACES {
-            self.portals[i].1.push_back(id);
+    fn enter_replica(&mut self, id: usize, i: usize) {
+        if self.replicas[i].0 >= REPLICA_SLOTS {
+            self.replicas[i].1.push_back(id);
             return;
         }
-        self.portals[i].0 += 1;
-        self.schedule(self.now + PORTAL_TIME, Scheduled::Portal(i, id));
+        self.replicas[i].0 += 1;
+        self.schedule(self.now + REPLICA_TIME, Scheduled::Replica(i, id));
     }
 
-    fn portal_done(&mut self, i: usize, id: usize) {
-        self.portals[i].0 -= 1;
-        if let Some(next) = self.portals[i].1.pop_front() {
-            self.enter_portal(next, i);
+    fn replica_done(&mut self, i: usize, id: usize) {
+        self.replicas[i].0 -= 1;
+        if let Some(next) = self.replicas[i].1.pop_front() {
+            self.enter_replica(next, i);
         }
         if self.requests[id].state == State::Ended {
             return;
         }
         self.requests[id].state = State::Ended;
-        self.requests[id].told.first = Some(self.now);
-        self.requests[id].told.done = Some(self.now);
+        self.requests[id].outcome.first = Some(self.now);
+        self.requests[id].outcome.done = Some(self.now);
         self.notify(Event::Began(id));
         self.notify(Event::Ended(id, true));
     }
@@ -399,10 +399,10 @@
         for request in &self.requests {
             let arrival = &request.arrival;
             if self.work.counts(arrival) {
-                figures.add(arrival, &request.told, self.work.possible(arrival));
+                figures.add(arrival, &request.outcome, self.work.loadable(arrival));
             }
-            if self.work.weighs(arrival) {
-                figures.add_worth(arrival, &request.told);
+            if self.work.counts_worth(arrival) {
+                figures.add_worth(arrival, &request.outcome);
             }
         }
         figures
--- a/crates/measure/tests/bound.rs
+++ b/crates/measure/tests/bound.rs
@@ -28,11 +28,11 @@
 }
 
 fn deployment(i: usize, seed: u64) -> Workload {
-    workload::within(i, seed, Span::SHORT)
+    workload::nth_with_span(i, seed, Span::SHORT)
 }
 
 fn other(i: usize, seed: u64) -> Workload {
-    worlds::one(i, seed, Span::SHORT)
+    worlds::nth(i, seed, Span::SHORT)
 }
 
 fn check_holds((seed, names, make): Worlds) {
@@ -45,7 +45,7 @@
             let name = format!("{world}, {}", policy.name());
             assert_that!(given, all![gt(0.0), le(bound)], "{name}");
             assert_that!(bound, le(asked * (1.0 + 1e-6)), "{name}");
-            assert_that!(figures.broken, eq(0), "{name}");
+            assert_that!(figures.violations, eq(0), "{name}");
         }
     }
 }
@@ -61,7 +61,7 @@
         // A hundred requests, one per second, and no capacity is scarce.
         all: (|w| w.sizes.slots = 2, 100.0),
         // One load in four seconds, and one adapter resident from the start.
-        store: (|w| w.sizes.loads = 0.25, 26.0),
+        store: (|w| w.sizes.load_rate = 0.25, 26.0),
         // Steps of 10.749 ms, each with one request: the only slot is never shared.
         slots: (|w| each(w, 2, |_, _| {}), 100_000.0 / 1074.9),
         // Steps of 10.999 ms for two requests that share the only adapter.
@@ -76,15 +76,15 @@
         // No loads at all, but an adapter resident from the start may stay.
         kept: (|w| {
             each(w, 1, one_adapter);
-            w.sizes.loads = 1e-6;
+            w.sizes.load_rate = 1e-6;
         }, 100.0),
         // Every other request is for an adapter for which there is no slot.
         displaced: (|w| {
             each(w, 1, |i, a| a.key = key(i % 2));
-            w.sizes.loads = 1e-6;
+            w.sizes.load_rate = 1e-6;
         }, 50.0),
         // Requests for adapters that can't be loaded don't count.
-        broken: (|w| w.broken = (50..100).map(AdapterNo).collect(), 50.0),
+        broken: (|w| w.unloadable = (50..100).map(AdapterNo).collect(), 50.0),
     }
 }
 
@@ -104,7 +104,7 @@
         // are five loads, and one adapter resident from the start.
         patience: (|w| {
             each(w, 1, |i, a| a.key = key(i / 5));
-            w.sizes.loads = 0.05;
+            w.sizes.load_rate = 0.05;
         }, 30.0, 30.5),
         // One of two adapters stays resident. Its load takes 20 s of the slot, and it stays
         // for at least 84 s. With the load time granted for adapters resident from the start
@@ -112,7 +112,7 @@
         // is above the 50 requests of the best plan.
         stays: (|w| {
             each(w, 1, |i, a| a.key = key(i % 2));
-            w.sizes.loads = 0.05;
+            w.sizes.load_rate = 0.05;
         }, 50.0, 60.0),
     }
 }
@@ -134,21 +134,21 @@
     let mut work = Workload {
         name: "small".to_owned(),
         span: Span {
-            warm: Duration::from_secs(10),
+            warm_up: Duration::from_secs(10),
             counted: Duration::from_secs(100),
         },
         sizes: Sizes {
             engines: 1,
             slots: 1,
             batch: 2,
-            loads: 1_000.0,
+            load_rate: 1_000.0,
             parallel: 1,
             ..agency
         },
         arrivals: Vec::new(),
         faults: Vec::new(),
-        broken: Vec::new(),
-        failing: 0.0,
+        unloadable: Vec::new(),
+        failure_rate: 0.0,
     };
     each(&mut work, 1, |_, _| {});
     work
--- a/crates/measure/tests/measure.rs
+++ b/crates/measure/tests/measure.rs
@@ -3,8 +3,8 @@
 use base::{AdapterKey, AdapterNo, BrandNo, Class, Time, Version};
 use googletest::prelude::*;
 use measure::{
-    Evict, Policy, Spread, compare,
-    figures::{Figures, Told},
+    Evict, Placement, Policy, compare,
+    figures::{Figures, Outcome},
     workload::{self, Arrival},
     world,
 };
@@ -34,12 +34,12 @@
         ..Figures::default()
     };
     for ms in millis {
-        let told = Told {
+        let outcome = Outcome {
             stall: Time::from_millis(*ms).since(Time::ZERO),
             first: Some(Time::from_millis(*ms)),
-            ..Told::default()
+            ..Outcome::default()
         };
-        figures.add(&arrival(Class::Live, 0), &told, true);
+        figures.add(&arrival(Class::Live, 0), &outcome, true);
     }
     figures
 }
@@ -48,9 +48,9 @@
 fn a_seed_gives_the_same_figures_every_time() {
     for policy in [
         Policy::Ours,
-        Policy::Baseline(Spread::Holder, Evict::LeastRecent),
+        Policy::Baseline(Placement::Holder, Evict::LeastRecent),
     ] {
-        let row = |seed| world::run(&workload::one(0, seed), policy, seed).row("w", "p");
+        let row = |seed| world::run(&workload::nth(0, seed), policy, seed).row("w", "p");
         assert_that!(row(3), eq(&row(3)));
         assert_that!(row(3), not(eq(&row(4))));
     }
@@ -64,7 +64,7 @@
         .unwrap();
     for policy in Policy::ALL {
         assert_that!(
-            world::run(&workload::one(i, 2), policy, 2).broken,
+            world::run(&workload::nth(i, 2), policy, 2).violations,
             eq(0),
             "{policy:?}"
         );
@@ -83,8 +83,8 @@
         efficiency: (&[1_000], |f| f.tokens = 99, false),
         answered: (&[1_000], |f| f.answered = 0, false),
         batch: (&[1_000], |f| f.batch = (10, 9), false),
-        critical: (&[1_000], |f| f.lost = 1, false),
-        rules: (&[1_000], |f| f.broken = 1, false),
+        critical: (&[1_000], |f| f.critical_missed = 1, false),
+        rules: (&[1_000], |f| f.violations = 1, false),
     }
 }
 
@@ -98,9 +98,9 @@
 #[test]
 fn fairness_is_the_least_part_of_what_a_brand_was_due() {
     let mut figures = Figures::default();
-    let answered = |yes| Told {
+    let answered = |yes| Outcome {
         first: Some(Time::ZERO).filter(|_| yes),
-        ..Told::default()
+        ..Outcome::default()
     };
     for (brand, given, asked) in [(0, 6, 20), (1, 2, 2), (2, 1, 4)] {
         for n in 0..asked {
--- a/xtask/src/measure.rs
+++ b/xtask/src/measure.rs
@@ -1,18 +1,19 @@
-//! `cargo xtask measure`: the decisions against the baselines and the bound.
+//! `cargo xtask measure`: compares the load and routing policy with the baselines and with
+//! the offline bound.
 
 use std::{panic::resume_unwind, process::ExitCode};
 
 use anyhow::{Context, Result, ensure};
 use clap::{Arg, ArgAction, ArgMatches, Command, value_parser};
 use measure::{
-    Comparison, Policy, STANDINGS, Standing, bound, compare,
+    BOUND_GAP_HEAD, BoundGap, Comparison, Policy, bound, compare,
     figures::{self, Figures},
-    mean_stalls,
+    mean_stall_ratio,
     workload::{self, Span, Workload},
     world, worlds,
 };
 
-/// Describes the chore.
+/// Returns the command line.
 pub(crate) fn command() -> Command {
     let number = |name| Arg::new(name).long(name).value_parser(value_parser!(u64));
     Command::new("measure")
@@ -32,27 +33,28 @@
         )
 }
 
-/// What is measured.
+/// The selected workloads and seeds.
 struct Plan {
     names: Vec<String>,
-    /// Those of the names that were asked for.
+    /// Indices of the selected names.
     picked: Vec<usize>,
     make: fn(usize, u64) -> Workload,
     from: u64,
     seeds: u64,
 }
 
-/// What all policies came to in one world, over all seeds.
-struct Outcome {
+/// Figures of all policies in one world, merged over all seeds.
+struct WorldResult {
     rows: Vec<Figures>,
-    standing: Standing,
+    gap: BoundGap,
 }
 
-/// Prints the tables; fails when the aim is not met or a bound doesn't hold.
+/// Prints the tables; the exit code is a failure when the targets are not met.
 ///
 /// # Errors
 ///
-/// Fails when no workload has the wanted name.
+/// Fails when no workload's name contains the filter, when a policy exceeds the bound, or
+/// when a synthetic world shows rule violations.
 pub(crate) fn run(args: &ArgMatches) -> Result<ExitCode> {
     let plan = plan(args)?;
     match args.get_flag("worlds") {
@@ -64,8 +66,8 @@
 fn plan(args: &ArgMatches) -> Result<Plan> {
     let only = args.get_one::<String>("only").map_or("", String::as_str);
     let (names, make): (_, fn(usize, u64) -> Workload) = match args.get_flag("worlds") {
-        true => (worlds::names(), |i, seed| worlds::one(i, seed, Span::FULL)),
-        false => (workload::names(), workload::one),
+        true => (worlds::names(), |i, seed| worlds::nth(i, seed, Span::FULL)),
+        false => (workload::names(), workload::nth),
     };
     let picked = (0..names.len()).filter(|i| names[*i].contains(only));
     let picked: Vec<usize> = picked.collect();
@@ -79,15 +81,18 @@
     })
 }
 
-/// Prints one row a world.
+/// Prints one row per synthetic world.
 fn run_worlds(plan: &Plan) -> Result<ExitCode> {
-    println!("{STANDINGS}");
+    println!("{BOUND_GAP_HEAD}");
     for i in &plan.picked {
-        let Outcome { rows, standing } = measure_one(plan, *i);
-        println!("{}", standing.row(&plan.names[*i]));
-        ensure!(standing.holds(), "the bound is exceeded: {standing:?}");
-        let broken: Vec<u64> = rows.iter().map(|row| row.broken).collect();
-        ensure!(broken.iter().all(|n| *n == 0), "rules broken: {broken:?}");
+        let WorldResult { rows, gap } = measure_one(plan, *i);
+        println!("{}", gap.row(&plan.names[*i]));
+        ensure!(gap.bound_holds(), "the bound is exceeded: {gap:?}");
+        let violations: Vec<u64> = rows.iter().map(|row| row.violations).collect();
+        ensure!(
+            violations.iter().all(|n| *n == 0),
+            "rule violations: {violations:?}"
+        );
     }
     Ok(ExitCode::SUCCESS)
 }
@@ -95,16 +100,16 @@
 fn run_workloads(plan: &Plan) -> Result<ExitCode> {
     let mut total = vec![Figures::default(); Policy::ALL.len()];
     let mut lines = Vec::new();
-    let mut standings = Vec::new();
+    let mut gaps = Vec::new();
     println!("{}", figures::HEAD);
     for i in &plan.picked {
         let name = &plan.names[*i];
-        let Outcome { rows, standing } = measure_one(plan, *i);
+        let WorldResult { rows, gap } = measure_one(plan, *i);
         for (policy, row) in Policy::ALL.iter().zip(&rows) {
             println!("{}", row.row(name, policy.name()));
         }
         lines.push((name, verdict(&rows)));
-        standings.push((name, standing));
+        gaps.push((name, gap));
         for (sum, row) in total.iter_mut().zip(rows) {
             sum.merge(row);
         }
@@ -112,23 +117,23 @@
     for (policy, sum) in Policy::ALL.iter().zip(&total) {
         println!("{}", sum.row("all", policy.name()));
     }
-    println!("\n{STANDINGS}");
-    for (name, standing) in &standings {
-        println!("{}", standing.row(name));
-        ensure!(standing.holds(), "the bound is exceeded: {standing:?}");
+    println!("\n{BOUND_GAP_HEAD}");
+    for (name, gap) in &gaps {
+        println!("{}", gap.row(name));
+        ensure!(gap.bound_holds(), "the bound is exceeded: {gap:?}");
     }
     println!();
     Ok(conclude(plan, &lines, &total))
 }
 
-/// Prints whether the aim is met.
+/// Prints whether the targets are met.
 fn conclude(plan: &Plan, lines: &[(&String, Comparison)], total: &[Figures]) -> ExitCode {
     for (name, line) in lines {
         println!("{name}: {line}");
     }
     let each: Vec<_> = lines.iter().map(|(_, line)| line.clone()).collect();
     let met = each.iter().filter(|line| line.is_met()).count();
-    let mean = mean_stalls(&each);
+    let mean = mean_stall_ratio(&each);
     println!(
         "met alone: {met} of {}; geometric mean of stalls x{mean:.2}",
         each.len()
@@ -145,9 +150,8 @@
     }
 }
 
-/// Runs every policy on one workload, and the bound, each on a thread of its
-/// own.
-fn measure_one(plan: &Plan, i: usize) -> Outcome {
+/// Runs every policy on one workload and computes its bound, each on a thread of its own.
+fn measure_one(plan: &Plan, i: usize) -> WorldResult {
     let works = || (plan.from..plan.from + plan.seeds).map(|seed| (seed, (plan.make)(i, seed)));
     let one = |policy| {
         let mut sum = Figures::default();
@@ -165,8 +169,8 @@
             .map(|done| done.unwrap_or_else(|panic| resume_unwind(panic)))
             .collect();
         let bounds = bounds.join().unwrap_or_else(|panic| resume_unwind(panic));
-        let standing = Standing::new(&rows[0], &rows[1..], bounds);
-        Outcome { rows, standing }
+        let gap = BoundGap::new(&rows[0], &rows[1..], bounds);
+        WorldResult { rows, gap }
     })
 }
 
