--- a/crates/measure/src/verdict.rs
+++ b/crates/measure/src/verdict.rs
@@ -1,11 +1,11 @@
-//! Compares our policy with the best baseline and decides whether the targets are met.
+//! Compares our policy with the best baseline and decides whether the goals are met.
 
 use std::fmt;
 
 use crate::figures::Figures;
 
-/// Highest ratio of our live load stalls to the best baseline's that meets the target.
-const STALL_RATIO_TARGET: f64 = 0.25;
+/// Highest ratio of our live load stalls to the best baseline's that meets the goal.
+const STALL_RATIO_GOAL: f64 = 0.25;
 
 /// Fraction of live requests answered in time, and of batch requests done, by which our
 /// policy may be below the best baseline: smaller differences are statistical noise.
@@ -56,10 +56,10 @@
 }
 
 impl Comparison {
-    /// Returns whether all targets are met.
+    /// Returns whether all goals are met.
     #[must_use]
     pub fn is_met(&self) -> bool {
-        self.stall_ratio <= STALL_RATIO_TARGET
+        self.stall_ratio <= STALL_RATIO_GOAL
             && self.efficiency_ratio >= 1.0
             && self.answered_diff >= -NOISE
             && self.done_diff >= -NOISE
--- a/crates/measure/tests/measure.rs
+++ b/crates/measure/tests/measure.rs
@@ -1,4 +1,4 @@
-//! Tests of the measurement: it is deterministic, and it reports a missed target.
+//! Tests of the measurement: it is deterministic, and it reports a missed goal.
 
 use base::{AdapterKey, AdapterNo, BrandNo, Class, Time, Version};
 use googletest::prelude::*;
@@ -72,12 +72,12 @@
 }
 
 /// Load stalls of our policy against a baseline's 4 s, a change of its figures, and whether
-/// the targets are met.
+/// the goals are met.
 type Row = (&'static [u64], fn(&mut Figures), bool);
 
 base::cases! {
-    /// Guards against a target that is not checked: each is missed alone.
-    aim: check_aim => {
+    /// Guards against a goal that is not checked: each is missed alone.
+    goals: check_goals => {
         met: (&[1_000], |_| {}, true),
         stalls: (&[1_001], |_| {}, false),
         efficiency: (&[1_000], |f| f.tokens = 99, false),
@@ -88,7 +88,7 @@
     }
 }
 
-fn check_aim((stalls, change, met): Row) {
+fn check_goals((stalls, change, met): Row) {
     let mut ours = stalled(stalls);
     change(&mut ours);
     let comparison = compare(&ours, &[stalled(&[9_000]), stalled(&[4_000])]);
--- a/xtask/src/measure.rs
+++ b/xtask/src/measure.rs
@@ -49,7 +49,7 @@
     gap: BoundGap,
 }
 
-/// Prints the tables; the exit code is a failure when the targets are not met.
+/// Prints the tables; the exit code is a failure when the goals are not met.
 ///
 /// # Errors
 ///
@@ -126,7 +126,7 @@
     Ok(conclude(plan, &lines, &total))
 }
 
-/// Prints whether the targets are met.
+/// Prints whether the goals are met.
 fn conclude(plan: &Plan, lines: &[(&String, Comparison)], total: &[Figures]) -> ExitCode {
     for (name, line) in lines {
         println!("{name}: {line}");
