--- a/crates/measure/src/bound.rs
+++ b/crates/measure/src/bound.rs
@@ -29,14 +29,14 @@
 //!
 //! The bound relies on one rule of every world: a load occupies its slot from its start.
 
-mod line;
+mod demand;
 
 use std::{collections::BTreeMap, time::Duration};
 
 use base::Time;
 
 use crate::{
-    bound::line::{Demand, Price, Request, Scratch},
+    bound::demand::{Demand, Price, Request, Scratch},
     engine::least_ms,
     store::Store,
     workload::{Arrival, Fault, Workload},
--- a/crates/measure/src/lib.rs
+++ b/crates/measure/src/lib.rs
@@ -9,12 +9,12 @@
 
 mod baseline;
 mod bound;
+mod bound_gap;
+mod comparison;
 mod engine;
 mod ours;
 mod policy;
-mod standing;
 mod store;
-mod verdict;
 
 pub mod figures;
 pub mod workload;
@@ -23,7 +23,7 @@
 
 pub use crate::{
     bound::bound,
+    bound_gap::{BOUND_GAP_HEAD, BoundGap},
+    comparison::{Comparison, compare, mean_stall_ratio},
     policy::{Evict, Placement, Policy},
-    standing::{BOUND_GAP_HEAD, BoundGap},
-    verdict::{Comparison, compare, mean_stall_ratio},
 };
