--- a/xtask/src/capacity.rs
+++ b/xtask/src/capacity.rs
@@ -1,8 +1,9 @@
-//! Measures what one instance costs at several sizes, and fits a line.
+//! `cargo xtask capacity`: measures the processor time, memory and message sizes of one
+//! instance at several sizes of its surroundings, and fits a line to them.
 //!
-//! Each size runs in a process of its own, one after the other, so that the
-//! memory of one does not hide that of the next. Time is virtual for the
-//! decisions and real for what they cost.
+//! Each size runs in a process of its own, one after the other, so that memory still
+//! resident from one size does not count for the next. The instance's clock is virtual; the
+//! time that its computation takes is real.
 
 mod calls;
 mod control;
@@ -18,10 +19,10 @@
 
 use self::fit::Line;
 
-/// One table: a function of a size that gives some figures.
+/// One table: a measurement that is repeated for several sizes.
 struct Case {
     name: &'static str,
-    /// What is counted by the size.
+    /// What the size counts; heading of the first column.
     size: &'static str,
     sizes: &'static [usize],
     columns: &'static [&'static str],
@@ -44,7 +45,7 @@
     calls::CALLS,
 ];
 
-/// Describes the chore's flags.
+/// Returns the command line.
 pub(crate) fn command() -> Command {
     Command::new("capacity")
         .about("Measures what one instance costs at several sizes; build with --release")
@@ -58,7 +59,7 @@
         )
 }
 
-/// Prints the tables.
+/// Prints the tables, or the bare figures of one size with `--size`.
 ///
 /// # Errors
 ///
@@ -84,7 +85,7 @@
     Ok(())
 }
 
-/// Measures all sizes of one case and prints them with their lines.
+/// Measures all sizes of one case and prints them with the fitted lines.
 fn table(case: &Case) -> Result<()> {
     let began = Instant::now();
     let mut rows = Vec::new();
@@ -113,7 +114,7 @@
     Ok(())
 }
 
-/// Measures one size in a process of its own.
+/// Measures one size in a process of its own, which runs this binary with `--size`.
 fn apart(case: &Case, size: usize) -> Result<Vec<f64>> {
     let output = Process::new(std::env::current_exe()?)
         .args(["capacity", "--case", case.name, "--size", &size.to_string()])
@@ -129,13 +130,14 @@
     Ok(figures)
 }
 
-/// Writes a figure with four digits that count.
+/// Formats a figure with four significant digits.
 fn round(figure: f64) -> String {
     let whole = figure.abs().max(1e-9).log10().floor() as i32;
     let digits = usize::try_from(3 - whole).unwrap_or(0).min(9);
     format!("{figure:.digits$}")
 }
 
+/// Returns the machine's load averages.
 fn load() -> Result<String> {
     let load = fs::read_to_string("/proc/loadavg")?;
     let three = load.split_whitespace().take(3).collect::<Vec<_>>();
@@ -144,14 +146,14 @@
 
 /// Returns this process's resident memory in MiB.
 fn resident() -> Result<f64> {
-    /// Bytes in a page on the machines that this runs on.
+    /// Size in bytes of a memory page on the supported machines.
     const PAGE: f64 = 4_096.0;
     let statm = fs::read_to_string("/proc/self/statm")?;
     let pages = statm.split(' ').nth(1).context("no resident pages")?;
     Ok(pages.parse::<f64>()? * PAGE / f64::from(1 << 20))
 }
 
-/// Returns the most memory that was resident so far, in MiB.
+/// Returns the peak resident memory of this process so far, in MiB.
 fn peak() -> Result<f64> {
     let status = fs::read_to_string("/proc/self/status")?;
     let line = status.lines().find_map(|line| line.strip_prefix("VmHWM:"));
@@ -159,13 +161,13 @@
     Ok(kib.context("no VmHWM")?.parse::<f64>()? / 1_024.0)
 }
 
-/// Returns the bytes of a message between our processes.
+/// Returns the size in bytes of an encoded message between instances.
 fn bytes<T: serde::Serialize>(value: &T) -> Result<f64> {
     Ok(rmp_serde::to_vec(value)?.len() as f64)
 }
 
-/// Returns the text of so many adapters with one line changed: one more
-/// version of one adapter.
+/// Returns `text` with one line changed: the first adapter with a single version gets a
+/// second one.
 fn changed(text: &str) -> String {
     text.replacen("= [1]\n", "= { versions = [1, 2], serve = 1 }\n", 1)
 }
--- a/xtask/src/capacity/calls.rs
+++ b/xtask/src/capacity/calls.rs
@@ -1,5 +1,5 @@
-//! What a call between two processes costs beside its body: tarpc's envelope,
-//! sockets and tasks, over loopback.
+//! Cost of a call between two instances besides its body: tarpc's envelope, sockets and
+//! tasks, over loopback.
 
 use std::{
     convert::Infallible,
@@ -26,7 +26,7 @@
 
 use super::{Case, bytes};
 
-/// So many calls, one after the other, on one connection.
+/// A number of sequential calls on one connection.
 pub(super) const CALLS: Case = Case {
     name: "peer-calls",
     size: "calls",
@@ -40,7 +40,7 @@
     run: calls,
 };
 
-/// Far above what a call takes.
+/// Time limit of a call, far above what a call takes.
 const LIMIT: Duration = Duration::from_secs(20);
 
 fn calls(count: usize) -> Result<Vec<f64>> {
@@ -96,7 +96,7 @@
 
 /// Returns the processor time that this process has used, in milliseconds.
 fn cpu() -> Result<f64> {
-    /// Ticks of the kernel's account are a hundredth of a second.
+    /// The kernel counts processor time in ticks of a hundredth of a second.
     const TICK_MS: f64 = 10.0;
     let stat = fs::read_to_string("/proc/self/stat")?;
     let (_, rest) = stat.rsplit_once(')').context("no name in stat")?;
@@ -105,7 +105,7 @@
     Ok(ticks.iter().sum::<f64>() * TICK_MS)
 }
 
-/// A stream that counts what passes both ways.
+/// A stream that counts the bytes that it reads and writes.
 struct Counted {
     stream: TcpStream,
     passed: Arc<AtomicU64>,
--- a/xtask/src/capacity/control.rs
+++ b/xtask/src/capacity/control.rs
@@ -1,4 +1,5 @@
-//! A control instance alone in its log, its disk a list in memory.
+//! Measures a control instance that is the only member of its replicated log, with a
+//! simulated disk in memory.
 
 use std::time::{Duration, Instant};
 
@@ -14,7 +15,7 @@
 use super::{Case, bytes, changed, resident};
 use crate::samples;
 
-/// Beats of so many instances before 600 engines.
+/// Heartbeats of a number of entry instances, for 600 engines.
 pub(super) const BEATS: Case = Case {
     name: "control-beats",
     size: "instances",
@@ -32,7 +33,7 @@
     run: beats,
 };
 
-/// Claims of so many keys, each claimed and settled.
+/// Claims of a number of idempotency keys, each claimed and settled.
 pub(super) const CLAIMS: Case = Case {
     name: "control-claims",
     size: "keys",
@@ -46,7 +47,7 @@
     run: claims,
 };
 
-/// Changes of one line in a text of so many adapters.
+/// Changes of one line in a text with a number of adapters.
 pub(super) const CHANGES: Case = Case {
     name: "control-changes",
     size: "adapters",
@@ -62,22 +63,27 @@
     run: changes,
 };
 
-/// Engines of the planned site.
+/// Number of engines of the planned site.
 const ENGINES: usize = 600;
-/// Changes before the restart: as many as leave the longest log behind the
-/// last snapshot, which is taken every 1,000 entries.
+/// Number of changes before the restart. A snapshot is taken every 1,000 entries, and this
+/// number leaves close to the longest log after the last one.
 const CHANGES_BEFORE: u64 = 1_990;
-/// Claims handed in before the disk answers: one write of the log.
+/// Number of claims submitted before the disk completes a write, so that they share one
+/// write of the log.
 const AT_ONCE: u64 = 256;
 
-/// A control instance and what its disk holds.
+/// A control instance and its simulated disk.
 struct Alone {
     control: Control,
     now: Time,
     snapshot: Option<Snapshot>,
+    /// Log records after the snapshot.
     disk: Vec<Record>,
+    /// Bytes written to the log so far.
     written: u64,
+    /// Whether completions of writes are held back.
     hold: bool,
+    /// Writes whose completion has not been reported to the instance.
     held: Vec<replog::WriteNo>,
     tickets: u64,
 }
@@ -195,14 +201,17 @@
     names.collect()
 }
 
-/// Instances that beat once a second, as the leader sees them.
+/// Entry instances that send a heartbeat once per second, and the leader that answers.
 struct Fleet {
     alone: Alone,
+    /// Roster version that each instance has got.
     rosters: Vec<u64>,
+    /// Whether the leader has asked each instance for the engines that it reaches.
     tell: Vec<bool>,
     serial: u64,
-    /// Bytes of the last beat and of all replies of the last round.
+    /// Bytes of the last heartbeat, and of all replies of the last round.
     sizes: (f64, f64),
+    /// Real time that the leader has taken.
     spent: Duration,
 }
 
@@ -220,7 +229,7 @@
         })
     }
 
-    /// Lets every instance beat once within a second.
+    /// Sends one heartbeat of every instance, then lets a second pass.
     fn round(&mut self) -> Result<()> {
         self.serial += 1;
         self.sizes.1 = 0.0;
@@ -246,7 +255,7 @@
 }
 
 fn beats(instances: usize) -> Result<Vec<f64>> {
-    /// Rounds without change after which nothing is moved any more.
+    /// Rounds without a change of the roster after which ownership counts as settled.
     const CALM: u64 = 10;
     const ROUNDS_MAX: u64 = 600;
     const MEASURED: u64 = 20;
@@ -346,7 +355,7 @@
         }
         spent += began.elapsed();
         alone.now = alone.now + Duration::from_millis(10);
-        // The disk's records are not the instance's memory.
+        // The simulated disk must not count as memory of the instance.
         alone.disk = Vec::new();
     }
     Ok(vec![
@@ -357,7 +366,7 @@
     ])
 }
 
-/// Hands in a change; true if it was accepted.
+/// Submits a change; returns whether it was accepted.
 fn apply(alone: &mut Alone, n: u64, text: &str) -> bool {
     let apply = Apply {
         change: format!("change-{n}").parse().expect("a fit name"),
--- a/xtask/src/capacity/entry.rs
+++ b/xtask/src/capacity/entry.rs
@@ -1,4 +1,5 @@
-//! One entry instance: text, fleet, requests, news.
+//! Measures one entry instance: taking in texts, running idle among targets and peers,
+//! serving requests, and exchanging residency updates.
 
 use std::{
     collections::VecDeque,
@@ -24,7 +25,7 @@
 const BRAND: &str = "film";
 const HOT: &str = "film-live";
 
-/// A text of so many adapters taken in whole, then a change of one line.
+/// Taking in a full text with a number of adapters, then a change of one line as a patch.
 pub(super) const TEXT: Case = Case {
     name: "entry-text",
     size: "adapters",
@@ -43,7 +44,7 @@
     run: text,
 };
 
-/// So many targets, with 48 peers and a share of the targets owned.
+/// Idle operation among a number of targets, with 48 peers and two engines owned.
 pub(super) const TARGETS: Case = Case {
     name: "entry-targets",
     size: "targets",
@@ -52,7 +53,7 @@
     run: |targets| quiet(Around { targets, ..PLANNED }),
 };
 
-/// So many peers, with 600 targets of which two are owned.
+/// Idle operation among a number of peers, with 600 targets of which two are owned.
 pub(super) const PEERS: Case = Case {
     name: "entry-peers",
     size: "peers",
@@ -71,7 +72,7 @@
     "report bytes",
 ];
 
-/// Requests answered by an engine that the node owns.
+/// Requests answered by an engine that the measured instance owns.
 pub(super) const OWNED: Case = Case {
     name: "entry-owned",
     size: "adapters",
@@ -87,7 +88,7 @@
     },
 };
 
-/// Requests passed on to the owner of the engine, among 600 engines.
+/// Requests forwarded to the owner of the engine, among 600 engines.
 pub(super) const PASSED: Case = Case {
     name: "entry-passed",
     size: "adapters",
@@ -103,7 +104,8 @@
     },
 };
 
-/// What the owner of two engines tells so many peers at the planned rate.
+/// Residency and load updates that the owner of two engines sends to a number of peers at
+/// the planned rate of requests.
 pub(super) const NEWS: Case = Case {
     name: "entry-news",
     size: "peers",
@@ -119,7 +121,7 @@
     run: news,
 };
 
-/// What one piece of a peer's news costs its hearer.
+/// Cost of receiving one residency update from a peer.
 pub(super) const HEARD: Case = Case {
     name: "entry-heard",
     size: "targets",
@@ -128,7 +130,7 @@
     run: heard,
 };
 
-/// The report of an engine that holds so many adapters.
+/// Size of the report of an engine on which a number of adapters is resident.
 pub(super) const REPORT: Case = Case {
     name: "engine-report",
     size: "residents",
@@ -187,8 +189,8 @@
     ])
 }
 
-/// Lets two beats pass, in which a newer text is learnt and taken in; returns
-/// the milliseconds of it.
+/// Lets two heartbeat intervals pass, in which the instance learns of a newer text and takes
+/// it in; returns the real milliseconds that this took.
 fn take_in(world: &mut World) -> Result<f64> {
     let began = Instant::now();
     world.pass(Duration::from_secs(2))?;
@@ -235,8 +237,8 @@
     Ok(vec![spent])
 }
 
-/// One request from arrival to end. No time passes in it once the adapter is
-/// held, so that what the node does by the clock is not counted here.
+/// Runs one request from arrival to end. No virtual time passes once the adapter is
+/// resident, so that the node's periodic work is not counted.
 fn whole_request(world: &mut World) -> Result<()> {
     world.arrive(BRAND, HOT, TOKENS)?;
     let mut tries = 0;
@@ -248,8 +250,9 @@
     Ok(())
 }
 
-/// Plays a minute at the planned rate for two engines: requests come at random
-/// moments and run equally long, one in 100 for an adapter that is not held.
+/// Simulates a minute at the planned rate of requests for two engines, after a warm-up.
+/// Requests arrive as a Poisson process and run equally long; one in 100 is for an adapter
+/// that is not resident.
 fn news(peers: usize) -> Result<Vec<f64>> {
     const SECONDS: f64 = 60.0;
     const WARM: f64 = 20.0;
--- a/xtask/src/capacity/fit.rs
+++ b/xtask/src/capacity/fit.rs
@@ -1,20 +1,20 @@
-//! A line through measured points.
+//! Fits a line to measured points.
 
 #[cfg(test)]
 mod tests;
 
 /// A least-squares line.
 pub(super) struct Line {
-    /// Growth for one more.
+    /// Growth per unit of size.
     pub(super) slope: f64,
-    /// What is there at size zero.
+    /// Value at size zero.
     pub(super) intercept: f64,
-    /// Root of the mean square distance of the points from the line.
+    /// Root mean square of the points' vertical distances from the line.
     pub(super) residual: f64,
 }
 
 impl Line {
-    /// Fits a line through the points; two different sizes are needed.
+    /// Fits a line to the points, which must have at least two different sizes.
     pub(super) fn through(points: &[(f64, f64)]) -> Line {
         let n = points.len() as f64;
         let mean_x = points.iter().map(|(x, _)| x).sum::<f64>() / n;
--- a/xtask/src/capacity/fit/tests.rs
+++ b/xtask/src/capacity/fit/tests.rs
@@ -1,4 +1,4 @@
-//! The line and its residual.
+//! Tests of the fitted line and its residual.
 
 use super::Line;
 
--- a/xtask/src/capacity/tool.rs
+++ b/xtask/src/capacity/tool.rs
@@ -1,4 +1,4 @@
-//! The operators' command: check, difference, change.
+//! Measures the operators' command-line tool: check, diff and change of a text.
 
 use std::time::Instant;
 
@@ -9,7 +9,7 @@
 use super::{Case, changed, peak, resident};
 use crate::samples;
 
-/// What the tool does with a text of so many adapters.
+/// The tool's work on a text with a number of adapters.
 pub(super) const OPERATOR: Case = Case {
     name: "operator",
     size: "adapters",
--- a/xtask/src/capacity/world.rs
+++ b/xtask/src/capacity/world.rs
@@ -1,4 +1,5 @@
-//! What stands around one node: a leader, peers, engines and a list.
+//! Simulates the surroundings of one entry instance (node): the leading control instance,
+//! peers, engines and the platform's list of targets.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -19,24 +20,24 @@
 
 use crate::samples;
 
-/// Tokens of one answer.
+/// Number of tokens of one answer.
 pub(super) const TOKENS: u32 = 16;
-/// What the sample's text says of batch and slots, and what holds for engines
-/// of the planned site, which run more at once.
+/// Replacements in the sample text: engines of the planned site have larger batches and
+/// more slots than those of the sample.
 const ENGINE: [(&str, &str); 2] = [("batch = 32", "batch = 256"), ("slots = 8", "slots = 32")];
 
-/// How many of what stand around the node.
+/// Sizes of the node's surroundings.
 #[derive(Clone, Copy)]
 pub(super) struct Around {
     pub(super) adapters: usize,
     pub(super) targets: usize,
-    /// Other entry instances.
+    /// Number of other entry instances.
     pub(super) peers: usize,
-    /// Engines that the node owns.
+    /// Number of engines that the node owns.
     pub(super) owned: usize,
 }
 
-/// The surroundings that are planned for; a case changes what it counts.
+/// The planned surroundings; each case varies one of the sizes.
 pub(super) const PLANNED: Around = Around {
     adapters: 3_000,
     targets: 600,
@@ -44,7 +45,7 @@
     owned: 2,
 };
 
-/// Messages and bytes of one kind.
+/// Number and total bytes of messages of one kind.
 #[derive(Clone, Copy, Default)]
 pub(super) struct Sent {
     pub(super) calls: u64,
@@ -60,23 +61,23 @@
 
 /// One node and its surroundings.
 pub(super) struct World {
-    /// Time spent on checks of texts, which a daemon does beside the node.
+    /// Real time spent on checks of texts, which a daemon runs outside the node.
     pub(super) checking: Duration,
     pub(super) node: Node,
     pub(super) now: Time,
     pub(super) text: (TextVersion, String),
-    /// Patches that lead to the text, for an asker who has the one before.
+    /// Patch from the previous text to this one, for a requester that has the previous one.
     pub(super) patch: Option<Patch>,
     pub(super) sent: VecDeque<Attempt>,
     pub(super) ended: u64,
     pub(super) beats: Sent,
     pub(super) replies: Sent,
-    /// News of what an engine holds.
+    /// Updates that change an engine's resident adapters.
     pub(super) news: Sent,
-    /// News of an engine's load alone.
+    /// Updates of an engine's load alone.
     pub(super) loads: Sent,
     pub(super) polls: Sent,
-    /// Size of the last reply with a text or patches.
+    /// Size in bytes of the last reply with a text or patches.
     pub(super) fetched: u64,
     peers: Vec<Peer>,
     held: BTreeMap<TargetName, Vec<String>>,
@@ -91,7 +92,7 @@
 }
 
 impl World {
-    /// Makes a node that serves.
+    /// Creates a node and runs it until a text is in force.
     pub(super) fn serving(around: Around) -> Result<World> {
         let mut world = World::bare(around)?;
         world.input(Input::List(Some(list(around.targets)?)))?;
@@ -100,7 +101,7 @@
         Ok(world)
     }
 
-    /// Returns a text of so many adapters for engines of the planned site.
+    /// Returns a text with this many adapters for engines of the planned site.
     pub(super) fn sized_text(adapters: usize) -> String {
         let text = samples::agency(adapters);
         let put = |text: String, (from, to): (&str, &str)| text.replace(from, to);
@@ -142,7 +143,7 @@
         })
     }
 
-    /// Lets time pass.
+    /// Lets virtual time pass, with all wake-ups that the node has asked for.
     pub(super) fn pass(&mut self, d: Duration) -> Result<()> {
         let end = self.now + d;
         while self.wake <= end {
@@ -154,7 +155,7 @@
         Ok(())
     }
 
-    /// Hands in one input and answers what the node asks of the world.
+    /// Gives the node one input and carries out its outputs, until it has no more.
     pub(super) fn input(&mut self, input: Input) -> Result<()> {
         let mut inputs = VecDeque::from([input]);
         while let Some(input) = inputs.pop_front() {
@@ -185,7 +186,7 @@
         }))
     }
 
-    /// Lets the oldest attempt answer in so many pieces.
+    /// Answers the oldest attempt in this many pieces; returns false if there is none.
     pub(super) fn answer(&mut self, pieces: u32) -> Result<bool> {
         let Some(attempt) = self.sent.pop_front() else {
             return Ok(false);
@@ -208,7 +209,7 @@
         Ok(true)
     }
 
-    /// Hands in news of a peer's engine.
+    /// Delivers an update of a peer's engine.
     pub(super) fn hear(&mut self, news: Residents) -> Result<()> {
         let from = news.owner.clone();
         let body = Call::Residents(news);
@@ -217,7 +218,7 @@
         self.input(Input::Called { call, from, body })
     }
 
-    /// Returns the engines of peers with their owners.
+    /// Returns the engines owned by peers, each with its owner.
     pub(super) fn others(&self) -> impl Iterator<Item = (&Peer, &(TargetName, Fence))> {
         let others = self.peers.iter().skip(1);
         others.flat_map(|peer| peer.owns.iter().map(move |owned| (peer, owned)))
@@ -356,8 +357,8 @@
     sent.bytes += size;
 }
 
-/// Returns all entry instances, the node first; the engines that it does not
-/// own are dealt out to the others.
+/// Returns all entry instances, the node first; the engines that it does not own are
+/// distributed round-robin over the others.
 fn peers(around: Around) -> Result<Vec<Peer>> {
     let mut peers = Vec::new();
     for i in 0..=around.peers {
@@ -380,7 +381,7 @@
     Ok(peers)
 }
 
-/// Returns the platform's list: engines over eight zones, and one portal.
+/// Returns the platform's list: engines in eight zones, and one plain service replica.
 fn list(targets: usize) -> Result<platform::List> {
     let target = |name: TargetName, pool: &str, i: usize| {
         Ok(platform::Target {
--- a/xtask/src/demo.rs
+++ b/xtask/src/demo.rs
@@ -1,9 +1,9 @@
-//! `cargo xtask demo`: the whole path, in separate processes on loopback.
+//! `cargo xtask demo`: the path of a request end to end, in separate processes on loopback.
 //!
-//! Starts stand-ins and daemons of a small agency, applies its sample text,
-//! sends a streamed and a whole completion and a call of a plain service for two
-//! brands, says which adapter and version each completion ran on, and stops
-//! everything in order.
+//! Starts the daemons of a small agency, with simulated engines and services, and applies
+//! its sample text. For two brands it sends a streamed completion, one without streaming,
+//! and a request to a plain service, and prints on which adapter and version each
+//! completion ran. At the end it shuts all daemons down cleanly.
 
 use std::{collections::BTreeMap, fs, process::ExitCode};
 
@@ -17,7 +17,7 @@
 
 use crate::{root, test::cargo};
 
-/// Two brands of the sample, each with its key and the prompt of its caller.
+/// Two brands of the sample: name, API key, and the prompt of a caller.
 const BRANDS: [(&str, &str, &str); 2] = [
     (
         "kazaliste",
@@ -40,8 +40,8 @@
 ///
 /// # Errors
 ///
-/// Fails when a process doesn't start, a request isn't answered rightly, or a
-/// process doesn't stop in order.
+/// Fails when a process doesn't start, a request isn't answered correctly, or a process
+/// doesn't shut down cleanly.
 pub(crate) fn run(_: &ArgMatches) -> Result<ExitCode> {
     cargo(&["build", "--workspace", "--bins", "--locked"])?;
     let runtime = tokio::runtime::Runtime::new()?;
@@ -67,8 +67,8 @@
     for (i, (brand, key, prompt)) in BRANDS.into_iter().enumerate() {
         let caller = lab.caller(i, key);
         let chat = Chat::stream("drafting", prompt);
-        // Until the owners have taken their engines, callers are told to come
-        // back.
+        // Until the owners have taken over their engines, requests are refused as not run
+        // and have to be retried.
         let answered = async || {
             let reply = caller.chat(&chat).await.ok()?;
             (reply.verdict() != Some(Verdict::NotRun)).then_some(reply)
--- a/xtask/src/events.rs
+++ b/xtask/src/events.rs
@@ -1,6 +1,6 @@
-//! Checks that the pages that name events and the code agree: the catalogue in
-//! `docs/logs.md`, and the marks of events that nothing logs yet in
-//! `docs/operations.md`.
+//! `cargo xtask events`: checks that the pages that name log events agree with the code:
+//! the catalogue in `docs/logs.md`, and the daggers in `docs/operations.md` that mark
+//! events that nothing logs yet.
 
 use std::{
     collections::BTreeSet,
@@ -11,14 +11,14 @@
 use anyhow::{Context, Result, bail};
 use telemetry::{Event, catalogue};
 
-/// The catalogue.
+/// The page with the catalogue of events.
 const LOGS: &str = "docs/logs.md";
-/// The page for whoever is on call.
+/// The guide for operators on call.
 const GUIDE: &str = "docs/operations.md";
 /// Marks an event that nothing logs yet.
 const DAGGER: char = '\u{2020}';
 
-/// Describes the chore for the command line.
+/// Returns the command line.
 pub(crate) fn command() -> clap::Command {
     clap::Command::new("events")
         .about("Checks docs/logs.md against the events in the code")
@@ -30,11 +30,12 @@
         )
 }
 
-/// Checks the page, or writes it with `write`.
+/// Checks both pages, or updates them if `write` is set.
 ///
 /// # Errors
 ///
-/// Fails with every difference between page and code.
+/// Fails with all differences between the pages and the code, or when a page can't be read
+/// or written.
 pub(crate) fn run(root: &Path, write: bool) -> Result<()> {
     let unused = unused(root)?;
     let logs = Page::read(root, LOGS)?;
@@ -85,7 +86,7 @@
     }
 }
 
-/// Returns `page` with a dagger after each unused event, and after no other.
+/// Returns `page` with a dagger after each unused event and after no other.
 fn marked(page: &str, unused: &BTreeSet<Event>) -> String {
     let mut page = page.replace(DAGGER, "");
     for event in unused {
@@ -94,8 +95,9 @@
     page
 }
 
-/// Returns the events that no `event!` outside `telemetry` names, whatever the
-/// type is imported as.
+/// Returns the events that no `event!` outside `telemetry` names. Only the last segment of
+/// an event's path is compared, so that the name under which the type is imported does not
+/// matter.
 fn unused(root: &Path) -> Result<BTreeSet<Event>> {
     let mut named = BTreeSet::new();
     let mut files = sources(&root.join("crates"))?;
--- a/xtask/src/load.rs
+++ b/xtask/src/load.rs
@@ -1,10 +1,10 @@
-//! `cargo xtask load`: a seeded mix of requests at a given rate, and what
-//! came of each.
+//! `cargo xtask load`: sends a seeded mix of requests at a given rate and counts their
+//! outcomes.
 //!
-//! Calls the entry instances named by `--entry`; without any it starts a small
-//! deployment of its own, checks what the services executed, and compares the
-//! way through an entry instance with a direct call. Bounded in count, time
-//! and requests at once.
+//! It calls the entry instances named by `--entry`. Without any it starts a small deployment
+//! of its own, checks which requests the services executed, and compares the latency through
+//! an entry instance with that of a direct call. The number of requests, the time and the
+//! number of requests at once are bounded.
 
 mod faults;
 mod mix;
@@ -28,10 +28,10 @@
 use self::{faults::Targets, mix::Mix, send::Site, tally::Tally};
 use crate::{root, test::cargo};
 
-/// Longest wait for the last answers.
+/// Longest wait for the next of the answers that are still missing at the end.
 const TAIL: Duration = Duration::from_secs(60);
 
-/// Calls each way when hops are compared.
+/// Number of calls each way when direct and forwarded calls are compared.
 const COMPARED: usize = 1_000;
 
 /// Returns the command line.
@@ -88,8 +88,8 @@
 ///
 /// # Errors
 ///
-/// Fails when the deployment doesn't start, or a request not to be repeated
-/// ran twice.
+/// Fails when the deployment doesn't start or doesn't stop cleanly, when an answer is
+/// missing, or when a caller was told something about a marked request that isn't true.
 pub(crate) fn run(args: &ArgMatches) -> Result<ExitCode> {
     let runtime = tokio::runtime::Runtime::new()?;
     let entries: Vec<SocketAddr> = args
@@ -150,8 +150,8 @@
     lab.clean()
 }
 
-/// Sends the mix, open loop: a slow answer delays no later request, until the
-/// bound on requests at once is met.
+/// Sends the mix in an open loop: a slow answer delays no later request. A request beyond
+/// the bound on requests at once is skipped and counted.
 async fn send_all(site: Site, args: &ArgMatches) -> Result<Tally> {
     let number = |name: &str| args.get_one::<u64>(name).copied().unwrap_or(1);
     let mut mix = Mix::new(number("seed"), number("rate"));
@@ -192,7 +192,7 @@
     Ok(tally)
 }
 
-/// Asks each service how often it executed each key.
+/// Returns how often the services executed the request of each idempotency key.
 async fn executions(lab: &Lab) -> Result<BTreeMap<String, u64>> {
     let mut all = BTreeMap::new();
     for service in &lab.services {
@@ -207,8 +207,8 @@
     Ok(all)
 }
 
-/// Compares the way through an entry instance with a direct call of a service,
-/// in turns, so that both meet the same machine.
+/// Compares calls through an entry instance with direct calls of a service. Both alternate,
+/// so that the machine's load is the same for them.
 async fn compare(site: &Site, lab: &Lab) -> Result<()> {
     let service = lab.services.first().context("no service")?;
     let entry = *site.entries.first().context("no entry instance")?;
--- a/xtask/src/load/faults.rs
+++ b/xtask/src/load/faults.rs
@@ -1,4 +1,5 @@
-//! Faults of the stand-ins while the load runs, one after the other.
+//! Injects faults of the simulated engines and services while the load runs, one after the
+//! other.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -7,14 +8,15 @@
 use serde_json::{Value, json};
 use tokio::time::sleep;
 
-/// One fault: of which kind of target, and the order that brings it about.
+/// One fault: the kind of its targets, and the HTTP request that injects it.
 struct Fault {
+    /// Whether it concerns engines; otherwise it concerns plain services.
     engine: bool,
     path: &'static str,
     body: fn() -> Value,
 }
 
-/// Each comes once in a run, at even distances.
+/// Each fault is injected once per run, at equal intervals.
 const FAULTS: &[Fault] = &[
     Fault {
         engine: true,
@@ -43,7 +45,7 @@
     },
 ];
 
-/// Where faults can be brought about.
+/// Addresses at which faults can be injected.
 #[derive(Clone, Debug)]
 pub(crate) struct Targets {
     engines: Vec<SocketAddr>,
@@ -59,7 +61,7 @@
         }
     }
 
-    /// Brings about each fault at every target of its kind, spread over `time`.
+    /// Injects each fault at every target of its kind, spread evenly over `time`.
     pub(crate) async fn run(self, time: Duration) -> Result<()> {
         let pause = time / (FAULTS.len() as u32 + 1);
         for fault in FAULTS {
--- a/xtask/src/load/mix.rs
+++ b/xtask/src/load/mix.rs
@@ -1,24 +1,24 @@
-//! What is sent, and when: drawn from a seed.
+//! Draws the requests to send, and their times, from a seed.
 
 use std::time::Duration;
 
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// Tokens of an answer: a short paragraph.
+/// Number of tokens of an answer: up to a short paragraph.
 const TOKENS: std::ops::Range<u32> = 8..64;
 
 /// One request to send.
 #[derive(Clone, Debug)]
 pub(crate) struct Ask {
     pub(crate) kind: Kind,
-    /// Which entry instance takes it.
+    /// Number of the entry instance that gets it, modulo the number of instances.
     pub(crate) entry: usize,
-    /// Names it; the key of a marked request.
+    /// Its unique name, which is the idempotency key of a marked request.
     pub(crate) name: String,
-    /// Tokens wanted of a completion.
+    /// Number of tokens that a completion shall have.
     pub(crate) tokens: u32,
-    /// After how long a marked request is resent to the next entry instance.
+    /// Delay after which a marked request is also sent to the next entry instance.
     pub(crate) resend: Option<Duration>,
 }
 
@@ -27,11 +27,11 @@
 pub(crate) enum Kind {
     /// A streamed completion.
     Stream,
-    /// A completion in one piece.
+    /// A completion without streaming.
     Whole,
-    /// A plain request that may be repeated.
+    /// A request to a plain service that may be retried.
     Listing,
-    /// A plain request that may not.
+    /// A marked request to a plain service, which must run at most once.
     Marked,
 }
 
@@ -67,7 +67,7 @@
 
     /// Draws the next request and the time until it.
     pub(crate) fn draw(&mut self) -> (Duration, Ask) {
-        // Independent callers: exponential gaps.
+        // Callers are independent, so the gaps between requests are exponential.
         let gap = -(1.0 - self.rng.random::<f64>()).ln() / self.rate;
         let kind = match self.rng.random_range(0..100) {
             0..55 => Kind::Stream,
--- a/xtask/src/load/send.rs
+++ b/xtask/src/load/send.rs
@@ -1,4 +1,4 @@
-//! Sends one request and judges what came back.
+//! Sends one request and classifies its answer.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -20,7 +20,7 @@
 /// Largest answer that is read, in bytes.
 const BODY_MAX: usize = 1 << 20;
 
-/// Who is called, and for what.
+/// The deployment that is called, and the paths and names of its services.
 #[derive(Clone, Debug)]
 pub(crate) struct Site {
     pub(crate) client: Client,
@@ -31,34 +31,34 @@
     pub(crate) submit: String,
 }
 
-/// What came of one request.
+/// Outcome of one request.
 #[derive(Clone, Debug)]
 pub(crate) struct Outcome {
     pub(crate) kind: Kind,
     /// The name of a marked request.
     pub(crate) key: Option<String>,
     pub(crate) end: End,
-    /// Until the first token, or the whole of another answer.
+    /// Time until the first token of a stream, or until any other answer was complete.
     pub(crate) first: Option<Duration>,
 }
 
 /// How a request ended.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum End {
-    /// Answered, whole.
+    /// The answer is complete.
     Whole,
-    /// An answer that is whole in form and has too few tokens.
+    /// The answer ends properly but has another number of tokens than requested.
     Short,
-    /// A part came, then a cut.
+    /// The answer was cut off after a part of it.
     Cut,
-    /// A part came, then an event that names an error.
+    /// The answer was cut off after a part of it and an event that names the error.
     Broken(Verdict, String),
-    /// A failure with its verdict and reason.
+    /// The request failed with this verdict and reason.
     Failed(Verdict, String),
 }
 
 impl Site {
-    /// Sends a request, and its resend where it has one.
+    /// Sends a request and, if it has a resend delay, its copy to the next entry instance.
     pub(crate) async fn send(&self, ask: &Ask) -> Vec<Outcome> {
         let first = self.once(ask, ask.entry);
         let Some(wait) = ask.resend else {
@@ -72,7 +72,7 @@
         vec![first, second]
     }
 
-    /// Fetches the listing page from `addr` and returns the microseconds.
+    /// Fetches the listing page from `addr`; returns the time in microseconds.
     pub(crate) async fn list(&self, addr: SocketAddr) -> Result<u64> {
         let start = Instant::now();
         let send = self.plain(addr, Method::GET, &self.listing);
@@ -133,7 +133,7 @@
         send.headers.insert("authorization", bearer);
         let json = header_value("application/json");
         send.headers.insert("content-type", json);
-        // The load itself never repeats: what it counts is what it sent.
+        // The client must not retry, so that each outcome belongs to exactly one request.
         send.mark = Mark::Once;
         send.limits = Limits {
             first: Duration::from_secs(40),
--- a/xtask/src/load/tally.rs
+++ b/xtask/src/load/tally.rs
@@ -1,4 +1,4 @@
-//! Counts what came of the requests.
+//! Counts the outcomes of requests and checks them against what the services executed.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -14,30 +14,30 @@
     send::{End, Outcome},
 };
 
-/// Longest time that is told apart, in microseconds.
+/// Largest time in microseconds that the histograms distinguish.
 const LONGEST: u64 = 120_000_000;
 
-/// What came of all requests.
+/// Outcomes of all requests.
 #[derive(Debug, Default)]
 pub(crate) struct Tally {
     ends: BTreeMap<Kind, BTreeMap<End, u64>>,
     first: BTreeMap<Kind, Histogram<u64>>,
-    /// Keys that were answered as run.
+    /// Idempotency keys with at least one complete answer.
     answered: BTreeSet<String>,
-    /// Keys of which each answer said `not run`.
+    /// Whether every answer for an idempotency key had the verdict `not run`.
     denied: BTreeMap<String, bool>,
-    /// Requests not sent because too many were under way.
+    /// Requests not sent because too many were in progress.
     pub(crate) skipped: u64,
     pub(crate) took: Duration,
 }
 
-/// Makes a histogram of microseconds with three digits.
+/// Returns a histogram of microseconds with three significant digits.
 pub(crate) fn histogram() -> Histogram<u64> {
     let histogram = Histogram::new_with_max(LONGEST, 3);
     histogram.expect("the bounds are constants in range")
 }
 
-/// Writes a histogram's quantiles.
+/// Formats a histogram's quantiles.
 pub(crate) fn quantiles(histogram: &Histogram<u64>) -> String {
     let at = |q| histogram.value_at_quantile(q);
     format!(
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Holds what callers were told against what truly ran.
+    /// Checks the answers that callers got against the requests that the services ran.
     pub(crate) fn check(&self, ran: &BTreeMap<String, u64>) -> Result<()> {
         let twice = ran.values().filter(|n| **n > 1).count();
         let lost = self.answered.iter().filter(|key| !ran.contains_key(*key));
--- a/xtask/src/main.rs
+++ b/xtask/src/main.rs
@@ -1,4 +1,4 @@
-//! Chores of the repository, started as `cargo xtask CHORE`.
+//! Development tasks of the repository, started as `cargo xtask TASK`.
 
 mod capacity;
 mod demo;
@@ -16,7 +16,7 @@
 use anyhow::{Result, bail};
 use clap::{ArgMatches, Command};
 
-/// One chore: its command line, and what it does.
+/// One task: its command line, and the function that runs it.
 struct Chore {
     command: fn() -> Command,
     run: fn(&ArgMatches) -> Result<ExitCode>,
@@ -89,7 +89,7 @@
     }
 }
 
-/// Returns the repository's root.
+/// Returns the root folder of the repository.
 fn root() -> &'static Path {
     Path::new(concat!(env!("CARGO_MANIFEST_DIR"), "/.."))
 }
--- a/xtask/src/proofs.rs
+++ b/xtask/src/proofs.rs
@@ -1,21 +1,22 @@
-//! Holds docs/PROOFS.md against the tests that ran.
+//! Checks that the tests named by `docs/PROOFS.md` ran, so that the page can't cite a test
+//! that was removed or renamed.
 
 use std::{collections::BTreeSet, fs, path::Path};
 
 use anyhow::{Context, Result, bail};
 
-/// The page.
+/// The page whose claims are proved by tests.
 const PAGE: &str = "docs/PROOFS.md";
 
-/// Heading of the column that names tests.
+/// Heading of the table column that names tests.
 const COLUMN: &str = "tests";
 
-/// Checks that every test named in the page's tables is among those that `ran`, and
-/// passed or is known to fail.
+/// Checks that every test named in the page's tables is in `ran`, the tests that passed or
+/// are known to fail.
 ///
 /// # Errors
 ///
-/// Fails when one is not, or when the page names none.
+/// Fails when a named test is not in `ran`, or when the page names no test.
 pub(crate) fn check(root: &Path, ran: &BTreeSet<String>) -> Result<()> {
     let page = fs::read_to_string(root.join(PAGE)).with_context(|| format!("can't read {PAGE}"))?;
     let named = named(&page);
@@ -30,7 +31,7 @@
     Ok(())
 }
 
-/// Returns the names in backticks in the column of tests.
+/// Returns the names in backticks in the column that names tests.
 fn named(page: &str) -> BTreeSet<&str> {
     let mut at = None;
     let mut names = BTreeSet::new();
--- a/xtask/src/samples.rs
+++ b/xtask/src/samples.rs
@@ -1,18 +1,19 @@
-//! Writes the sample texts of both deployments, and measures the check.
+//! `cargo xtask samples`: writes the sample configuration texts of both deployments, or
+//! measures how long a text takes to parse and check.
 
 use std::{fmt::Write, fs, path::Path, time::Instant};
 
 use anyhow::{Context, Result, ensure};
 use text::Model;
 
-/// Adapters of each brand in the samples: three brands make 3,000.
+/// Number of adapters of each brand in the samples: 3,000 for all three brands.
 const ADAPTERS: usize = 1_000;
 /// One adapter in this many has a second version that is not served yet.
 const TWO_VERSIONS_ONE_IN: usize = 50;
-/// Runs of a measurement; the median counts.
+/// Number of runs of a measurement, which prints the median.
 const RUNS: usize = 7;
 
-/// What the two deployments differ in.
+/// The parts of a sample text in which the two deployments differ.
 struct Sample {
     file: &'static str,
     head: &'static str,
@@ -26,11 +27,11 @@
 struct Brand {
     name: &'static str,
     title: &'static str,
-    /// What its numbered adapters are for.
+    /// Middle part of the names of its numbered adapters: what one adapter is for.
     unit: &'static str,
 }
 
-/// Describes the chore for the command line.
+/// Returns the command line.
 pub(crate) fn command() -> clap::Command {
     clap::Command::new("samples")
         .about("Writes the sample texts, or measures parse and check with --measure")
@@ -43,7 +44,7 @@
         )
 }
 
-/// Writes the samples, or measures.
+/// Writes the samples, or measures with `--measure`.
 ///
 /// # Errors
 ///
@@ -62,12 +63,12 @@
     Ok(())
 }
 
-/// Returns the agency's text with this many adapters.
+/// Returns the agency's text with at least `adapters` adapters, the same number per brand.
 pub(crate) fn agency(adapters: usize) -> String {
     render(&AGENCY, adapters.div_ceil(AGENCY.brands.len()))
 }
 
-/// Times parse and check, and reads how much memory the model holds.
+/// Measures the time to parse and check a text and the memory that its model takes.
 fn measure(adapters: usize) -> Result<()> {
     let source = agency(adapters);
     let before = resident_kib()?;
@@ -88,7 +89,7 @@
     Ok(())
 }
 
-/// Returns this process's resident memory.
+/// Returns this process's resident memory in KiB.
 fn resident_kib() -> Result<u64> {
     let status = fs::read_to_string("/proc/self/status")?;
     let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
@@ -99,7 +100,7 @@
 fn render(sample: &Sample, adapters: usize) -> String {
     let mut text = format!("{}\n{}", sample.head, sample.engines);
     for brand in &sample.brands {
-        // Writing to a text can't fail.
+        // Writing to a `String` can't fail.
         let _ = write_brand(&mut text, sample, brand, adapters);
     }
     text
--- a/xtask/src/soak.rs
+++ b/xtask/src/soak.rs
@@ -1,4 +1,4 @@
-//! `cargo xtask soak`: random faults against the log, from thousands of seeds.
+//! `cargo xtask soak`: tests the replicated log under random faults, with thousands of seeds.
 
 use std::{
     panic,
@@ -14,10 +14,10 @@
 use clap::{Arg, ArgMatches, Command, value_parser};
 use faults::random::{self, Broken, Tally};
 
-/// Threads that run seeds; the chore shares its machine with other work.
+/// Number of threads that run seeds; bounded because other work shares the machine.
 const THREADS: usize = 4;
 
-/// Describes the chore's flags.
+/// Returns the command line.
 pub(crate) fn command() -> Command {
     let number = |name: &'static str| Arg::new(name).long(name).value_parser(value_parser!(u64));
     Command::new("soak")
@@ -26,15 +26,16 @@
         .arg(number("seeds").default_value("1000").help("How many"))
 }
 
-/// Runs the seeds; the first failing one is printed with its trace.
+/// Runs the seeds; prints the trace of the lowest failing seed that was found.
 ///
 /// # Errors
 ///
-/// Fails when a seed breaks a promise of the log.
+/// Fails when a guarantee of the log is violated under a seed.
 pub(crate) fn run(args: &ArgMatches) -> Result<()> {
     let first = *args.get_one::<u64>("from").expect("has a default");
     let seeds = *args.get_one::<u64>("seeds").expect("has a default");
-    // A broken promise is a panic that carries its own report.
+    // A violated guarantee is a panic, which is caught and reported with its trace below, so
+    // the default hook must not print it as well.
     panic::set_hook(Box::new(|_| {}));
     let started = Instant::now();
     let (total, broken) = run_all(first, first + seeds);
@@ -63,7 +64,7 @@
     found.into_inner().expect("no worker panics")
 }
 
-/// Takes seeds until none is left or one has failed.
+/// Runs seeds until none is left or one has failed.
 fn work(next: &AtomicU64, end: u64, found: &Mutex<(Tally, Option<Broken>)>) {
     loop {
         let seed = next.fetch_add(1, Ordering::Relaxed);
--- a/xtask/src/soak_control.rs
+++ b/xtask/src/soak_control.rs
@@ -1,12 +1,12 @@
-//! `cargo xtask soak-control`: the scenarios of ownership, claims and changes,
-//! from many seeds.
+//! `cargo xtask soak-control`: runs the scenarios of engine ownership, claims of idempotency
+//! keys and changes of the configuration text, with many seeds.
 
 use std::process::Command as Process;
 
 use anyhow::{Context, Result, bail};
 use clap::{Arg, ArgMatches, Command, value_parser};
 
-/// Describes the chore's flags.
+/// Returns the command line.
 pub(crate) fn command() -> Command {
     let number = |name: &'static str| Arg::new(name).long(name).value_parser(value_parser!(u64));
     let script = Arg::new("script").long("script");
@@ -17,7 +17,7 @@
         .arg(script.help("Only the scenario of this name"))
 }
 
-/// Runs the scenarios; the first failing seed is printed with its trace.
+/// Runs the scenarios; the trace of the first failing seed is printed.
 ///
 /// # Errors
 ///
--- a/xtask/src/test.rs
+++ b/xtask/src/test.rs
@@ -1,5 +1,5 @@
-//! `cargo xtask test`: builds the daemons, runs all tests, and holds the
-//! proofs' page against what ran.
+//! `cargo xtask test`: builds the daemons, runs all tests, and checks that the tests named
+//! by `docs/PROOFS.md` ran.
 
 use std::{
     collections::BTreeSet,
@@ -13,7 +13,7 @@
 
 use crate::{proofs, root};
 
-/// Tests that fail for a fault that is known and not mended yet.
+/// File with the tests that fail because of a known fault that is not fixed yet.
 const KNOWN_RED: &str = "KNOWN-RED.txt";
 
 /// Returns the command line.
@@ -21,7 +21,7 @@
     Command::new("test").about("Builds the daemons, runs all tests, checks docs/PROOFS.md")
 }
 
-/// What a run of the tests came to, by test name.
+/// Result of a run of the tests, by test name.
 #[derive(Debug, Default)]
 struct Ran {
     passed: BTreeSet<String>,
@@ -29,17 +29,17 @@
     well: bool,
 }
 
-/// Builds every binary first, because process-level tests start them.
+/// Runs the task. It builds every binary first, because process-level tests start them.
 ///
 /// # Errors
 ///
-/// Fails when a build or a test fails that is not known to, or when the proofs
-/// name a test that did not run.
+/// Fails when a build fails, when a test fails that is not listed as known to fail, or when
+/// `docs/PROOFS.md` names a test that did not run.
 pub(crate) fn run(_: &ArgMatches) -> Result<ExitCode> {
     cargo(&["build", "--workspace", "--bins", "--locked"])?;
     let ran = test_all()?;
     judge(&ran)?;
-    // After the judgement each failure is a known one, and was printed as such.
+    // `judge` has passed, so every failed test is listed as known and was printed as such.
     let ran: BTreeSet<String> = ran.passed.union(&ran.failed).cloned().collect();
     proofs::check(root(), &ran)?;
     cargo(&[
@@ -71,7 +71,7 @@
 }
 
 impl Ran {
-    /// Takes one line such as `test faults::a_stream ... ok`.
+    /// Records one line of output such as `test faults::a_stream ... ok`.
     fn note(&mut self, line: &str) {
         let Some((name, end)) = line
             .strip_prefix("test ")
@@ -88,7 +88,7 @@
     }
 }
 
-/// Lets a run with failures pass only where each is known.
+/// Accepts a run with failures only if each failed test is listed as known.
 fn judge(ran: &Ran) -> Result<()> {
     let known = fs::read_to_string(root().join(KNOWN_RED)).unwrap_or_default();
     let red: Vec<&str> = known.lines().filter(|l| !l.trim().is_empty()).collect();
@@ -108,7 +108,11 @@
     Ok(())
 }
 
-/// Runs cargo and fails when it does.
+/// Runs cargo.
+///
+/// # Errors
+///
+/// Fails when cargo can't be started or exits with a failure.
 pub(crate) fn cargo(args: &[&str]) -> Result<()> {
     let status = process::Command::new("cargo").args(args).status();
     let status = status.context("can't start cargo")?;
