--- a/xtask/src/capacity.rs
+++ b/xtask/src/capacity.rs
@@ -35,8 +35,8 @@
     entry::PEERS,
     entry::OWNED,
     entry::PASSED,
-    entry::NEWS,
-    entry::HEARD,
+    entry::UPDATES_SENT,
+    entry::UPDATES_RECEIVED,
     entry::REPORT,
     control::BEATS,
     control::CLAIMS,
@@ -77,24 +77,24 @@
         println!("{}", figures.join(" "));
         return Ok(());
     }
-    println!("load of the machine at the start: {}", load()?);
+    println!("load of the machine at the start: {}", load_averages()?);
     for case in chosen {
-        table(case)?;
+        print_table(case)?;
     }
-    println!("load of the machine at the end: {}", load()?);
+    println!("load of the machine at the end: {}", load_averages()?);
     Ok(())
 }
 
 /// Measures all sizes of one case and prints them with the fitted lines.
-fn table(case: &Case) -> Result<()> {
+fn print_table(case: &Case) -> Result<()> {
     let began = Instant::now();
     let mut rows = Vec::new();
     println!("\n## {}\n", case.name);
     println!("| {} | {} |", case.size, case.columns.join(" | "));
     println!("|{}", " --- |".repeat(case.columns.len() + 1));
     for size in case.sizes {
-        let figures = apart(case, *size)?;
-        let cells = figures.iter().map(|figure| round(*figure));
+        let figures = measure_in_process(case, *size)?;
+        let cells = figures.iter().map(|figure| format_figure(*figure));
         println!("| {size} | {} |", cells.collect::<Vec<_>>().join(" | "));
         rows.push((*size as f64, figures));
     }
@@ -103,19 +103,19 @@
         Line::through(&points.collect::<Vec<_>>())
     });
     let lines: Vec<Line> = lines.collect();
-    let part = |label: &str, value: fn(&Line) -> f64| {
-        let cells = lines.iter().map(|line| round(value(line)));
+    let print_row = |label: &str, value: fn(&Line) -> f64| {
+        let cells = lines.iter().map(|line| format_figure(value(line)));
         println!("| {label} | {} |", cells.collect::<Vec<_>>().join(" | "));
     };
-    part("slope", |line| line.slope);
-    part("intercept", |line| line.intercept);
-    part("residual", |line| line.residual);
+    print_row("slope", |line| line.slope);
+    print_row("intercept", |line| line.intercept);
+    print_row("residual", |line| line.residual);
     println!("\ntook {} s", began.elapsed().as_secs());
     Ok(())
 }
 
 /// Measures one size in a process of its own, which runs this binary with `--size`.
-fn apart(case: &Case, size: usize) -> Result<Vec<f64>> {
+fn measure_in_process(case: &Case, size: usize) -> Result<Vec<f64>> {
     let output = Process::new(std::env::current_exe()?)
         .args(["capacity", "--case", case.name, "--size", &size.to_string()])
         .output()?;
@@ -131,21 +131,21 @@
 }
 
 /// Formats a figure with four significant digits.
-fn round(figure: f64) -> String {
-    let whole = figure.abs().max(1e-9).log10().floor() as i32;
-    let digits = usize::try_from(3 - whole).unwrap_or(0).min(9);
+fn format_figure(figure: f64) -> String {
+    let magnitude = figure.abs().max(1e-9).log10().floor() as i32;
+    let digits = usize::try_from(3 - magnitude).unwrap_or(0).min(9);
     format!("{figure:.digits$}")
 }
 
 /// Returns the machine's load averages.
-fn load() -> Result<String> {
+fn load_averages() -> Result<String> {
     let load = fs::read_to_string("/proc/loadavg")?;
     let three = load.split_whitespace().take(3).collect::<Vec<_>>();
     Ok(three.join(" "))
 }
 
 /// Returns this process's resident memory in MiB.
-fn resident() -> Result<f64> {
+fn resident_mib() -> Result<f64> {
     /// Size in bytes of a memory page on the supported machines.
     const PAGE: f64 = 4_096.0;
     let statm = fs::read_to_string("/proc/self/statm")?;
@@ -154,7 +154,7 @@
 }
 
 /// Returns the peak resident memory of this process so far, in MiB.
-fn peak() -> Result<f64> {
+fn peak_mib() -> Result<f64> {
     let status = fs::read_to_string("/proc/self/status")?;
     let line = status.lines().find_map(|line| line.strip_prefix("VmHWM:"));
     let kib = line.and_then(|line| line.split_whitespace().next());
@@ -162,12 +162,12 @@
 }
 
 /// Returns the size in bytes of an encoded message between instances.
-fn bytes<T: serde::Serialize>(value: &T) -> Result<f64> {
+fn encoded_len<T: serde::Serialize>(value: &T) -> Result<f64> {
     Ok(rmp_serde::to_vec(value)?.len() as f64)
 }
 
 /// Returns `text` with one line changed: the first adapter with a single version gets a
 /// second one.
-fn changed(text: &str) -> String {
+fn with_added_version(text: &str) -> String {
     text.replacen("= [1]\n", "= { versions = [1, 2], serve = 1 }\n", 1)
 }
--- a/xtask/src/capacity/calls.rs
+++ b/xtask/src/capacity/calls.rs
@@ -24,7 +24,7 @@
 };
 use wire::call::{Call, Reply, Residents};
 
-use super::{Case, bytes};
+use super::{Case, encoded_len};
 
 /// A number of sequential calls on one connection.
 pub(super) const CALLS: Case = Case {
@@ -41,15 +41,15 @@
 };
 
 /// Time limit of a call, far above what a call takes.
-const LIMIT: Duration = Duration::from_secs(20);
+const CALL_TIMEOUT: Duration = Duration::from_secs(20);
 
 fn calls(count: usize) -> Result<Vec<f64>> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()?;
     runtime.block_on(async {
-        let passed = Arc::new(AtomicU64::new(0));
-        let address = serve(Arc::clone(&passed)).await?;
+        let transferred = Arc::new(AtomicU64::new(0));
+        let address = serve(Arc::clone(&transferred)).await?;
         let link = Link::new("instance-0000".parse()?, address);
         let call = Call::Residents(Residents {
             owner: "instance-0000".parse()?,
@@ -63,26 +63,29 @@
             queued: 3,
             worth: 120,
         });
-        let body = bytes(&call)? + bytes(&Reply::Done)?;
-        link.call(call.clone(), LIMIT).await?;
-        let (cpu, before) = (cpu()?, passed.load(Ordering::Relaxed));
+        let body = encoded_len(&call)? + encoded_len(&Reply::Done)?;
+        link.call(call.clone(), CALL_TIMEOUT).await?;
+        let (cpu, before) = (cpu()?, transferred.load(Ordering::Relaxed));
         for _ in 0..count {
-            let reply = link.call(call.clone(), LIMIT).await?;
-            ensure!(reply == Reply::Done, "another reply");
+            let reply = link.call(call.clone(), CALL_TIMEOUT).await?;
+            ensure!(reply == Reply::Done, "unexpected reply");
         }
         let spent = self::cpu()? - cpu;
-        let stream = (passed.load(Ordering::Relaxed) - before) as f64;
+        let stream = (transferred.load(Ordering::Relaxed) - before) as f64;
         Ok(vec![spent, stream / 1e3, body, stream / count as f64])
     })
 }
 
-async fn serve(passed: Arc<AtomicU64>) -> Result<String> {
+async fn serve(transferred: Arc<AtomicU64>) -> Result<String> {
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let address = listener.local_addr()?.to_string();
     tokio::spawn(async move {
         while let Ok((stream, _)) = listener.accept().await {
-            let passed = Arc::clone(&passed);
-            let counted = Counted { stream, passed };
+            let transferred = Arc::clone(&transferred);
+            let counted = CountingStream {
+                stream,
+                transferred,
+            };
             let service = service_fn(|req: Request<Incoming>| async move {
                 Ok::<_, Infallible>(accept(req, |_, _| async { Reply::Done }))
             });
@@ -106,12 +109,12 @@
 }
 
 /// A stream that counts the bytes that it reads and writes.
-struct Counted {
+struct CountingStream {
     stream: TcpStream,
-    passed: Arc<AtomicU64>,
+    transferred: Arc<AtomicU64>,
 }
 
-impl AsyncRead for Counted {
+impl AsyncRead for CountingStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         task: &mut Task<'_>,
@@ -120,12 +123,12 @@
         let before = buf.filled().len();
         let done = Pin::new(&mut self.stream).poll_read(task, buf);
         let read = (buf.filled().len() - before) as u64;
-        self.passed.fetch_add(read, Ordering::Relaxed);
+        self.transferred.fetch_add(read, Ordering::Relaxed);
         done
     }
 }
 
-impl AsyncWrite for Counted {
+impl AsyncWrite for CountingStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         task: &mut Task<'_>,
@@ -133,7 +136,8 @@
     ) -> Poll<io::Result<usize>> {
         let done = Pin::new(&mut self.stream).poll_write(task, buf);
         if let Poll::Ready(Ok(written)) = done {
-            self.passed.fetch_add(written as u64, Ordering::Relaxed);
+            self.transferred
+                .fetch_add(written as u64, Ordering::Relaxed);
         }
         done
     }
--- a/xtask/src/capacity/control.rs
+++ b/xtask/src/capacity/control.rs
@@ -12,7 +12,7 @@
     operator::{Applied, Apply},
 };
 
-use super::{Case, bytes, changed, resident};
+use super::{Case, encoded_len, resident_mib, with_added_version};
 use crate::samples;
 
 /// Heartbeats of a number of entry instances, for 600 engines.
@@ -67,13 +67,13 @@
 const ENGINES: usize = 600;
 /// Number of changes before the restart. A snapshot is taken every 1,000 entries, and this
 /// number leaves close to the longest log after the last one.
-const CHANGES_BEFORE: u64 = 1_990;
+const CHANGES_BEFORE_RESTART: u64 = 1_990;
 /// Number of claims submitted before the disk completes a write, so that they share one
 /// write of the log.
-const AT_ONCE: u64 = 256;
+const CLAIMS_PER_WRITE: u64 = 256;
 
 /// A control instance and its simulated disk.
-struct Alone {
+struct ControlSim {
     control: Control,
     now: Time,
     snapshot: Option<Snapshot>,
@@ -82,57 +82,61 @@
     /// Bytes written to the log so far.
     written: u64,
     /// Whether completions of writes are held back.
-    hold: bool,
+    hold_syncs: bool,
     /// Writes whose completion has not been reported to the instance.
-    held: Vec<replog::WriteNo>,
+    pending_syncs: Vec<replog::WriteNo>,
     tickets: u64,
 }
 
-impl Alone {
-    fn new(life: u64, snapshot: Option<Snapshot>, disk: Vec<Record>) -> Result<Self> {
+impl ControlSim {
+    fn new(seed: u64, snapshot: Option<Snapshot>, disk: Vec<Record>) -> Result<Self> {
         let instance: base::InstanceName = "control-1".parse()?;
         let id = ReplicaId {
             instance: instance.clone(),
             life: Incarnation(1),
         };
-        let raw = RawSettings::usual(id, vec![instance], Seed(life));
+        let raw = RawSettings::usual(id, vec![instance], Seed(seed));
         let restored = Restored::replay(snapshot.clone(), disk.clone()).context("damaged log")?;
         let replica = Replica::new(Settings::try_from(raw)?, restored);
         let check = |_: &str| Ok(Checked { rate: PerSecond(5) });
-        Ok(Alone {
+        Ok(ControlSim {
             control: Control::new(Config::default(), replica, Box::new(check)),
             now: Time::from_millis(5),
             snapshot,
             disk,
             written: 0,
-            hold: false,
-            held: Vec::new(),
+            hold_syncs: false,
+            pending_syncs: Vec::new(),
             tickets: 0,
         })
     }
 
-    fn give(&mut self, input: Input) -> Vec<Output> {
+    fn handle_input(&mut self, input: Input) -> Vec<Output> {
         let mut all = Vec::new();
         let mut inputs = vec![input];
         while let Some(input) = inputs.pop() {
             let mut out = Vec::new();
             self.control.handle(self.now, input, &mut out);
             for output in out {
-                self.store(output, &mut all);
+                self.persist(output, &mut all);
             }
-            if !self.hold {
-                inputs.extend(self.held.drain(..).map(|upto| Input::Synced { upto }));
+            if !self.hold_syncs {
+                inputs.extend(
+                    self.pending_syncs
+                        .drain(..)
+                        .map(|upto| Input::Synced { upto }),
+                );
             }
         }
         all
     }
 
-    fn store(&mut self, output: Output, rest: &mut Vec<Output>) {
+    fn persist(&mut self, output: Output, rest: &mut Vec<Output>) {
         match output {
             Output::Write { no, records } => {
                 self.written += replog::encode_frame(no.get(), &records).len() as u64;
                 self.disk.extend(records);
-                self.held.push(no);
+                self.pending_syncs.push(no);
             }
             Output::Rewrite {
                 no,
@@ -141,29 +145,32 @@
             } => {
                 self.snapshot = Some(snapshot);
                 self.disk = records;
-                self.held.push(no);
+                self.pending_syncs.push(no);
             }
             output => rest.push(output),
         }
     }
 
-    fn pass(&mut self, ms: u64) {
+    fn advance(&mut self, ms: u64) {
         for _ in 0..ms.div_ceil(50) {
             self.now = self.now + Duration::from_millis(50);
-            self.give(Input::Wake);
+            self.handle_input(Input::Wake);
         }
     }
 
-    fn lead(&mut self) -> Result<()> {
-        self.pass(5_000);
-        ensure!(self.control.leads(self.now), "it does not lead");
+    fn become_leader(&mut self) -> Result<()> {
+        self.advance(5_000);
+        ensure!(
+            self.control.leads(self.now),
+            "the control instance did not become leader"
+        );
         Ok(())
     }
 
     fn call(&mut self, call: Call) -> Option<Reply> {
         self.tickets += 1;
         let ticket = Ticket(self.tickets);
-        let out = self.give(Input::Call { ticket, call });
+        let out = self.handle_input(Input::Call { ticket, call });
         out.into_iter().find_map(|output| match output {
             Output::Reply { reply, .. } => Some(reply),
             _ => None,
@@ -195,7 +202,7 @@
 }
 
 /// Returns the names of the engines in the zone of instance `i`.
-fn reach(i: usize) -> Result<Vec<base::TargetName>> {
+fn zone_engines(i: usize) -> Result<Vec<base::TargetName>> {
     let near = (0..ENGINES).filter(|e| e % 8 == i % 8);
     let names = near.map(|e| Ok(format!("engine-{e:04}").parse()?));
     names.collect()
@@ -203,11 +210,11 @@
 
 /// Entry instances that send a heartbeat once per second, and the leader that answers.
 struct Fleet {
-    alone: Alone,
+    sim: ControlSim,
     /// Roster version that each instance has got.
     rosters: Vec<u64>,
     /// Whether the leader has asked each instance for the engines that it reaches.
-    tell: Vec<bool>,
+    wants_engines: Vec<bool>,
     serial: u64,
     /// Bytes of the last heartbeat, and of all replies of the last round.
     sizes: (f64, f64),
@@ -217,12 +224,12 @@
 
 impl Fleet {
     fn new(instances: usize) -> Result<Self> {
-        let mut alone = Alone::new(1, None, Vec::new())?;
-        alone.lead()?;
+        let mut sim = ControlSim::new(1, None, Vec::new())?;
+        sim.become_leader()?;
         Ok(Fleet {
-            alone,
+            sim,
             rosters: vec![0; instances],
-            tell: vec![true; instances],
+            wants_engines: vec![true; instances],
             serial: 0,
             sizes: (0.0, 0.0),
             spent: Duration::ZERO,
@@ -234,21 +241,25 @@
         self.serial += 1;
         self.sizes.1 = 0.0;
         for i in 0..self.rosters.len() {
-            let engines = if self.tell[i] { Some(reach(i)?) } else { None };
+            let engines = if self.wants_engines[i] {
+                Some(zone_engines(i)?)
+            } else {
+                None
+            };
             let call = Call::Beat(beat(i, self.serial, self.rosters[i], engines)?);
-            self.sizes.0 = bytes(&call)?;
+            self.sizes.0 = encoded_len(&call)?;
             let began = Instant::now();
-            let reply = self.alone.call(call);
+            let reply = self.sim.call(call);
             self.spent += began.elapsed();
             let Some(Reply::Beat(reply)) = reply else {
                 continue;
             };
             self.rosters[i] = reply.roster;
-            self.tell[i] = reply.tell;
-            self.sizes.1 += bytes(&Reply::Beat(reply))?;
+            self.wants_engines[i] = reply.tell;
+            self.sizes.1 += encoded_len(&Reply::Beat(reply))?;
         }
         let began = Instant::now();
-        self.alone.pass(1_000);
+        self.sim.advance(1_000);
         self.spent += began.elapsed();
         Ok(())
     }
@@ -256,27 +267,30 @@
 
 fn beats(instances: usize) -> Result<Vec<f64>> {
     /// Rounds without a change of the roster after which ownership counts as settled.
-    const CALM: u64 = 10;
+    const STABLE_ROUNDS: u64 = 10;
     const ROUNDS_MAX: u64 = 600;
     const MEASURED: u64 = 20;
     let mut fleet = Fleet::new(instances)?;
     let count = instances as f64;
-    let (mut calm, mut roster, mut most) = (0, 0, 0.0_f64);
-    while calm < CALM {
-        ensure!(fleet.serial < ROUNDS_MAX, "engines move without end");
+    let (mut stable, mut roster, mut most) = (0, 0, 0.0_f64);
+    while stable < STABLE_ROUNDS {
+        ensure!(
+            fleet.serial < ROUNDS_MAX,
+            "engine ownership did not settle within {ROUNDS_MAX} rounds"
+        );
         fleet.round()?;
         let last = fleet.rosters.iter().copied().max().unwrap_or(0);
-        calm = if last == roster && last > 0 {
-            calm + 1
+        stable = if last == roster && last > 0 {
+            stable + 1
         } else {
             0
         };
         roster = last;
-        if fleet.serial > CALM {
+        if fleet.serial > STABLE_ROUNDS {
             most = most.max(fleet.sizes.1 / count);
         }
     }
-    let settled = fleet.serial - CALM;
+    let settled = fleet.serial - STABLE_ROUNDS;
     let busy = fleet.spent.as_secs_f64() * 1e3 / fleet.serial as f64;
     fleet.spent = Duration::ZERO;
     for _ in 0..MEASURED {
@@ -285,8 +299,8 @@
     let steady = fleet.spent.as_secs_f64() * 1e3 / MEASURED as f64;
     let reply = fleet.sizes.1 / count;
     let serial = fleet.serial + 1;
-    let first = fleet.alone.call(Call::Beat(beat(0, serial, 0, None)?));
-    let first = bytes(&first.context("no reply to a first beat")?)?;
+    let first = fleet.sim.call(Call::Beat(beat(0, serial, 0, None)?));
+    let first = encoded_len(&first.context("no reply to a first beat")?)?;
     Ok(vec![
         steady,
         fleet.sizes.0,
@@ -295,7 +309,7 @@
         settled as f64,
         busy,
         most,
-        resident()?,
+        resident_mib()?,
     ])
 }
 
@@ -306,19 +320,19 @@
 }
 
 fn claims(keys: usize) -> Result<Vec<f64>> {
-    let mut alone = Alone::new(1, None, Vec::new())?;
-    alone.lead()?;
+    let mut sim = ControlSim::new(1, None, Vec::new())?;
+    sim.become_leader()?;
     for round in 1..4 {
-        alone.call(Call::Beat(beat(0, round, 0, Some(reach(0)?))?));
-        alone.pass(1_000);
+        sim.call(Call::Beat(beat(0, round, 0, Some(zone_engines(0)?))?));
+        sim.advance(1_000);
     }
     let instance: base::InstanceName = "instance-0000".parse()?;
     let brand: base::BrandName = "brand".parse()?;
-    let (before, log) = (resident()?, alone.written);
+    let (before, log) = (resident_mib()?, sim.written);
     let mut spent = Duration::ZERO;
     let mut size = 0.0;
-    for batch in 0..(keys as u64).div_ceil(AT_ONCE) {
-        let all = batch * AT_ONCE..(batch + 1) * AT_ONCE;
+    for batch in 0..(keys as u64).div_ceil(CLAIMS_PER_WRITE) {
+        let all = batch * CLAIMS_PER_WRITE..(batch + 1) * CLAIMS_PER_WRITE;
         let claim = |n| {
             Call::Claim(Claim {
                 brand: brand.clone(),
@@ -339,43 +353,46 @@
             })
         };
         let replies = [Reply::Claim(wire::call::ClaimReply::Yours), Reply::Done];
-        size = bytes(&claim(0))? + bytes(&settle(0))? + bytes(&replies[0])? + bytes(&replies[1])?;
+        size = encoded_len(&claim(0))?
+            + encoded_len(&settle(0))?
+            + encoded_len(&replies[0])?
+            + encoded_len(&replies[1])?;
         let calls = [
             all.clone().map(claim).collect::<Vec<_>>(),
             all.map(settle).collect(),
         ];
         let began = Instant::now();
         for calls in calls {
-            alone.hold = true;
+            sim.hold_syncs = true;
             for call in calls {
-                alone.call(call);
+                sim.call(call);
             }
-            alone.hold = false;
-            alone.give(Input::Wake);
+            sim.hold_syncs = false;
+            sim.handle_input(Input::Wake);
         }
         spent += began.elapsed();
-        alone.now = alone.now + Duration::from_millis(10);
+        sim.now = sim.now + Duration::from_millis(10);
         // The simulated disk must not count as memory of the instance.
-        alone.disk = Vec::new();
+        sim.disk = Vec::new();
     }
     Ok(vec![
         spent.as_secs_f64() * 1e6 / keys as f64,
-        resident()? - before,
-        (alone.written - log) as f64 / 1e6,
+        resident_mib()? - before,
+        (sim.written - log) as f64 / 1e6,
         size,
     ])
 }
 
 /// Submits a change; returns whether it was accepted.
-fn apply(alone: &mut Alone, n: u64, text: &str) -> bool {
+fn apply(sim: &mut ControlSim, n: u64, text: &str) -> bool {
     let apply = Apply {
-        change: format!("change-{n}").parse().expect("a fit name"),
+        change: format!("change-{n}").parse().expect("a valid name"),
         base: TextVersion(n),
         by: "operator".to_owned(),
         text: text.to_owned(),
     };
     let ticket = Ticket(1_000_000 + n);
-    let out = alone.give(Input::Apply { ticket, apply });
+    let out = sim.handle_input(Input::Apply { ticket, apply });
     out.iter().any(|output| {
         let Output::Applied { applied, .. } = output else {
             return false;
@@ -386,27 +403,34 @@
 
 fn changes(adapters: usize) -> Result<Vec<f64>> {
     let one = samples::agency(adapters);
-    let two = changed(&one);
-    let mut alone = Alone::new(1, None, Vec::new())?;
-    alone.lead()?;
-    ensure!(apply(&mut alone, 0, &one), "the first text was refused");
-    let log = alone.written;
+    let two = with_added_version(&one);
+    let mut sim = ControlSim::new(1, None, Vec::new())?;
+    sim.become_leader()?;
+    ensure!(apply(&mut sim, 0, &one), "the first text was refused");
+    let log = sim.written;
     let began = Instant::now();
-    for n in 1..CHANGES_BEFORE {
+    for n in 1..CHANGES_BEFORE_RESTART {
         let text = if n % 2 == 1 { &two } else { &one };
-        ensure!(apply(&mut alone, n, text), "change {n} was refused");
+        ensure!(apply(&mut sim, n, text), "change {n} was refused");
     }
-    let each = began.elapsed().as_secs_f64() * 1e3 / CHANGES_BEFORE as f64;
-    let log = (alone.written - log) as f64 / CHANGES_BEFORE as f64;
-    let held = resident()?;
-    let snapshot = alone.snapshot.take().context("no snapshot yet")?;
+    let each = began.elapsed().as_secs_f64() * 1e3 / CHANGES_BEFORE_RESTART as f64;
+    let log = (sim.written - log) as f64 / CHANGES_BEFORE_RESTART as f64;
+    let memory = resident_mib()?;
+    let snapshot = sim.snapshot.take().context("no snapshot yet")?;
     let size = replog::encode_snapshot(&snapshot).len();
-    let replayed = alone.disk.len();
+    let replayed = sim.disk.len();
     let began = Instant::now();
-    let mut again = Alone::new(2, Some(snapshot), alone.disk)?;
-    again.lead()?;
+    let mut restarted = ControlSim::new(2, Some(snapshot), sim.disk)?;
+    restarted.become_leader()?;
     let restart = began.elapsed().as_secs_f64() * 1e3;
-    ensure!(again.control.state().texts().version() == TextVersion(CHANGES_BEFORE));
-    ensure!(Texts::digest(again.control.state().texts().text()) == Texts::digest(&two));
-    Ok(vec![each, log, size as f64, restart, replayed as f64, held])
+    ensure!(restarted.control.state().texts().version() == TextVersion(CHANGES_BEFORE_RESTART));
+    ensure!(Texts::digest(restarted.control.state().texts().text()) == Texts::digest(&two));
+    Ok(vec![
+        each,
+        log,
+        size as f64,
+        restart,
+        replayed as f64,
+        memory,
+    ])
 }
--- a/xtask/src/capacity/entry.rs
+++ b/xtask/src/capacity/entry.rs
@@ -17,13 +17,13 @@
 };
 
 use super::{
-    Case, changed, peak, resident,
-    world::{Around, PLANNED, Sent, TOKENS, World},
+    Case, peak_mib, resident_mib, with_added_version,
+    world::{PLANNED, Surroundings, TOKENS, Traffic, World},
 };
 
 const ADAPTERS: &[usize] = &[3_000, 12_000, 48_000];
 const BRAND: &str = "film";
-const HOT: &str = "film-live";
+const BUSY_ADAPTER: &str = "film-live";
 
 /// Taking in a full text with a number of adapters, then a change of one line as a patch.
 pub(super) const TEXT: Case = Case {
@@ -49,8 +49,8 @@
     name: "entry-targets",
     size: "targets",
     sizes: &[60, 240, 600],
-    columns: QUIET,
-    run: |targets| quiet(Around { targets, ..PLANNED }),
+    columns: IDLE_COLUMNS,
+    run: |targets| idle(Surroundings { targets, ..PLANNED }),
 };
 
 /// Idle operation among a number of peers, with 600 targets of which two are owned.
@@ -58,11 +58,11 @@
     name: "entry-peers",
     size: "peers",
     sizes: &[7, 48, 380],
-    columns: QUIET,
-    run: |peers| quiet(Around { peers, ..PLANNED }),
+    columns: IDLE_COLUMNS,
+    run: |peers| idle(Surroundings { peers, ..PLANNED }),
 };
 
-const QUIET: &[&str] = &[
+const IDLE_COLUMNS: &[&str] = &[
     "resident MiB",
     "us a quiet second",
     "beats a second",
@@ -79,7 +79,7 @@
     sizes: ADAPTERS,
     columns: &["us a request"],
     run: |adapters| {
-        requests(Around {
+        requests(Surroundings {
             adapters,
             targets: 1,
             peers: 7,
@@ -95,7 +95,7 @@
     sizes: ADAPTERS,
     columns: &["us a request"],
     run: |adapters| {
-        requests(Around {
+        requests(Surroundings {
             adapters,
             peers: 380,
             owned: 0,
@@ -106,7 +106,7 @@
 
 /// Residency and load updates that the owner of two engines sends to a number of peers at
 /// the planned rate of requests.
-pub(super) const NEWS: Case = Case {
+pub(super) const UPDATES_SENT: Case = Case {
     name: "entry-news",
     size: "peers",
     sizes: &[7, 48, 380],
@@ -118,16 +118,16 @@
         "bytes each",
         "us of processor a second",
     ],
-    run: news,
+    run: send_updates,
 };
 
 /// Cost of receiving one residency update from a peer.
-pub(super) const HEARD: Case = Case {
+pub(super) const UPDATES_RECEIVED: Case = Case {
     name: "entry-heard",
     size: "targets",
     sizes: &[60, 240, 600],
     columns: &["us a message", "bytes a message"],
-    run: heard,
+    run: receive_updates,
 };
 
 /// Size of the report of an engine on which a number of adapters is resident.
@@ -158,50 +158,53 @@
 }
 
 fn text(adapters: usize) -> Result<Vec<f64>> {
-    let around = Around {
+    let surroundings = Surroundings {
         adapters: 3,
         targets: 60,
         peers: 7,
         owned: 2,
     };
-    let mut world = World::serving(around)?;
+    let mut world = World::serving(surroundings)?;
     let full = World::sized_text(adapters);
     world.text = (TextVersion(2), full.clone());
-    let whole = take_in(&mut world)?;
-    let (size, held, most) = (world.fetched, resident()?, peak()?);
-    let new = changed(&full);
+    let full_ms = receive_text(&mut world)?;
+    let (size, memory, peak_memory) = (world.fetched, resident_mib()?, peak_mib()?);
+    let new = with_added_version(&full);
     world.patch = Some(Patch::between(&full, &new));
     world.text = (TextVersion(3), new);
     drop(full);
     world.checking = Duration::ZERO;
-    let change = take_in(&mut world)?;
-    let aside = world.checking.as_secs_f64() * 1e3;
+    let change_ms = receive_text(&mut world)?;
+    let checked = world.checking.as_secs_f64() * 1e3;
     Ok(vec![
-        whole,
+        full_ms,
         size as f64,
-        held,
-        most,
-        change,
-        aside,
+        memory,
+        peak_memory,
+        change_ms,
+        checked,
         world.fetched as f64,
-        resident()?,
-        peak()?,
+        resident_mib()?,
+        peak_mib()?,
     ])
 }
 
 /// Lets two heartbeat intervals pass, in which the instance learns of a newer text and takes
 /// it in; returns the real milliseconds that this took.
-fn take_in(world: &mut World) -> Result<f64> {
+fn receive_text(world: &mut World) -> Result<f64> {
     let began = Instant::now();
     world.pass(Duration::from_secs(2))?;
     let took = began.elapsed().as_secs_f64() * 1e3;
-    ensure!(world.node.version() == world.text.0, "not taken in");
+    ensure!(
+        world.node.version() == world.text.0,
+        "the new text is not in force after two heartbeats"
+    );
     Ok(took)
 }
 
-fn quiet(around: Around) -> Result<Vec<f64>> {
+fn idle(surroundings: Surroundings) -> Result<Vec<f64>> {
     const SECONDS: u64 = 60;
-    let mut world = World::serving(around)?;
+    let mut world = World::serving(surroundings)?;
     world.beats = Default::default();
     world.replies = Default::default();
     world.polls = Default::default();
@@ -209,7 +212,7 @@
     world.pass(Duration::from_secs(SECONDS))?;
     let spent = began.elapsed().as_secs_f64() * 1e6 / SECONDS as f64;
     Ok(vec![
-        resident()?,
+        resident_mib()?,
         spent,
         world.beats.calls as f64 / SECONDS as f64,
         world.beats.mean_bytes(),
@@ -219,15 +222,15 @@
     ])
 }
 
-fn requests(around: Around) -> Result<Vec<f64>> {
+fn requests(surroundings: Surroundings) -> Result<Vec<f64>> {
     const REQUESTS: u64 = 20_000;
-    let mut world = World::serving(around)?;
+    let mut world = World::serving(surroundings)?;
     for _ in 0..REQUESTS / 10 {
-        whole_request(&mut world)?;
+        run_request(&mut world)?;
     }
     let (ended, began) = (world.ended, Instant::now());
     for _ in 0..REQUESTS {
-        whole_request(&mut world)?;
+        run_request(&mut world)?;
     }
     let spent = began.elapsed().as_secs_f64() * 1e6 / REQUESTS as f64;
     ensure!(
@@ -239,12 +242,12 @@
 
 /// Runs one request from arrival to end. No virtual time passes once the adapter is
 /// resident, so that the node's periodic work is not counted.
-fn whole_request(world: &mut World) -> Result<()> {
-    world.arrive(BRAND, HOT, TOKENS)?;
+fn run_request(world: &mut World) -> Result<()> {
+    world.arrive(BRAND, BUSY_ADAPTER, TOKENS)?;
     let mut tries = 0;
     while !world.answer(TOKENS)? {
         tries += 1;
-        ensure!(tries < 100, "a request was not sent");
+        ensure!(tries < 100, "a request was not sent within 100 tries");
         world.pass(Duration::from_millis(100))?;
     }
     Ok(())
@@ -253,24 +256,24 @@
 /// Simulates a minute at the planned rate of requests for two engines, after a warm-up.
 /// Requests arrive as a Poisson process and run equally long; one in 100 is for an adapter
 /// that is not resident.
-fn news(peers: usize) -> Result<Vec<f64>> {
+fn send_updates(peers: usize) -> Result<Vec<f64>> {
     const SECONDS: f64 = 60.0;
-    const WARM: f64 = 20.0;
+    const WARM_UP: f64 = 20.0;
     const RATE: f64 = 30.0;
-    const RUNS: f64 = 11.0;
-    let around = Around {
+    const RUN_SECS: f64 = 11.0;
+    let surroundings = Surroundings {
         targets: 2,
         peers,
         ..PLANNED
     };
-    let mut world = World::serving(around)?;
+    let mut world = World::serving(surroundings)?;
     let mut random = ChaCha8Rng::seed_from_u64(1);
-    let (mut at, mut asked, mut ends) = (0.0, 0_u32, VecDeque::new());
+    let (mut at, mut arrived, mut ends) = (0.0, 0_u32, VecDeque::new());
     let mut began = None;
-    while at < WARM + SECONDS {
-        if at >= WARM && began.is_none() {
-            (world.news, world.loads) = Default::default();
-            began = Some((Instant::now(), asked));
+    while at < WARM_UP + SECONDS {
+        if at >= WARM_UP && began.is_none() {
+            (world.residency_updates, world.load_updates) = Default::default();
+            began = Some((Instant::now(), arrived));
         }
         let next = at - (1.0 - random.random::<f64>()).ln() / RATE;
         while ends.front().is_some_and(|end| *end <= next) {
@@ -281,44 +284,44 @@
         }
         world.pass(Duration::from_secs_f64(next - at))?;
         at = next;
-        asked += 1;
-        let adapter = match asked % 100 {
-            0 => format!("film-produkcija-{:04}", asked / 100),
-            _ => HOT.to_owned(),
+        arrived += 1;
+        let adapter = match arrived % 100 {
+            0 => format!("film-produkcija-{:04}", arrived / 100),
+            _ => BUSY_ADAPTER.to_owned(),
         };
         let before = world.sent.len();
         world.arrive(BRAND, &adapter, 304)?;
-        ends.extend((before..world.sent.len()).map(|_| at + RUNS));
+        ends.extend((before..world.sent.len()).map(|_| at + RUN_SECS));
     }
     let (began, before) = began.context("no minute was measured")?;
     let spent = began.elapsed().as_secs_f64() * 1e6 / SECONDS;
-    let rate = |sent: Sent| sent.calls as f64 / SECONDS;
+    let rate = |sent: Traffic| sent.calls as f64 / SECONDS;
     Ok(vec![
-        f64::from(asked - before),
-        rate(world.news),
-        world.news.mean_bytes(),
-        rate(world.loads),
-        world.loads.mean_bytes(),
+        f64::from(arrived - before),
+        rate(world.residency_updates),
+        world.residency_updates.mean_bytes(),
+        rate(world.load_updates),
+        world.load_updates.mean_bytes(),
         spent,
     ])
 }
 
-fn heard(targets: usize) -> Result<Vec<f64>> {
+fn receive_updates(targets: usize) -> Result<Vec<f64>> {
     const ROUNDS: u64 = 50;
-    let around = Around { targets, ..PLANNED };
-    let mut world = World::serving(around)?;
-    let others = world
-        .others()
+    let surroundings = Surroundings { targets, ..PLANNED };
+    let mut world = World::serving(surroundings)?;
+    let peer_engines = world
+        .peer_engines()
         .map(|(peer, owned)| (peer.instance.clone(), owned.clone()));
-    let others = others.collect::<Vec<_>>();
+    let peer_engines = peer_engines.collect::<Vec<_>>();
     let (mut spent, mut count, mut size) = (Duration::ZERO, 0, 0.0);
     for serial in 1..=ROUNDS {
-        for (at, (owner, (target, fence))) in others.iter().enumerate() {
+        for (at, (owner, (target, fence))) in peer_engines.iter().enumerate() {
             let adapter = |n: u64| -> Result<_> {
                 let n = 1 + (at as u64 * 31 + n) % 900;
                 Ok((format!("film-produkcija-{n:04}").parse()?, base::Version(1)))
             };
-            let news = Residents {
+            let update = Residents {
                 owner: owner.clone(),
                 target: target.clone(),
                 fence: *fence,
@@ -330,9 +333,9 @@
                 queued: 3,
                 worth: 120,
             };
-            size = super::bytes(&wire::call::Call::Residents(news.clone()))?;
+            size = super::encoded_len(&wire::call::Call::Residents(update.clone()))?;
             let began = Instant::now();
-            world.hear(news)?;
+            world.deliver(update)?;
             spent += began.elapsed();
             count += 1;
         }
--- a/xtask/src/capacity/tool.rs
+++ b/xtask/src/capacity/tool.rs
@@ -6,7 +6,7 @@
 use text::Model;
 use wire::operator::Apply;
 
-use super::{Case, changed, peak, resident};
+use super::{Case, peak_mib, resident_mib, with_added_version};
 use crate::samples;
 
 /// The tool's work on a text with a number of adapters.
@@ -26,7 +26,7 @@
 
 fn operator(adapters: usize) -> Result<Vec<f64>> {
     let old = samples::agency(adapters);
-    let new = changed(&old);
+    let new = with_added_version(&old);
     let before = Model::try_from(old.as_str())?;
     let began = Instant::now();
     let after = Model::try_from(new.as_str())?;
@@ -46,7 +46,7 @@
         check.as_secs_f64() * 1e3,
         compared.as_secs_f64() * 1e3,
         body as f64,
-        resident()?,
-        peak()?,
+        resident_mib()?,
+        peak_mib()?,
     ])
 }
--- a/xtask/src/capacity/world.rs
+++ b/xtask/src/capacity/world.rs
@@ -24,11 +24,12 @@
 pub(super) const TOKENS: u32 = 16;
 /// Replacements in the sample text: engines of the planned site have larger batches and
 /// more slots than those of the sample.
-const ENGINE: [(&str, &str); 2] = [("batch = 32", "batch = 256"), ("slots = 8", "slots = 32")];
+const PLANNED_ENGINE: [(&str, &str); 2] =
+    [("batch = 32", "batch = 256"), ("slots = 8", "slots = 32")];
 
 /// Sizes of the node's surroundings.
 #[derive(Clone, Copy)]
-pub(super) struct Around {
+pub(super) struct Surroundings {
     pub(super) adapters: usize,
     pub(super) targets: usize,
     /// Number of other entry instances.
@@ -38,7 +39,7 @@
 }
 
 /// The planned surroundings; each case varies one of the sizes.
-pub(super) const PLANNED: Around = Around {
+pub(super) const PLANNED: Surroundings = Surroundings {
     adapters: 3_000,
     targets: 600,
     peers: 48,
@@ -47,12 +48,12 @@
 
 /// Number and total bytes of messages of one kind.
 #[derive(Clone, Copy, Default)]
-pub(super) struct Sent {
+pub(super) struct Traffic {
     pub(super) calls: u64,
     pub(super) bytes: u64,
 }
 
-impl Sent {
+impl Traffic {
     /// Returns the mean size of a message.
     pub(super) fn mean_bytes(self) -> f64 {
         self.bytes as f64 / self.calls.max(1) as f64
@@ -70,17 +71,17 @@
     pub(super) patch: Option<Patch>,
     pub(super) sent: VecDeque<Attempt>,
     pub(super) ended: u64,
-    pub(super) beats: Sent,
-    pub(super) replies: Sent,
+    pub(super) beats: Traffic,
+    pub(super) replies: Traffic,
     /// Updates that change an engine's resident adapters.
-    pub(super) news: Sent,
+    pub(super) residency_updates: Traffic,
     /// Updates of an engine's load alone.
-    pub(super) loads: Sent,
-    pub(super) polls: Sent,
+    pub(super) load_updates: Traffic,
+    pub(super) polls: Traffic,
     /// Size in bytes of the last reply with a text or patches.
     pub(super) fetched: u64,
     peers: Vec<Peer>,
-    held: BTreeMap<TargetName, Vec<String>>,
+    resident: BTreeMap<TargetName, Vec<String>>,
     steps: u64,
     tickets: u64,
     wake: Time,
@@ -93,9 +94,9 @@
 
 impl World {
     /// Creates a node and runs it until a text is in force.
-    pub(super) fn serving(around: Around) -> Result<World> {
-        let mut world = World::bare(around)?;
-        world.input(Input::List(Some(list(around.targets)?)))?;
+    pub(super) fn serving(surroundings: Surroundings) -> Result<World> {
+        let mut world = World::new(surroundings)?;
+        world.input(Input::List(Some(list(surroundings.targets)?)))?;
         world.pass(Duration::from_secs(30))?;
         anyhow::ensure!(world.node.version() == world.text.0, "no text in force");
         Ok(world)
@@ -104,11 +105,11 @@
     /// Returns a text with this many adapters for engines of the planned site.
     pub(super) fn sized_text(adapters: usize) -> String {
         let text = samples::agency(adapters);
-        let put = |text: String, (from, to): (&str, &str)| text.replace(from, to);
-        ENGINE.into_iter().fold(text, put)
+        let replace = |text: String, (from, to): (&str, &str)| text.replace(from, to);
+        PLANNED_ENGINE.into_iter().fold(text, replace)
     }
 
-    fn bare(around: Around) -> Result<World> {
+    fn new(surroundings: Surroundings) -> Result<World> {
         let address = |i: usize| std::net::SocketAddr::from(([127, 0, 0, 1], 9_000 + i as u16));
         let control = |i: usize| Ok((format!("control-{i}").parse()?, address(i)));
         let settings = Settings {
@@ -120,7 +121,7 @@
             seed: Seed(1),
             grace: Duration::from_secs(2),
         };
-        let text = World::sized_text(around.adapters);
+        let text = World::sized_text(surroundings.adapters);
         Ok(World {
             checking: Duration::ZERO,
             node: Node::new(settings, Time::ZERO),
@@ -129,14 +130,14 @@
             patch: None,
             sent: VecDeque::new(),
             ended: 0,
-            beats: Sent::default(),
-            replies: Sent::default(),
-            news: Sent::default(),
-            loads: Sent::default(),
-            polls: Sent::default(),
+            beats: Traffic::default(),
+            replies: Traffic::default(),
+            residency_updates: Traffic::default(),
+            load_updates: Traffic::default(),
+            polls: Traffic::default(),
             fetched: 0,
-            peers: peers(around)?,
-            held: BTreeMap::new(),
+            peers: peers(surroundings)?,
+            resident: BTreeMap::new(),
             steps: 0,
             tickets: 0,
             wake: Time::ZERO,
@@ -210,18 +211,18 @@
     }
 
     /// Delivers an update of a peer's engine.
-    pub(super) fn hear(&mut self, news: Residents) -> Result<()> {
-        let from = news.owner.clone();
-        let body = Call::Residents(news);
+    pub(super) fn deliver(&mut self, update: Residents) -> Result<()> {
+        let from = update.owner.clone();
+        let body = Call::Residents(update);
         self.steps += 1;
         let call = self.steps;
         self.input(Input::Called { call, from, body })
     }
 
     /// Returns the engines owned by peers, each with its owner.
-    pub(super) fn others(&self) -> impl Iterator<Item = (&Peer, &(TargetName, Fence))> {
-        let others = self.peers.iter().skip(1);
-        others.flat_map(|peer| peer.owns.iter().map(move |owned| (peer, owned)))
+    pub(super) fn peer_engines(&self) -> impl Iterator<Item = (&Peer, &(TargetName, Fence))> {
+        let peer_engines = self.peers.iter().skip(1);
+        peer_engines.flat_map(|peer| peer.owns.iter().map(move |owned| (peer, owned)))
     }
 
     fn progress(&mut self, attempt: &Attempt, progress: Progress) -> Result<()> {
@@ -276,18 +277,18 @@
         let reply = match body {
             Call::Beat(beat) => {
                 let reply = Reply::Beat(self.beat(&beat));
-                count(&mut self.beats, size);
-                count(&mut self.replies, rmp_serde::to_vec(&reply)?.len() as u64);
+                record(&mut self.beats, size);
+                record(&mut self.replies, rmp_serde::to_vec(&reply)?.len() as u64);
                 reply
             }
-            Call::Residents(news) => {
-                let held = news.added.len() + news.removed.len() > 0;
+            Call::Residents(update) => {
+                let held = update.added.len() + update.removed.len() > 0;
                 let sent = if held {
-                    &mut self.news
+                    &mut self.residency_updates
                 } else {
-                    &mut self.loads
+                    &mut self.load_updates
                 };
-                count(sent, size);
+                record(sent, size);
                 Reply::Done
             }
             Call::Version => Reply::Version(self.text.0),
@@ -338,12 +339,12 @@
     }
 
     fn report(&self, target: &TargetName) -> Report {
-        let held = self.held.get(target).into_iter().flatten();
+        let held = self.resident.get(target).into_iter().flatten();
         Report::idle(Incarnation(1), held.cloned())
     }
 
     fn order(&mut self, target: TargetName, body: Order) {
-        let held = self.held.entry(target).or_default();
+        let held = self.resident.entry(target).or_default();
         let name = |resident: &Resident| resident.to_string();
         match body {
             Order::Load(resident, _) => held.push(name(&resident)),
@@ -352,20 +353,20 @@
     }
 }
 
-fn count(sent: &mut Sent, size: u64) {
+fn record(sent: &mut Traffic, size: u64) {
     sent.calls += 1;
     sent.bytes += size;
 }
 
 /// Returns all entry instances, the node first; the engines that it does not own are
 /// distributed round-robin over the others.
-fn peers(around: Around) -> Result<Vec<Peer>> {
+fn peers(surroundings: Surroundings) -> Result<Vec<Peer>> {
     let mut peers = Vec::new();
-    for i in 0..=around.peers {
+    for i in 0..=surroundings.peers {
         let engines = match i {
-            0 => (0..around.owned).collect::<Vec<_>>(),
-            _ => (around.owned..around.targets)
-                .filter(|e| e % around.peers == i - 1)
+            0 => (0..surroundings.owned).collect::<Vec<_>>(),
+            _ => (surroundings.owned..surroundings.targets)
+                .filter(|e| e % surroundings.peers == i - 1)
                 .collect(),
         };
         let owns = engines
--- a/xtask/src/demo.rs
+++ b/xtask/src/demo.rs
@@ -33,7 +33,7 @@
 
 /// Returns the command line.
 pub(crate) fn command() -> Command {
-    Command::new("demo").about("Runs the whole path in separate processes on loopback")
+    Command::new("demo").about("Runs requests end to end in separate processes on loopback")
 }
 
 /// Runs the demo.
@@ -75,11 +75,11 @@
         };
         let streamed = lab::until("an engine that answers", answered).await?;
         show(brand, "streaming", &streamed)?;
-        let whole = Chat {
+        let unstreamed = Chat {
             stream: false,
             ..chat.clone()
         };
-        show(brand, "whole", &caller.chat(&whole).await?)?;
+        show(brand, "whole", &caller.chat(&unstreamed).await?)?;
         let path = format!("/{brand}/listing/calls");
         let listed = caller.send(Method::GET, &path, Bytes::new(), &[]).await?;
         show(brand, "plain", &listed)?;
@@ -87,7 +87,7 @@
     let stopped = lab.stop().await?;
     ensure!(
         stopped,
-        "a daemon did not stop in order; see {}",
+        "a daemon did not shut down cleanly; see {}",
         lab.folder.display()
     );
     lab.clean()?;
--- a/xtask/src/events.rs
+++ b/xtask/src/events.rs
@@ -26,7 +26,7 @@
             clap::Arg::new("write")
                 .long("write")
                 .action(clap::ArgAction::SetTrue)
-                .help("Writes the page's tables anew"),
+                .help("Updates the pages instead of checking them"),
         )
 }
 
@@ -42,7 +42,8 @@
     let guide = Page::read(root, GUIDE)?;
     let marked = marked(&guide.text, &unused);
     if write {
-        let new = catalogue::update(&logs.text).context("the page lacks its marks")?;
+        let new = catalogue::update(&logs.text)
+            .context("docs/logs.md lacks the markers around its tables")?;
         fs::write(&logs.path, new)?;
         fs::write(&guide.path, marked)?;
         return Ok(());
--- a/xtask/src/load.rs
+++ b/xtask/src/load.rs
@@ -25,14 +25,14 @@
 };
 use web::client::Client;
 
-use self::{faults::Targets, mix::Mix, send::Site, tally::Tally};
+use self::{faults::FaultTargets, mix::Mix, send::Site, tally::Tally};
 use crate::{root, test::cargo};
 
 /// Longest wait for the next of the answers that are still missing at the end.
-const TAIL: Duration = Duration::from_secs(60);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Number of calls each way when direct and forwarded calls are compared.
-const COMPARED: usize = 1_000;
+const COMPARED_CALLS: usize = 1_000;
 
 /// Returns the command line.
 pub(crate) fn command() -> Command {
@@ -45,7 +45,7 @@
         Arg::new(name).long(name).default_value(default).help(help)
     };
     Command::new("load")
-        .about("Sends a seeded mix of requests and counts what came of them")
+        .about("Sends a seeded mix of requests and counts their outcomes")
         .arg(
             Arg::new("entry")
                 .long("entry")
@@ -63,33 +63,37 @@
         .arg(text(
             "listing",
             "listing/calls",
-            "A plain path that may be repeated",
+            "A plain path that may be retried",
         ))
         .arg(text(
             "submit",
             "submissions/apply",
-            "A plain path that may not",
+            "A plain path that may not be retried",
         ))
         .arg(number("seed", "1", "Seed of the mix"))
         .arg(number("rate", "50", "Requests a second"))
-        .arg(number("seconds", "10", "For how long"))
-        .arg(number("requests", "100000", "At most so many"))
+        .arg(number("seconds", "10", "Duration of the load in seconds"))
+        .arg(number("requests", "100000", "Maximum number of requests"))
         .arg(
             Arg::new("faults")
                 .long("faults")
                 .action(ArgAction::SetTrue)
                 .conflicts_with("entry")
-                .help("Brings about faults of engines and services in the run"),
+                .help("Injects faults of engines and services during the run"),
         )
-        .arg(number("at-once", "512", "At most so many at once"))
+        .arg(number(
+            "at-once",
+            "512",
+            "Maximum number of requests at once",
+        ))
 }
 
 /// Runs the load.
 ///
 /// # Errors
 ///
-/// Fails when the deployment doesn't start or doesn't stop cleanly, when an answer is
-/// missing, or when a caller was told something about a marked request that isn't true.
+/// Fails when the deployment doesn't start or doesn't shut down cleanly, when answers are
+/// missing, when a marked request ran twice, or when answers contradict what ran.
 pub(crate) fn run(args: &ArgMatches) -> Result<ExitCode> {
     let runtime = tokio::runtime::Runtime::new()?;
     let entries: Vec<SocketAddr> = args
@@ -137,16 +141,18 @@
         if !args.get_flag("faults") {
             return Ok(());
         }
-        Targets::of(&lab).run(Duration::from_secs(seconds)).await
+        FaultTargets::of(&lab)
+            .run(Duration::from_secs(seconds))
+            .await
     };
-    let (tally, faulty) = tokio::join!(send_all(site.clone(), args), faults);
-    faulty?;
+    let (tally, injected) = tokio::join!(send_all(site.clone(), args), faults);
+    injected?;
     let tally = tally?;
     tally.print();
     let ran = executions(&lab).await?;
     tally.check(&ran)?;
     compare(&site, &lab).await?;
-    ensure!(lab.stop().await?, "a daemon did not stop in order");
+    ensure!(lab.stop().await?, "a daemon did not shut down cleanly");
     lab.clean()
 }
 
@@ -157,34 +163,34 @@
     let mut mix = Mix::new(number("seed"), number("rate"));
     let start = Instant::now();
     let end = start + Duration::from_secs(number("seconds"));
-    let places = usize::try_from(number("at-once"))?;
-    let places = Arc::new(Semaphore::new(places));
+    let permits = usize::try_from(number("at-once"))?;
+    let permits = Arc::new(Semaphore::new(permits));
     let (site, mut tasks, mut tally) = (Arc::new(site), JoinSet::new(), Tally::default());
     let mut at = start;
     for _ in 0..number("requests") {
-        let (gap, ask) = mix.draw();
+        let (gap, request) = mix.draw();
         at += gap;
         if at >= end {
             break;
         }
         sleep_until(at).await;
-        let Ok(place) = Arc::clone(&places).try_acquire_owned() else {
+        let Ok(permit) = Arc::clone(&permits).try_acquire_owned() else {
             tally.skipped += 1;
             continue;
         };
         let site = Arc::clone(&site);
         tasks.spawn(async move {
-            let outcomes = site.send(&ask).await;
-            drop(place);
+            let outcomes = site.send(&request).await;
+            drop(permit);
             outcomes
         });
         while let Some(done) = tasks.try_join_next() {
             tally.add(done?);
         }
     }
-    while let Some(done) = timeout(TAIL, tasks.join_next())
+    while let Some(done) = timeout(ANSWER_TIMEOUT, tasks.join_next())
         .await
-        .context("answers are missing")?
+        .context("answers are still missing after the timeout")?
     {
         tally.add(done?);
     }
@@ -213,11 +219,11 @@
     let service = lab.services.first().context("no service")?;
     let entry = *site.entries.first().context("no entry instance")?;
     let (mut direct, mut through) = (tally::histogram(), tally::histogram());
-    for _ in 0..COMPARED {
+    for _ in 0..COMPARED_CALLS {
         direct.saturating_record(site.list(service.address).await?);
         through.saturating_record(site.list(entry).await?);
     }
-    println!("\n{COMPARED} listings each way, in turns, microseconds:");
+    println!("\n{COMPARED_CALLS} listings each way, in turns, microseconds:");
     println!("direct             {}", tally::quantiles(&direct));
     println!("through an entry   {}", tally::quantiles(&through));
     Ok(())
--- a/xtask/src/load/faults.rs
+++ b/xtask/src/load/faults.rs
@@ -47,15 +47,15 @@
 
 /// Addresses at which faults can be injected.
 #[derive(Clone, Debug)]
-pub(crate) struct Targets {
+pub(crate) struct FaultTargets {
     engines: Vec<SocketAddr>,
     services: Vec<SocketAddr>,
 }
 
-impl Targets {
+impl FaultTargets {
     pub(crate) fn of(lab: &Lab) -> Self {
         let addresses = |all: &[lab::Engine]| all.iter().map(|target| target.address).collect();
-        Targets {
+        FaultTargets {
             engines: addresses(&lab.engines),
             services: addresses(&lab.services),
         }
--- a/xtask/src/load/mix.rs
+++ b/xtask/src/load/mix.rs
@@ -10,7 +10,7 @@
 
 /// One request to send.
 #[derive(Clone, Debug)]
-pub(crate) struct Ask {
+pub(crate) struct LoadRequest {
     pub(crate) kind: Kind,
     /// Number of the entry instance that gets it, modulo the number of instances.
     pub(crate) entry: usize,
@@ -28,7 +28,7 @@
     /// A streamed completion.
     Stream,
     /// A completion without streaming.
-    Whole,
+    Single,
     /// A request to a plain service that may be retried.
     Listing,
     /// A marked request to a plain service, which must run at most once.
@@ -39,7 +39,7 @@
     pub(crate) fn as_str(self) -> &'static str {
         match self {
             Kind::Stream => "stream",
-            Kind::Whole => "whole",
+            Kind::Single => "whole",
             Kind::Listing => "listing",
             Kind::Marked => "marked",
         }
@@ -66,25 +66,25 @@
     }
 
     /// Draws the next request and the time until it.
-    pub(crate) fn draw(&mut self) -> (Duration, Ask) {
+    pub(crate) fn draw(&mut self) -> (Duration, LoadRequest) {
         // Callers are independent, so the gaps between requests are exponential.
         let gap = -(1.0 - self.rng.random::<f64>()).ln() / self.rate;
         let kind = match self.rng.random_range(0..100) {
             0..55 => Kind::Stream,
-            55..65 => Kind::Whole,
+            55..65 => Kind::Single,
             65..85 => Kind::Listing,
             _ => Kind::Marked,
         };
         let resent = kind == Kind::Marked && self.rng.random_ratio(1, 3);
         let resend = resent.then(|| Duration::from_millis(self.rng.random_range(0..50)));
         self.count += 1;
-        let ask = Ask {
+        let request = LoadRequest {
             kind,
             entry: self.rng.random_range(0..1_000),
             name: format!("load-{}-{}-{}", std::process::id(), self.seed, self.count),
             tokens: self.rng.random_range(TOKENS),
             resend,
         };
-        (Duration::from_secs_f64(gap), ask)
+        (Duration::from_secs_f64(gap), request)
     }
 }
--- a/xtask/src/load/send.rs
+++ b/xtask/src/load/send.rs
@@ -15,7 +15,7 @@
 };
 use wire::header;
 
-use super::mix::{Ask, Kind};
+use super::mix::{Kind, LoadRequest};
 
 /// Largest answer that is read, in bytes.
 const BODY_MAX: usize = 1 << 20;
@@ -46,7 +46,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum End {
     /// The answer is complete.
-    Whole,
+    Complete,
     /// The answer ends properly but has another number of tokens than requested.
     Short,
     /// The answer was cut off after a part of it.
@@ -59,14 +59,14 @@
 
 impl Site {
     /// Sends a request and, if it has a resend delay, its copy to the next entry instance.
-    pub(crate) async fn send(&self, ask: &Ask) -> Vec<Outcome> {
-        let first = self.once(ask, ask.entry);
-        let Some(wait) = ask.resend else {
+    pub(crate) async fn send(&self, request: &LoadRequest) -> Vec<Outcome> {
+        let first = self.send_once(request, request.entry);
+        let Some(wait) = request.resend else {
             return vec![first.await];
         };
         let second = async {
             sleep(wait).await;
-            self.once(ask, ask.entry + 1).await
+            self.send_once(request, request.entry + 1).await
         };
         let (first, second) = tokio::join!(first, second);
         vec![first, second]
@@ -86,43 +86,43 @@
         Ok(u64::try_from(start.elapsed().as_micros())?)
     }
 
-    async fn once(&self, ask: &Ask, entry: usize) -> Outcome {
+    async fn send_once(&self, request: &LoadRequest, entry: usize) -> Outcome {
         let addr = self.entries[entry % self.entries.len()];
         let start = Instant::now();
-        let (end, first) = match self.client.send(self.request(ask, addr)).await {
-            Ok(answer) => self.read(answer, ask, start).await,
+        let (end, first) = match self.client.send(self.request(request, addr)).await {
+            Ok(answer) => self.classify(answer, request, start).await,
             Err(broken) => {
                 let why = broken.reason().to_string();
                 (End::Failed(broken.verdict, why), None)
             }
         };
         Outcome {
-            kind: ask.kind,
-            key: (ask.kind == Kind::Marked).then(|| ask.name.clone()),
+            kind: request.kind,
+            key: (request.kind == Kind::Marked).then(|| request.name.clone()),
             end,
             first,
         }
     }
 
-    fn request(&self, ask: &Ask, addr: SocketAddr) -> Send {
-        match ask.kind {
-            Kind::Stream => self.chat(ask, addr, true),
-            Kind::Whole => self.chat(ask, addr, false),
+    fn request(&self, request: &LoadRequest, addr: SocketAddr) -> Send {
+        match request.kind {
+            Kind::Stream => self.chat(request, addr, true),
+            Kind::Single => self.chat(request, addr, false),
             Kind::Listing => self.plain(addr, Method::GET, &self.listing),
             Kind::Marked => {
                 let mut send = self.plain(addr, Method::POST, &self.submit);
-                send.body = Bytes::from(json!({"seat": ask.name}).to_string());
-                let key = header_value(&ask.name);
+                send.body = Bytes::from(json!({"seat": request.name}).to_string());
+                let key = header_value(&request.name);
                 send.headers.insert(header::IDEMPOTENCY_KEY, key);
                 send
             }
         }
     }
 
-    fn chat(&self, ask: &Ask, addr: SocketAddr, stream: bool) -> Send {
+    fn chat(&self, request: &LoadRequest, addr: SocketAddr, stream: bool) -> Send {
         let mut send = self.plain(addr, Method::POST, "/v1/chat/completions");
-        let body = json!({"model": self.assistant, "stream": stream, "max_tokens": ask.tokens,
-            "messages": [{"role": "user", "content": ask.name}]});
+        let body = json!({"model": self.assistant, "stream": stream, "max_tokens": request.tokens,
+            "messages": [{"role": "user", "content": request.name}]});
         send.body = Bytes::from(body.to_string());
         send
     }
@@ -144,7 +144,12 @@
         send
     }
 
-    async fn read(&self, mut answer: Answer, ask: &Ask, start: Instant) -> (End, Option<Duration>) {
+    async fn classify(
+        &self,
+        mut answer: Answer,
+        request: &LoadRequest,
+        start: Instant,
+    ) -> (End, Option<Duration>) {
         if !answer.status.is_success() {
             let verdict = answer
                 .header(header::VERDICT)
@@ -153,9 +158,9 @@
             let verdict = verdict.unwrap_or(Verdict::MayHaveRun);
             return (End::Failed(verdict, reason.to_owned()), None);
         }
-        if ask.kind != Kind::Stream {
+        if request.kind != Kind::Stream {
             return match answer.whole(BODY_MAX).await {
-                Ok(_) => (End::Whole, Some(start.elapsed())),
+                Ok(_) => (End::Complete, Some(start.elapsed())),
                 Err(_) => (End::Cut, None),
             };
         }
@@ -173,8 +178,8 @@
                 first.get_or_insert(start.elapsed());
             }
         }
-        let end = if parser.tokens() == ask.tokens {
-            End::Whole
+        let end = if parser.tokens() == request.tokens {
+            End::Complete
         } else {
             End::Short
         };
--- a/xtask/src/load/tally.rs
+++ b/xtask/src/load/tally.rs
@@ -15,7 +15,7 @@
 };
 
 /// Largest time in microseconds that the histograms distinguish.
-const LONGEST: u64 = 120_000_000;
+const MAX_MICROS: u64 = 120_000_000;
 
 /// Outcomes of all requests.
 #[derive(Debug, Default)]
@@ -25,7 +25,7 @@
     /// Idempotency keys with at least one complete answer.
     answered: BTreeSet<String>,
     /// Whether every answer for an idempotency key had the verdict `not run`.
-    denied: BTreeMap<String, bool>,
+    not_run: BTreeMap<String, bool>,
     /// Requests not sent because too many were in progress.
     pub(crate) skipped: u64,
     pub(crate) took: Duration,
@@ -33,7 +33,7 @@
 
 /// Returns a histogram of microseconds with three significant digits.
 pub(crate) fn histogram() -> Histogram<u64> {
-    let histogram = Histogram::new_with_max(LONGEST, 3);
+    let histogram = Histogram::new_with_max(MAX_MICROS, 3);
     histogram.expect("the bounds are constants in range")
 }
 
@@ -61,13 +61,13 @@
         *ends.entry(outcome.end.clone()).or_default() += 1;
         if let Some(key) = outcome.key {
             let not_run = matches!(&outcome.end, End::Failed(Verdict::NotRun, _));
-            *self.denied.entry(key.clone()).or_insert(true) &= not_run;
-            if outcome.end == End::Whole {
+            *self.not_run.entry(key.clone()).or_insert(true) &= not_run;
+            if outcome.end == End::Complete {
                 self.answered.insert(key);
             }
         }
         if let Some(first) = outcome.first {
-            let micros = u64::try_from(first.as_micros()).unwrap_or(LONGEST);
+            let micros = u64::try_from(first.as_micros()).unwrap_or(MAX_MICROS);
             let histogram = self.first.entry(outcome.kind).or_insert_with(histogram);
             histogram.saturating_record(micros);
         }
@@ -96,20 +96,20 @@
         let twice = ran.values().filter(|n| **n > 1).count();
         let lost = self.answered.iter().filter(|key| !ran.contains_key(*key));
         let lost = lost.count();
-        let denied = self
-            .denied
+        let not_run = self
+            .not_run
             .iter()
             .filter(|(key, not)| **not && ran.contains_key(*key));
-        let denied = denied.count();
+        let not_run = not_run.count();
         println!(
             "\nmarked: {} keys sent, {} ran, {twice} ran twice, {lost} answered and never ran, \
-             {denied} `not run` and ran",
-            self.denied.len(),
+             {not_run} `not run` and ran",
+            self.not_run.len(),
             ran.len(),
         );
         ensure!(
-            twice + lost + denied == 0,
-            "a caller was told what isn't so"
+            twice + lost + not_run == 0,
+            "answers to callers contradict what the services ran"
         );
         Ok(())
     }
@@ -117,7 +117,7 @@
 
 fn name(end: &End) -> String {
     match end {
-        End::Whole => String::from("whole"),
+        End::Complete => String::from("whole"),
         End::Short => String::from("short"),
         End::Cut => String::from("cut"),
         End::Broken(verdict, reason) => format!("broken: {verdict}, {reason}"),
--- a/xtask/src/main.rs
+++ b/xtask/src/main.rs
@@ -17,45 +17,45 @@
 use clap::{ArgMatches, Command};
 
 /// One task: its command line, and the function that runs it.
-struct Chore {
+struct Task {
     command: fn() -> Command,
     run: fn(&ArgMatches) -> Result<ExitCode>,
 }
 
-const CHORES: &[Chore] = &[
-    Chore {
+const TASKS: &[Task] = &[
+    Task {
         command: test::command,
         run: test::run,
     },
-    Chore {
+    Task {
         command: demo::command,
         run: demo::run,
     },
-    Chore {
+    Task {
         command: measure::command,
         run: measure::run,
     },
-    Chore {
+    Task {
         command: capacity::command,
         run: |args| done(capacity::run(args)),
     },
-    Chore {
+    Task {
         command: load::command,
         run: load::run,
     },
-    Chore {
+    Task {
         command: events::command,
         run: |args| done(events::run(root(), args.get_flag("write"))),
     },
-    Chore {
+    Task {
         command: samples::command,
         run: |args| done(samples::run(root(), args)),
     },
-    Chore {
+    Task {
         command: soak::command,
         run: |args| done(soak::run(args)),
     },
-    Chore {
+    Task {
         command: soak_control::command,
         run: |args| done(soak_control::run(args)),
     },
@@ -73,19 +73,19 @@
 
 fn run() -> Result<ExitCode> {
     let mut cli = Command::new("xtask")
-        .about("Chores of the repository")
+        .about("Development tasks of the repository")
         .subcommand_required(true);
-    for chore in CHORES {
-        cli = cli.subcommand((chore.command)());
+    for task in TASKS {
+        cli = cli.subcommand((task.command)());
     }
     let matches = cli.get_matches();
     let Some((name, args)) = matches.subcommand() else {
-        bail!("no chore named");
+        bail!("no task given");
     };
-    let chore = CHORES.iter().find(|c| (c.command)().get_name() == name);
-    match chore {
-        Some(chore) => (chore.run)(args),
-        None => bail!("no such chore"),
+    let task = TASKS.iter().find(|c| (c.command)().get_name() == name);
+    match task {
+        Some(task) => (task.run)(args),
+        None => bail!("no such task"),
     }
 }
 
--- a/xtask/src/measure.rs
+++ b/xtask/src/measure.rs
@@ -23,13 +23,13 @@
         .arg(
             Arg::new("only")
                 .long("only")
-                .help("Only workloads whose name holds this"),
+                .help("Only workloads whose name contains this"),
         )
         .arg(
             Arg::new("worlds")
                 .long("worlds")
                 .action(ArgAction::SetTrue)
-                .help("The worlds that no deployment has, one row each"),
+                .help("Measures the synthetic worlds, one row each"),
         )
 }
 
--- a/xtask/src/samples.rs
+++ b/xtask/src/samples.rs
@@ -73,7 +73,7 @@
     let source = agency(adapters);
     let before = resident_kib()?;
     let model = Model::try_from(source.as_str())?;
-    let held = resident_kib()?.saturating_sub(before);
+    let model_kib = resident_kib()?.saturating_sub(before);
     let mut took = Vec::new();
     for _ in 0..RUNS {
         let start = Instant::now();
@@ -85,7 +85,7 @@
     let (least, median, most) = (took[0], took[RUNS / 2], took[RUNS - 1]);
     let kib = source.len() / 1024;
     println!("{adapters} adapters, {kib} KiB: median {median:?} of {RUNS} ({least:?} to {most:?})");
-    println!("the first check left {held} KiB more resident, the parser's tables freed");
+    println!("the first check left {model_kib} KiB more resident, the parser's tables freed");
     Ok(())
 }
 
--- a/xtask/src/soak.rs
+++ b/xtask/src/soak.rs
@@ -58,14 +58,14 @@
     let found = Mutex::new((Tally::default(), None::<Broken>));
     thread::scope(|scope| {
         for _ in 0..THREADS {
-            scope.spawn(|| work(&next, end, &found));
+            scope.spawn(|| run_seeds(&next, end, &found));
         }
     });
     found.into_inner().expect("no worker panics")
 }
 
 /// Runs seeds until none is left or one has failed.
-fn work(next: &AtomicU64, end: u64, found: &Mutex<(Tally, Option<Broken>)>) {
+fn run_seeds(next: &AtomicU64, end: u64, found: &Mutex<(Tally, Option<Broken>)>) {
     loop {
         let seed = next.fetch_add(1, Ordering::Relaxed);
         if seed >= end {
--- a/xtask/src/test.rs
+++ b/xtask/src/test.rs
@@ -23,10 +23,10 @@
 
 /// Result of a run of the tests, by test name.
 #[derive(Debug, Default)]
-struct Ran {
+struct TestRun {
     passed: BTreeSet<String>,
     failed: BTreeSet<String>,
-    well: bool,
+    success: bool,
 }
 
 /// Runs the task. It builds every binary first, because process-level tests start them.
@@ -38,8 +38,8 @@
 pub(crate) fn run(_: &ArgMatches) -> Result<ExitCode> {
     cargo(&["build", "--workspace", "--bins", "--locked"])?;
     let ran = test_all()?;
-    judge(&ran)?;
-    // `judge` has passed, so every failed test is listed as known and was printed as such.
+    check_failures(&ran)?;
+    // `check_failures` has passed, so every failed test is listed as known and was printed as such.
     let ran: BTreeSet<String> = ran.passed.union(&ran.failed).cloned().collect();
     proofs::check(root(), &ran)?;
     cargo(&[
@@ -53,26 +53,26 @@
     Ok(ExitCode::SUCCESS)
 }
 
-fn test_all() -> Result<Ran> {
+fn test_all() -> Result<TestRun> {
     let mut child = process::Command::new("cargo")
         .args(["test", "--workspace", "--locked", "--no-fail-fast"])
         .stdout(Stdio::piped())
         .spawn()
         .context("can't start cargo")?;
     let out = child.stdout.take().context("no output")?;
-    let mut ran = Ran::default();
+    let mut ran = TestRun::default();
     for line in BufReader::new(out).lines() {
         let line = line?;
         println!("{line}");
-        ran.note(&line);
+        ran.record(&line);
     }
-    ran.well = child.wait()?.success();
+    ran.success = child.wait()?.success();
     Ok(ran)
 }
 
-impl Ran {
+impl TestRun {
     /// Records one line of output such as `test faults::a_stream ... ok`.
-    fn note(&mut self, line: &str) {
+    fn record(&mut self, line: &str) {
         let Some((name, end)) = line
             .strip_prefix("test ")
             .and_then(|rest| rest.rsplit_once(" ... "))
@@ -89,20 +89,24 @@
 }
 
 /// Accepts a run with failures only if each failed test is listed as known.
-fn judge(ran: &Ran) -> Result<()> {
-    let known = fs::read_to_string(root().join(KNOWN_RED)).unwrap_or_default();
-    let red: Vec<&str> = known.lines().filter(|l| !l.trim().is_empty()).collect();
-    for line in &red {
+fn check_failures(ran: &TestRun) -> Result<()> {
+    let list = fs::read_to_string(root().join(KNOWN_RED)).unwrap_or_default();
+    let known_failures: Vec<&str> = list.lines().filter(|l| !l.trim().is_empty()).collect();
+    for line in &known_failures {
         println!("known red: {line}");
     }
     let unknown = ran.failed.iter();
     let unknown: Vec<&String> = unknown
-        .filter(|name| !red.iter().any(|line| line.contains(name.as_str())))
+        .filter(|name| {
+            !known_failures
+                .iter()
+                .any(|line| line.contains(name.as_str()))
+        })
         .collect();
     if !unknown.is_empty() {
         bail!("failed: {unknown:?}");
     }
-    if !ran.well && ran.failed.is_empty() {
+    if !ran.success && ran.failed.is_empty() {
         bail!("cargo test failed without naming a test");
     }
     Ok(())
