--- a/xtask/src/samples.rs
+++ b/xtask/src/samples.rs
@@ -120,7 +120,7 @@
         .collect();
     writeln!(
         text,
-        "\n# {title}. The key behind the hash is `{key}`: change it."
+        "\n# {title}. The hash is that of the sample key `{key}`; replace it."
     )?;
     writeln!(text, "[brands.{name}]\nweight = 1\nkeys = [\"{hash}\"]")?;
     writeln!(text, "base = \"{}\"", sample.base)?;
@@ -147,14 +147,14 @@
 # and folk ensembles. Written by `cargo xtask samples`.
 #
 # Instances, targets and their zones (dubrava, jankomir, zitnjak, blato) are not
-# named here: they come from the platform's list, 12 drafting and 4 portal
-# replicas of today.
+# named here: they come from the platform's list, currently 12 drafting and 4
+# portal replicas.
 
 [limits]
 max-body-bytes = 1048576
 critical-deadline-ms = 10000
 live-deadline-ms = 30000
-# Screening may queue, but it ends before the morning's auditions.
+# Screening may queue, but has to end before the auditions in the morning.
 batch-deadline-ms = 28800000
 attempts = 3
 
@@ -163,9 +163,9 @@
 at-once = 2
 "#,
     base: "gemma-hr",
-    engines: r#"# Answers callers who wait, and screens submissions overnight. `fencing = true`
-# is for engines that refuse orders under an old fencing number; where that is
-# not certain, `false` is the safe side.
+    engines: r#"# Answers waiting callers, and screens submissions overnight. `fencing = true` is
+# for engines that refuse orders with an outdated fencing number; if that is not
+# certain, `false` is the safe choice.
 [pools.drafting]
 kind = "engine"
 base = "gemma-hr"
@@ -229,7 +229,7 @@
 class = "critical"
 mark = "repeatable"
 
-# Applications: one that runs twice makes the applicant look careless.
+# Applications must not run twice: a duplicate makes the applicant look careless.
 [brands.BRAND.services.submissions]
 kind = "plain"
 pool = "portal"
@@ -237,7 +237,7 @@
 mark = "once"
 needs = ["receipts"]
 
-# Casting offices post calls.
+# Casting offices post casting calls.
 [brands.BRAND.services.posting]
 kind = "plain"
 pool = "portal"
@@ -253,8 +253,8 @@
 # matching platform. Written by `cargo xtask samples`.
 #
 # Instances, targets and their zones (kurasini-hall, mikocheni-hall,
-# ubungo-hall) are not named here: they come from the platform's list, 18
-# assistant and 3 matching-service replicas of today.
+# ubungo-hall) are not named here: they come from the platform's list, currently
+# 18 assistant and 3 matching-service replicas.
 #
 # The partners' weights are equal, so that none is favoured under load.
 
@@ -271,8 +271,8 @@
 at-once = 2
 "#,
     base: "llama-sw",
-    engines: r#"# Drafts letters for students who watch, and scores CVs overnight. `fencing =
-# false` is for engines that ignore fencing numbers, or may do so.
+    engines: r#"# Drafts letters for waiting students, and scores CVs overnight. `fencing = false`
+# is for engines that ignore fencing numbers, or may do so.
 [pools.assistant]
 kind = "engine"
 base = "llama-sw"
@@ -308,7 +308,7 @@
 class = "live"
 needs = ["listing"]
 
-# Drafts cover letters while students watch.
+# Drafts cover letters while students wait.
 [brands.BRAND.services.letters]
 kind = "assistant"
 adapter = "BRAND-live"
@@ -336,7 +336,7 @@
 class = "critical"
 mark = "repeatable"
 
-# A doubled application feeds suspicion between the partners.
+# Must not run twice: duplicate applications cause distrust between the partners.
 [brands.BRAND.services.applications]
 kind = "plain"
 pool = "matching"
@@ -344,7 +344,7 @@
 mark = "once"
 needs = ["receipts"]
 
-# A lost or doubled acceptance gives the seat away.
+# A lost or duplicate acceptance would give the seat to somebody else.
 [brands.BRAND.services.acceptances]
 kind = "plain"
 pool = "matching"
