--- a/crates/measure/src/baseline.rs
+++ b/crates/measure/src/baseline.rs
@@ -67,7 +67,7 @@
     pub(crate) fn on(&mut self, now: Time, event: Event, out: &mut Vec<Action>) {
         match event {
             Event::Arrive(id, arrival) => self.arrive(now, id, arrival, out),
-            Event::Left(id) | Event::Ended(id, _) => self.ended(now, id, out),
+            Event::Disconnected(id) | Event::Ended(id, _) => self.ended(now, id, out),
             Event::Loaded(target, key, ok) => self.loaded(now, target, key, ok, out),
             Event::Down(target) => {
                 let state = &mut self.targets[target.0 as usize];
@@ -78,7 +78,7 @@
             Event::Up(target) => self.targets[target.0 as usize].up = true,
             Event::Cut(zone) => self.cut = Some(zone),
             Event::Healed => self.cut = None,
-            Event::Began(_) | Event::Paused(_) | Event::Unloaded(..) | Event::Timer => {}
+            Event::FirstToken(_) | Event::Preempted(_) | Event::Unloaded(..) | Event::Timer => {}
         }
     }
 
--- a/crates/measure/src/ours.rs
+++ b/crates/measure/src/ours.rs
@@ -160,10 +160,10 @@
     pub(crate) fn on(&mut self, now: Time, event: Event, out: &mut Vec<Action>) {
         match event {
             Event::Arrive(id, arrival) => self.arrive(now, id, arrival, out),
-            Event::Left(id) => self.left(now, id, out),
-            Event::Began(id) => self.began(now, id, out),
+            Event::Disconnected(id) => self.disconnected(now, id, out),
+            Event::FirstToken(id) => self.first_token(now, id, out),
             Event::Ended(id, ok) => self.ended(now, id, ok, out),
-            Event::Paused(id) => self.finish(now, id, true, out),
+            Event::Preempted(id) => self.finish(now, id, true, out),
             Event::Loaded(target, key, ok) => {
                 let end = if ok { LoadEnd::Done } else { LoadEnd::Failed };
                 let input = Input::Loaded { target, key, end };
@@ -236,7 +236,7 @@
         self.send_to_owner(now, entry, target, input, out);
     }
 
-    fn left(&mut self, now: Time, id: usize, out: &mut Vec<Action>) {
+    fn disconnected(&mut self, now: Time, id: usize, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id) else {
             return;
         };
@@ -247,7 +247,7 @@
         self.ended(now, id, true, out);
     }
 
-    fn began(&mut self, now: Time, id: usize, out: &mut Vec<Action>) {
+    fn first_token(&mut self, now: Time, id: usize, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id) else {
             return;
         };
--- a/crates/measure/src/policy.rs
+++ b/crates/measure/src/policy.rs
@@ -67,13 +67,13 @@
     /// A request arrives, or is retried because its engine went down.
     Arrive(usize, Arrival),
     /// The caller disconnected before the first token.
-    Left(usize),
+    Disconnected(usize),
     /// The first token was generated.
-    Began(usize),
+    FirstToken(usize),
     /// A sent request ended; the flag tells whether it was answered.
     Ended(usize, bool),
     /// A preempted request was removed from its engine.
-    Paused(usize),
+    Preempted(usize),
     /// A load ended; the flag tells whether it succeeded.
     Loaded(TargetNo, AdapterKey, bool),
     Unloaded(TargetNo, AdapterKey),
--- a/crates/measure/src/world.rs
+++ b/crates/measure/src/world.rs
@@ -281,7 +281,7 @@
             self.requests[id].left -= 1;
             if self.requests[id].outcome.first.is_none() {
                 self.requests[id].outcome.first = Some(self.now);
-                self.notify(Event::Began(id));
+                self.notify(Event::FirstToken(id));
             }
         }
         for id in step.ended {
@@ -298,7 +298,7 @@
         };
         self.engines[target.0 as usize].cancel(id);
         self.place(id, target);
-        self.notify(Event::Paused(id));
+        self.notify(Event::Preempted(id));
     }
 
     fn caller_timeout(&mut self, id: usize) {
@@ -311,7 +311,7 @@
         }
         self.unplace(id);
         self.requests[id].state = State::Ended;
-        self.notify(Event::Left(id));
+        self.notify(Event::Disconnected(id));
     }
 
     fn loaded(&mut self, target: TargetNo, key: AdapterKey) {
@@ -371,7 +371,7 @@
         self.requests[id].state = State::Ended;
         self.requests[id].outcome.first = Some(self.now);
         self.requests[id].outcome.done = Some(self.now);
-        self.notify(Event::Began(id));
+        self.notify(Event::FirstToken(id));
         self.notify(Event::Ended(id, true));
     }
 
--- a/crates/measure/tests/bound.rs
+++ b/crates/measure/tests/bound.rs
@@ -17,7 +17,7 @@
 base::cases! {
     /// Guards against a relaxation that excludes something a policy can do: the bound would
     /// then be below the worth that a policy serves.
-    nobody_exceeds_the_bound: check_holds => {
+    no_policy_exceeds_the_bound: check_holds => {
         deployments_1: (1, workload::names, deployment),
         deployments_2: (2, workload::names, deployment),
         deployments_3: (3, workload::names, deployment),
@@ -57,30 +57,30 @@
     /// In worlds with a single scarce capacity the optimum can be computed by hand. Guards
     /// against a bound that is too high, such as one that is always the worth of all
     /// requests.
-    bound_by_hand: check_small => {
+    bound_is_near_the_optimum: check_near => {
         // A hundred requests, one per second, and no capacity is scarce.
         all: (|w| w.sizes.slots = 2, 100.0),
         // One load in four seconds, and one adapter resident from the start.
         store: (|w| w.sizes.load_rate = 0.25, 26.0),
         // Steps of 10.749 ms, each with one request: the only slot is never shared.
-        slots: (|w| each(w, 2, |_, _| {}), 100_000.0 / 1074.9),
+        slots: (|w| set_requests(w, 2, |_, _| {}), 100_000.0 / 1074.9),
         // Steps of 10.999 ms for two requests that share the only adapter.
-        places: (|w| each(w, 4, one_adapter), 100_000.0 / 549.95),
+        places: (|w| set_requests(w, 4, one_adapter), 100_000.0 / 549.95),
         // The same, with half of the requests worth twice as much.
-        worth: (|w| each(w, 4, urgent), 2.0 * 100_000.0 / 549.95),
+        worth: (|w| set_requests(w, 4, half_critical), 2.0 * 100_000.0 / 549.95),
         // The same, but the engine is up for only half of the time.
         down: (|w| {
-            each(w, 4, one_adapter);
+            set_requests(w, 4, one_adapter);
             w.faults = vec![(secs(60.0), Fault::Down(0))];
         }, 50_000.0 / 549.95),
         // No loads at all, but an adapter resident from the start may stay.
         kept: (|w| {
-            each(w, 1, one_adapter);
+            set_requests(w, 1, one_adapter);
             w.sizes.load_rate = 1e-6;
         }, 100.0),
         // Every other request is for an adapter for which there is no slot.
         displaced: (|w| {
-            each(w, 1, |i, a| a.key = key(i % 2));
+            set_requests(w, 1, |i, a| a.key = key(i % 2));
             w.sizes.load_rate = 1e-6;
         }, 50.0),
         // Requests for adapters that can't be loaded don't count.
@@ -88,7 +88,7 @@
     }
 }
 
-fn check_small((change, requests): Small) {
+fn check_near((change, requests): Small) {
     // The search ends close to the minimum and never goes below it.
     check_between((change, requests * 0.9999, requests * 1.01));
 }
@@ -99,11 +99,11 @@
 
 base::cases! {
     /// Guards against a bound below what a plan without rule violations serves.
-    bound_by_plan: check_between => {
+    bound_is_above_a_feasible_plan: check_between => {
         // Every load serves the five requests that arrived in the four seconds before; there
         // are five loads, and one adapter resident from the start.
         patience: (|w| {
-            each(w, 1, |i, a| a.key = key(i / 5));
+            set_requests(w, 1, |i, a| a.key = key(i / 5));
             w.sizes.load_rate = 0.05;
         }, 30.0, 30.5),
         // One of two adapters stays resident. Its load takes 20 s of the slot, and it stays
@@ -111,7 +111,7 @@
         // there are 120 s of slot time, so fractions of such plans can be mixed: the bound
         // is above the 50 requests of the best plan.
         stays: (|w| {
-            each(w, 1, |i, a| a.key = key(i % 2));
+            set_requests(w, 1, |i, a| a.key = key(i % 2));
             w.sizes.load_rate = 0.05;
         }, 50.0, 60.0),
     }
@@ -150,13 +150,13 @@
         unloadable: Vec::new(),
         failure_rate: 0.0,
     };
-    each(&mut work, 1, |_, _| {});
+    set_requests(&mut work, 1, |_, _| {});
     work
 }
 
 /// Replaces the requests by `100 * times` requests, spread evenly over the time in which
 /// answers are still due before the end, and applies `change` to each with its index.
-fn each(work: &mut Workload, times: u32, change: fn(u32, &mut Arrival)) {
+fn set_requests(work: &mut Workload, times: u32, change: fn(u32, &mut Arrival)) {
     let one = |i: u32| {
         let at = secs(10.0 + 0.89 * f64::from(i) / f64::from(times));
         let mut arrival = Arrival {
@@ -180,7 +180,7 @@
     arrival.key = key(0);
 }
 
-fn urgent(i: u32, arrival: &mut Arrival) {
+fn half_critical(i: u32, arrival: &mut Arrival) {
     arrival.key = key(0);
     if i.is_multiple_of(2) {
         arrival.class = Class::Critical;
--- a/crates/measure/tests/measure.rs
+++ b/crates/measure/tests/measure.rs
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn a_seed_gives_the_same_figures_every_time() {
+fn a_seed_always_gives_the_same_figures() {
     for policy in [
         Policy::Ours,
         Policy::Baseline(Placement::Holder, Evict::LeastRecent),
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn every_rule_is_kept_in_the_workload_with_all_faults() {
+fn no_policy_breaks_a_rule_when_loads_fail() {
     let i = workload::names()
         .iter()
         .position(|n| n == "agency failing")
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn fairness_is_the_least_part_of_what_a_brand_was_due() {
+fn fairness_is_the_lowest_ratio_of_tokens_to_fair_share() {
     let mut figures = Figures::default();
     let answered = |yes| Outcome {
         first: Some(Time::ZERO).filter(|_| yes),
--- a/xtask/src/capacity/entry.rs
+++ b/xtask/src/capacity/entry.rs
@@ -193,7 +193,7 @@
 /// it in; returns the real milliseconds that this took.
 fn receive_text(world: &mut World) -> Result<f64> {
     let began = Instant::now();
-    world.pass(Duration::from_secs(2))?;
+    world.advance(Duration::from_secs(2))?;
     let took = began.elapsed().as_secs_f64() * 1e3;
     ensure!(
         world.node.version() == world.text.0,
@@ -209,7 +209,7 @@
     world.replies = Default::default();
     world.polls = Default::default();
     let began = Instant::now();
-    world.pass(Duration::from_secs(SECONDS))?;
+    world.advance(Duration::from_secs(SECONDS))?;
     let spent = began.elapsed().as_secs_f64() * 1e6 / SECONDS as f64;
     Ok(vec![
         resident_mib()?,
@@ -248,7 +248,7 @@
     while !world.answer(TOKENS)? {
         tries += 1;
         ensure!(tries < 100, "a request was not sent within 100 tries");
-        world.pass(Duration::from_millis(100))?;
+        world.advance(Duration::from_millis(100))?;
     }
     Ok(())
 }
@@ -278,11 +278,11 @@
         let next = at - (1.0 - random.random::<f64>()).ln() / RATE;
         while ends.front().is_some_and(|end| *end <= next) {
             let end = ends.pop_front().unwrap_or(next);
-            world.pass(Duration::from_secs_f64((end - at).max(0.0)))?;
+            world.advance(Duration::from_secs_f64((end - at).max(0.0)))?;
             at = at.max(end);
             world.answer(1)?;
         }
-        world.pass(Duration::from_secs_f64(next - at))?;
+        world.advance(Duration::from_secs_f64(next - at))?;
         at = next;
         arrived += 1;
         let adapter = match arrived % 100 {
@@ -339,7 +339,7 @@
             spent += began.elapsed();
             count += 1;
         }
-        world.pass(Duration::from_secs(1))?;
+        world.advance(Duration::from_secs(1))?;
     }
     Ok(vec![spent.as_secs_f64() * 1e6 / f64::from(count), size])
 }
--- a/xtask/src/capacity/world.rs
+++ b/xtask/src/capacity/world.rs
@@ -97,7 +97,7 @@
     pub(super) fn serving(surroundings: Surroundings) -> Result<World> {
         let mut world = World::new(surroundings)?;
         world.input(Input::List(Some(list(surroundings.targets)?)))?;
-        world.pass(Duration::from_secs(30))?;
+        world.advance(Duration::from_secs(30))?;
         anyhow::ensure!(world.node.version() == world.text.0, "no text in force");
         Ok(world)
     }
@@ -145,7 +145,7 @@
     }
 
     /// Lets virtual time pass, with all wake-ups that the node has asked for.
-    pub(super) fn pass(&mut self, d: Duration) -> Result<()> {
+    pub(super) fn advance(&mut self, d: Duration) -> Result<()> {
         let end = self.now + d;
         while self.wake <= end {
             self.now = self.now.max(self.wake);
--- a/xtask/src/measure.rs
+++ b/xtask/src/measure.rs
@@ -108,7 +108,7 @@
         for (policy, row) in Policy::ALL.iter().zip(&rows) {
             println!("{}", row.row(name, policy.name()));
         }
-        lines.push((name, verdict(&rows)));
+        lines.push((name, compare_ours(&rows)));
         gaps.push((name, gap));
         for (sum, row) in total.iter_mut().zip(rows) {
             sum.merge(row);
@@ -138,7 +138,7 @@
         "met alone: {met} of {}; geometric mean of stalls x{mean:.2}",
         each.len()
     );
-    let all = verdict(total);
+    let all = compare_ours(total);
     println!(
         "all, seeds {} to {}, ours against the best baseline: {all}",
         plan.from,
@@ -174,6 +174,6 @@
     })
 }
 
-fn verdict(rows: &[Figures]) -> Comparison {
+fn compare_ours(rows: &[Figures]) -> Comparison {
     compare(&rows[0], &rows[1..])
 }
