--- a/crates/measure/src/workload.rs
+++ b/crates/measure/src/workload.rs
@@ -1,4 +1,4 @@
-//! The workloads of both deployments, as the brief sizes them.
+//! The workloads of both deployments, with the sizes given by their requirements.
 
 use std::time::Duration;
 
@@ -6,91 +6,91 @@
 use rand::{RngExt as _, SeedableRng as _, seq::SliceRandom as _};
 use rand_chacha::ChaCha8Rng;
 
-/// How long a run takes.
+/// Length of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Span {
-    /// The first part, in which all caches are still cold; it is not counted.
-    pub warm: Duration,
-    /// The counted part.
+    /// Warm-up with initially cold caches; it is not counted.
+    pub warm_up: Duration,
+    /// The counted period, which follows the warm-up.
     pub counted: Duration,
 }
 
 impl Span {
-    /// That of the report.
+    /// Span of a full measurement.
     pub const FULL: Span = Span {
-        warm: Duration::from_secs(60),
+        warm_up: Duration::from_secs(60),
         counted: Duration::from_secs(240),
     };
 
-    /// That of tests over all worlds.
+    /// Short span, for tests that run all worlds.
     pub const SHORT: Span = Span {
-        warm: Duration::from_secs(10),
+        warm_up: Duration::from_secs(10),
         counted: Duration::from_secs(20),
     };
 
-    /// Returns when the count begins.
+    /// Returns the start of the counted period.
     #[must_use]
     pub fn start(&self) -> Time {
-        Time::ZERO + self.warm
+        Time::ZERO + self.warm_up
     }
 
-    /// Returns when the run ends.
+    /// Returns the end of the run, which is also the end of the counted period.
     #[must_use]
     pub fn end(&self) -> Time {
-        Time::ZERO + self.warm + self.counted
+        Time::ZERO + self.warm_up + self.counted
     }
 
-    /// Returns where a second of a full run stands in this one.
+    /// Scales a time in seconds of a full run to this run.
     fn at(&self, secs: u64) -> Time {
         let full = Span::FULL.end().0 / 1_000_000;
         Time(self.end().0 * secs / full)
     }
 }
 
-/// How long somebody who watches waits for the first token before leaving.
-const LIVE_PATIENCE: Duration = Duration::from_secs(5);
+/// How long an interactive caller waits for the first token before disconnecting.
+const LIVE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// How long somebody takes to read a token.
-const READING: Duration = Duration::from_millis(50);
+/// Time that a reader takes per token.
+const READ_TIME: Duration = Duration::from_millis(50);
 
-/// How long a listing page or receipt may take.
-const CRITICAL_PATIENCE: Duration = Duration::from_secs(5);
+/// Time limit of a listing page or receipt.
+const CRITICAL_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// One request of a workload.
 #[derive(Clone, Copy, Debug)]
 pub struct Arrival {
-    /// When it comes.
+    /// Time of arrival.
     pub at: Time,
-    /// Which entry instance the platform's balancer gives it to.
+    /// Index of the entry instance to which the platform's load balancer sends it.
     pub entry: usize,
-    /// The adapter; none for the plain service.
+    /// The adapter; `None` for the plain service.
     pub key: Option<AdapterKey>,
-    /// Whose it is.
+    /// The brand that sends it.
     pub brand: BrandNo,
-    /// How urgent it is.
+    /// Its priority class.
     pub class: Class,
-    /// Hash of its conversation's head.
+    /// Hash of the conversation's prefix, which engines cache.
     pub prefix: u64,
-    /// Tokens of its prompt.
+    /// Number of tokens of its prompt.
     pub prompt: u32,
-    /// Tokens of its answer.
+    /// Number of tokens of its answer.
     pub tokens: u32,
-    /// First token by then; for batch work, the last one.
+    /// Deadline of the first token; for batch work, of the last one.
     pub deadline: Time,
 }
 
 impl Arrival {
-    /// Returns when the whole answer is due: as soon as somebody has read it who
-    /// began at the deadline; for batch work, the deadline.
+    /// Returns when the complete answer is due: when a reader who began at the deadline
+    /// reaches its end; for batch work, the deadline.
     #[must_use]
-    pub fn whole_by(&self) -> Time {
+    pub fn complete_by(&self) -> Time {
         match self.class {
             Class::Batch => self.deadline,
-            Class::Critical | Class::Live => self.deadline + READING * self.tokens,
+            Class::Critical | Class::Live => self.deadline + READ_TIME * self.tokens,
         }
     }
 
-    /// Returns what its answer is worth: its tokens by the weight of its class.
+    /// Returns the worth of its answer: its number of tokens times the weight of its class.
     #[must_use]
     pub fn worth(&self) -> u64 {
         let weight = match self.class {
@@ -102,111 +102,112 @@
     }
 }
 
-/// Something that goes wrong.
+/// A fault, or its end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// The engine goes down and loses everything.
+    /// The engine goes down and loses its adapters, cache and requests.
     Down(usize),
     /// The engine comes back empty.
     Up(usize),
-    /// The zone is cut off from all others.
+    /// A network partition cuts the zone off from all others.
     Cut(usize),
-    /// The zone is joined again.
-    Joined,
+    /// The network partition ends.
+    Healed,
 }
 
-/// A deployment's sizes.
+/// Sizes of a deployment.
 #[derive(Clone, Debug)]
 pub struct Sizes {
-    /// Its name.
+    /// Name of the deployment.
     pub name: &'static str,
-    /// Availability zones.
+    /// Number of availability zones.
     pub zones: usize,
-    /// Model engines, dealt over the zones.
+    /// Number of model engines, distributed round-robin over the zones.
     pub engines: usize,
-    /// Plain service replicas, dealt over the zones.
-    pub portals: usize,
-    /// Entry instances, dealt over the zones.
+    /// Number of plain service replicas, distributed round-robin over the zones.
+    pub replicas: usize,
+    /// Number of entry instances, distributed round-robin over the zones.
     pub entries: usize,
-    /// Adapters.
+    /// Number of adapters.
     pub adapters: u32,
     /// Adapter slots of an engine.
     pub slots: u32,
     /// Places in an engine's batch.
     pub batch: u32,
-    /// Loads a second from the weight store.
-    pub loads: f64,
-    /// Loads that the store serves at full speed at once.
+    /// Loads per second that the weight store can serve.
+    pub load_rate: f64,
+    /// Number of concurrent loads that the store serves at full speed.
     pub parallel: u32,
-    /// Time that an engine takes for what the plain one does in a unit.
+    /// Step time of an engine relative to the reference engine; 1.0 is equal.
     pub pace: f64,
-    /// Brands; adapters are dealt over them.
+    /// Number of brands; adapters are distributed round-robin over them.
     pub brands: u32,
 }
 
-/// What is asked for over time.
+/// The requests and faults of a run over time.
 #[derive(Clone, Debug)]
 pub struct Workload {
-    /// Its name.
+    /// Name of the workload, as tables print it.
     pub name: String,
-    /// How long it takes.
+    /// Length of the run.
     pub span: Span,
-    /// The deployment.
+    /// Sizes of the deployment that it runs on.
     pub sizes: Sizes,
-    /// Requests in order of time.
+    /// Requests in order of arrival.
     pub arrivals: Vec<Arrival>,
     /// Faults in order of time.
     pub faults: Vec<(Time, Fault)>,
-    /// Adapters whose loads fail, always.
-    pub broken: Vec<AdapterNo>,
-    /// Part of all loads that fail.
-    pub failing: f64,
+    /// Adapters whose loads always fail.
+    pub unloadable: Vec<AdapterNo>,
+    /// Probability with which a load of any other adapter fails.
+    pub failure_rate: f64,
 }
 
 impl Workload {
-    /// Returns whether a request counts: what comes so late that its time is
-    /// not over by the end is left out.
+    /// Returns whether a request counts: it arrives in the counted period and its deadline
+    /// is not after the end of the run.
     #[must_use]
     pub fn counts(&self, arrival: &Arrival) -> bool {
         arrival.at >= self.span.start() && arrival.deadline <= self.span.end()
     }
 
-    /// Returns whether a request's worth counts: one to an engine that can be
-    /// answered, and whose whole answer is due before the end.
+    /// Returns whether a request's worth counts: it asks for an adapter that can be loaded,
+    /// and its complete answer is due by the end of the run.
     #[must_use]
-    pub fn weighs(&self, arrival: &Arrival) -> bool {
-        let within = self.counts(arrival) && arrival.whole_by() <= self.span.end();
-        within && arrival.key.is_some() && self.possible(arrival)
+    pub fn counts_worth(&self, arrival: &Arrival) -> bool {
+        let within = self.counts(arrival) && arrival.complete_by() <= self.span.end();
+        within && arrival.key.is_some() && self.loadable(arrival)
     }
 
-    /// Returns whether anybody can load what a request asks for.
+    /// Returns whether the adapter that a request asks for can be loaded at all.
     #[must_use]
-    pub fn possible(&self, arrival: &Arrival) -> bool {
+    pub fn loadable(&self, arrival: &Arrival) -> bool {
         let key = arrival.key;
-        key.is_none_or(|key| !self.broken.contains(&key.adapter))
+        key.is_none_or(|key| !self.unloadable.contains(&key.adapter))
     }
 }
 
-/// How a workload differs from the plain day. Times are those of a full run.
+/// Demand and faults of a workload. Times are seconds of a full run.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Shape {
     pub(crate) name: &'static str,
-    /// Live requests a second, per engine.
+    /// Live requests per second and engine.
     pub(crate) live: f64,
-    /// Batch requests a second, per engine.
+    /// Batch requests per second and engine.
     pub(crate) batch: f64,
-    /// Skew of popularity: the n-th most popular adapter is asked for by live
-    /// callers in proportion to n to the minus this.
+    /// Exponent of the Zipf distribution of popularity among live callers: requests for the
+    /// n-th most popular adapter are proportional to n^-skew.
     pub(crate) skew: f64,
-    /// When the popularity of adapters is dealt anew.
-    pub(crate) shifts: &'static [u64],
-    /// Part of live requests that the first brand makes; it is else dealt by
-    /// popularity alone.
+    /// Seconds at which the popularity of adapters is reshuffled.
+    pub(crate) reshuffles: &'static [u64],
+    /// Probability with which a live conversation is moved to the first brand; brands
+    /// otherwise get requests by the popularity of their adapters alone.
     pub(crate) flood: f64,
     pub(crate) faults: &'static [(u64, Fault)],
-    /// Part of adapters that can't be loaded.
-    pub(crate) broken: f64,
-    pub(crate) failing: f64,
+    /// Fraction of adapters that can't be loaded.
+    pub(crate) unloadable: f64,
+    /// Probability with which a load of any other adapter fails.
+    pub(crate) failure_rate: f64,
 }
 
 pub(crate) const DAY: Shape = Shape {
@@ -214,11 +215,11 @@
     live: 3.0,
     batch: 0.0,
     skew: 1.3,
-    shifts: &[],
+    reshuffles: &[],
     flood: 0.0,
     faults: &[],
-    broken: 0.0,
-    failing: 0.0,
+    unloadable: 0.0,
+    failure_rate: 0.0,
 };
 
 const SHAPES: [Shape; 7] = [
@@ -231,7 +232,7 @@
     },
     Shape {
         name: "shift",
-        shifts: &[140],
+        reshuffles: &[140],
         ..DAY
     },
     Shape {
@@ -241,13 +242,13 @@
     },
     Shape {
         name: "failing",
-        broken: 0.01,
-        failing: 0.1,
+        unloadable: 0.01,
+        failure_rate: 0.1,
         ..DAY
     },
     Shape {
         name: "cut",
-        faults: &[(120, Fault::Cut(0)), (180, Fault::Joined)],
+        faults: &[(120, Fault::Cut(0)), (180, Fault::Healed)],
         ..DAY
     },
     Shape {
@@ -259,23 +260,24 @@
     },
 ];
 
-/// Skew of batch work, which screens every call that has closed.
+/// Zipf exponent of batch work, which screens the submissions to every casting call that
+/// has closed; so its demand is spread more evenly than that of live callers.
 const BATCH_SKEW: f64 = 0.8;
 
-/// Requests of one live conversation, on average.
-const TURNS: f64 = 4.0;
+/// Mean number of requests of a live conversation.
+const CONVERSATION_LENGTH: f64 = 4.0;
 
-/// Seconds between two requests of one conversation, on average.
+/// Mean number of seconds between two requests of a conversation.
 const THINK_SECS: f64 = 8.0;
 
-/// Requests of one screening, on average.
-const SCREENED: f64 = 40.0;
+/// Mean number of requests of a screening.
+const SCREENING_SIZE: f64 = 40.0;
 
-/// Critical requests a second to each plain service replica.
-const RECEIPTS: f64 = 5.0;
+/// Critical requests per second and plain service replica.
+const RECEIPT_RATE: f64 = 5.0;
 
-/// One live request in this many is critical, as an urgent confirmation.
-const URGENT_IN: u32 = 100;
+/// One live request in this many is critical, such as an urgent confirmation.
+const CRITICAL_ONE_IN: u32 = 100;
 
 /// Returns the sizes of both deployments.
 #[must_use]
@@ -284,12 +286,12 @@
         name: "agency",
         zones: 4,
         engines: 12,
-        portals: 4,
+        replicas: 4,
         entries: 7,
         adapters: 3_000,
         slots: 8,
         batch: 32,
-        loads: 5.0,
+        load_rate: 5.0,
         parallel: 2,
         pace: 1.0,
         brands: 3,
@@ -298,9 +300,9 @@
         name: "consortium",
         zones: 3,
         engines: 18,
-        portals: 3,
+        replicas: 3,
         entries: 6,
-        loads: 6.0,
+        load_rate: 6.0,
         ..agency
     };
     [agency, consortium]
@@ -315,24 +317,24 @@
         .collect()
 }
 
-/// Makes the `i`-th workload of [`names`].
+/// Creates the `i`-th workload of [`names`].
 ///
 /// # Panics
 ///
 /// Panics when there is no such workload.
 #[must_use]
-pub fn one(i: usize, seed: u64) -> Workload {
-    within(i, seed, Span::FULL)
+pub fn nth(i: usize, seed: u64) -> Workload {
+    nth_with_span(i, seed, Span::FULL)
 }
 
-/// Makes the `i`-th workload of [`names`] for a run of another length, with
-/// its faults at the same part of it.
+/// Creates the `i`-th workload of [`names`] for a run of another length, with the times
+/// of faults scaled to it.
 ///
 /// # Panics
 ///
 /// Panics when there is no such workload.
 #[must_use]
-pub fn within(i: usize, seed: u64, span: Span) -> Workload {
+pub fn nth_with_span(i: usize, seed: u64, span: Span) -> Workload {
     let (sizes, shape) = &pairs()[i];
     make(sizes, shape, span, seed.wrapping_mul(1_000) + i as u64)
 }
@@ -348,32 +350,32 @@
     format!("{} {}", sizes.name, shape.name)
 }
 
-/// Makes a workload from its seed.
+/// Creates a workload from its seed.
 pub(crate) fn make(sizes: &Sizes, shape: &Shape, span: Span, seed: u64) -> Workload {
-    let mut maker = Maker {
+    let mut generator = Generator {
         rng: ChaCha8Rng::seed_from_u64(seed),
         sizes,
         span,
         arrivals: Vec::new(),
-        end: (span.warm + span.counted).as_secs_f64(),
+        end: (span.warm_up + span.counted).as_secs_f64(),
     };
     let mut ranks: Vec<u32> = (0..sizes.adapters).collect();
-    ranks.shuffle(&mut maker.rng);
-    let broken = (f64::from(sizes.adapters) * shape.broken) as usize;
-    // Broken ones are spread over all ranks, hot ones included.
-    let broken: Vec<_> = (0..broken)
+    ranks.shuffle(&mut generator.rng);
+    let unloadable = (f64::from(sizes.adapters) * shape.unloadable) as usize;
+    // Adapters that can't be loaded are spread over all ranks, popular ones included.
+    let unloadable: Vec<_> = (0..unloadable)
         .map(|i| AdapterNo(ranks[i * 97 % ranks.len()]))
         .collect();
     let mut later = Vec::new();
-    for secs in shape.shifts {
-        let mut anew = ranks.clone();
-        anew.shuffle(&mut maker.rng);
-        later.push((span.at(*secs), anew));
+    for secs in shape.reshuffles {
+        let mut shuffled = ranks.clone();
+        shuffled.shuffle(&mut generator.rng);
+        later.push((span.at(*secs), shuffled));
     }
-    maker.live(shape, &ranks, &later);
-    maker.screening(shape, &ranks);
-    maker.receipts();
-    let mut arrivals = maker.arrivals;
+    generator.live(shape, &ranks, &later);
+    generator.screening(shape, &ranks);
+    generator.receipts();
+    let mut arrivals = generator.arrivals;
     arrivals.sort_by_key(|a| a.at);
     let faults = shape.faults.iter();
     Workload {
@@ -382,13 +384,13 @@
         sizes: sizes.clone(),
         arrivals,
         faults: faults.map(|(secs, f)| (span.at(*secs), *f)).collect(),
-        broken,
-        failing: shape.failing,
+        unloadable,
+        failure_rate: shape.failure_rate,
     }
 }
 
-/// Draws one workload's arrivals.
-struct Maker<'a> {
+/// Generates the arrivals of one workload.
+struct Generator<'a> {
     rng: ChaCha8Rng,
     sizes: &'a Sizes,
     span: Span,
@@ -396,20 +398,20 @@
     end: f64,
 }
 
-impl Maker<'_> {
-    /// Conversations: each stays with one adapter for a few requests.
+impl Generator<'_> {
+    /// Generates live conversations, each a few requests for one adapter.
     fn live(&mut self, shape: &Shape, ranks: &[u32], later: &[(Time, Vec<u32>)]) {
         let popular = Zipf::new(self.sizes.adapters, shape.skew);
-        let rate = shape.live * self.sizes.engines as f64 / TURNS;
+        let rate = shape.live * self.sizes.engines as f64 / CONVERSATION_LENGTH;
         let mut at = 0.0;
         loop {
-            at += self.gap(1.0 / rate);
+            at += self.exponential(1.0 / rate);
             if at > self.end {
                 return;
             }
-            let dealt = later.iter().rev();
-            let mut dealt = dealt.filter(|(from, _)| at >= from.0 as f64 / 1e6);
-            let ranks = dealt.next().map_or(ranks, |(_, ranks)| ranks);
+            let current = later.iter().rev();
+            let mut current = current.filter(|(from, _)| at >= from.0 as f64 / 1e6);
+            let ranks = current.next().map_or(ranks, |(_, ranks)| ranks);
             let mut adapter = ranks[popular.draw(&mut self.rng)];
             if shape.flood > 0.0 && self.rng.random_bool(shape.flood) {
                 adapter -= adapter % self.sizes.brands;
@@ -422,7 +424,7 @@
         let prefix = self.rng.random_range(1..u64::MAX);
         let mut at = start;
         while at < self.end {
-            let class = match self.rng.random_ratio(1, URGENT_IN) {
+            let class = match self.rng.random_ratio(1, CRITICAL_ONE_IN) {
                 true => Class::Critical,
                 false => Class::Live,
             };
@@ -433,33 +435,33 @@
                 Some(adapter),
                 class,
                 (prefix, prompt, tokens),
-                LIVE_PATIENCE,
+                LIVE_TIMEOUT,
             );
-            if !self.rng.random_bool(1.0 - 1.0 / TURNS) {
+            if !self.rng.random_bool(1.0 - 1.0 / CONVERSATION_LENGTH) {
                 return;
             }
-            at += 2.0 + self.gap(THINK_SECS - 2.0);
+            at += 2.0 + self.exponential(THINK_SECS - 2.0);
         }
     }
 
-    /// Screenings: many requests at once for one adapter, done by morning,
-    /// which is the end of the run.
+    /// Generates screenings: many batch requests at once for one adapter, due by the end of
+    /// the run.
     fn screening(&mut self, shape: &Shape, ranks: &[u32]) {
         if shape.batch == 0.0 {
             return;
         }
         let popular = Zipf::new(self.sizes.adapters, BATCH_SKEW);
-        let rate = shape.batch * self.sizes.engines as f64 / SCREENED;
-        // Work stops coming early enough that all of it can be done.
+        let rate = shape.batch * self.sizes.engines as f64 / SCREENING_SIZE;
+        // The last third of the counted period brings no new work, so that all can be done.
         let last = self.end - self.span.counted.as_secs_f64() / 3.0;
         let mut at = 0.0;
         loop {
-            at += self.gap(1.0 / rate);
+            at += self.exponential(1.0 / rate);
             if at > last {
                 return;
             }
             let adapter = ranks[popular.draw(&mut self.rng)];
-            let count = self.gap(SCREENED).ceil() as u32;
+            let count = self.exponential(SCREENING_SIZE).ceil() as u32;
             let left = Duration::from_secs_f64(self.end - at);
             for _ in 0..count {
                 let head = u64::from(adapter) + 1;
@@ -479,11 +481,11 @@
     fn receipts(&mut self) {
         let mut at = 0.0;
         loop {
-            at += self.gap(1.0 / (RECEIPTS * self.sizes.portals as f64));
+            at += self.exponential(1.0 / (RECEIPT_RATE * self.sizes.replicas as f64));
             if at > self.end {
                 return;
             }
-            self.push(at, None, Class::Critical, (0, 0, 1), CRITICAL_PATIENCE);
+            self.push(at, None, Class::Critical, (0, 0, 1), CRITICAL_TIMEOUT);
         }
     }
 
@@ -493,7 +495,7 @@
         adapter: Option<u32>,
         class: Class,
         (prefix, prompt, tokens): (u64, u32, u32),
-        patience: Duration,
+        timeout: Duration,
     ) {
         let at = Time((secs * 1e6) as u64);
         let key = adapter.map(|adapter| AdapterKey {
@@ -509,12 +511,12 @@
             prefix,
             prompt,
             tokens,
-            deadline: at + patience,
+            deadline: at + timeout,
         });
     }
 
-    /// Draws from the exponential distribution.
-    fn gap(&mut self, mean: f64) -> f64 {
+    /// Draws from the exponential distribution with this mean.
+    fn exponential(&mut self, mean: f64) -> f64 {
         -mean * (1.0 - self.rng.random::<f64>()).ln()
     }
 }
--- a/xtask/src/capacity/tool.rs
+++ b/xtask/src/capacity/tool.rs
@@ -1,4 +1,4 @@
-//! The operators' command: check, difference, change.
+//! Measures the operators' command-line tool: check, diff and change of a text.
 
 use std::time::Instant;
 
@@ -6,10 +6,10 @@
 use text::Model;
 use wire::operator::Apply;
 
-use super::{Case, changed, peak, resident};
+use super::{Case, peak_mib, resident_mib, with_added_version};
 use crate::samples;
 
-/// What the tool does with a text of so many adapters.
+/// The tool's work on a text with a number of adapters.
 pub(super) const OPERATOR: Case = Case {
     name: "operator",
     size: "adapters",
@@ -26,7 +26,7 @@
 
 fn operator(adapters: usize) -> Result<Vec<f64>> {
     let old = samples::agency(adapters);
-    let new = changed(&old);
+    let new = with_added_version(&old);
     let before = Model::try_from(old.as_str())?;
     let began = Instant::now();
     let after = Model::try_from(new.as_str())?;
@@ -46,7 +46,7 @@
         check.as_secs_f64() * 1e3,
         compared.as_secs_f64() * 1e3,
         body as f64,
-        resident()?,
-        peak()?,
+        resident_mib()?,
+        peak_mib()?,
     ])
 }
--- a/xtask/src/samples.rs
+++ b/xtask/src/samples.rs
@@ -1,18 +1,19 @@
-//! Writes the sample texts of both deployments, and measures the check.
+//! `cargo xtask samples`: writes the sample configuration texts of both deployments, or
+//! measures how long a text takes to parse and check.
 
 use std::{fmt::Write, fs, path::Path, time::Instant};
 
 use anyhow::{Context, Result, ensure};
 use text::Model;
 
-/// Adapters of each brand in the samples: three brands make 3,000.
+/// Number of adapters of each brand in the samples: 3,000 for all three brands.
 const ADAPTERS: usize = 1_000;
 /// One adapter in this many has a second version that is not served yet.
 const TWO_VERSIONS_ONE_IN: usize = 50;
-/// Runs of a measurement; the median counts.
+/// Number of runs of a measurement, which prints the median.
 const RUNS: usize = 7;
 
-/// What the two deployments differ in.
+/// The parts of a sample text in which the two deployments differ.
 struct Sample {
     file: &'static str,
     head: &'static str,
@@ -26,11 +27,11 @@
 struct Brand {
     name: &'static str,
     title: &'static str,
-    /// What its numbered adapters are for.
+    /// Middle part of the names of its numbered adapters: what one adapter is for.
     unit: &'static str,
 }
 
-/// Describes the chore for the command line.
+/// Returns the command line.
 pub(crate) fn command() -> clap::Command {
     clap::Command::new("samples")
         .about("Writes the sample texts, or measures parse and check with --measure")
@@ -43,7 +44,7 @@
         )
 }
 
-/// Writes the samples, or measures.
+/// Writes the samples, or measures with `--measure`.
 ///
 /// # Errors
 ///
@@ -62,17 +63,17 @@
     Ok(())
 }
 
-/// Returns the agency's text with this many adapters.
+/// Returns the agency's text with at least `adapters` adapters, the same number per brand.
 pub(crate) fn agency(adapters: usize) -> String {
     render(&AGENCY, adapters.div_ceil(AGENCY.brands.len()))
 }
 
-/// Times parse and check, and reads how much memory the model holds.
+/// Measures the time to parse and check a text and the memory that its model takes.
 fn measure(adapters: usize) -> Result<()> {
     let source = agency(adapters);
     let before = resident_kib()?;
     let model = Model::try_from(source.as_str())?;
-    let held = resident_kib()?.saturating_sub(before);
+    let model_kib = resident_kib()?.saturating_sub(before);
     let mut took = Vec::new();
     for _ in 0..RUNS {
         let start = Instant::now();
@@ -84,11 +85,11 @@
     let (least, median, most) = (took[0], took[RUNS / 2], took[RUNS - 1]);
     let kib = source.len() / 1024;
     println!("{adapters} adapters, {kib} KiB: median {median:?} of {RUNS} ({least:?} to {most:?})");
-    println!("the first check left {held} KiB more resident, the parser's tables freed");
+    println!("the first check left {model_kib} KiB more resident, the parser's tables freed");
     Ok(())
 }
 
-/// Returns this process's resident memory.
+/// Returns this process's resident memory in KiB.
 fn resident_kib() -> Result<u64> {
     let status = fs::read_to_string("/proc/self/status")?;
     let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
@@ -99,7 +100,7 @@
 fn render(sample: &Sample, adapters: usize) -> String {
     let mut text = format!("{}\n{}", sample.head, sample.engines);
     for brand in &sample.brands {
-        // Writing to a text can't fail.
+        // Writing to a `String` can't fail.
         let _ = write_brand(&mut text, sample, brand, adapters);
     }
     text
@@ -119,7 +120,7 @@
         .collect();
     writeln!(
         text,
-        "\n# {title}. The key behind the hash is `{key}`: change it."
+        "\n# {title}. The hash is that of the sample key `{key}`; replace it."
     )?;
     writeln!(text, "[brands.{name}]\nweight = 1\nkeys = [\"{hash}\"]")?;
     writeln!(text, "base = \"{}\"", sample.base)?;
@@ -146,14 +147,14 @@
 # and folk ensembles. Written by `cargo xtask samples`.
 #
 # Instances, targets and their zones (dubrava, jankomir, zitnjak, blato) are not
-# named here: they come from the platform's list, 12 drafting and 4 portal
-# replicas of today.
+# named here: they come from the platform's list, currently 12 drafting and 4
+# portal replicas.
 
 [limits]
 max-body-bytes = 1048576
 critical-deadline-ms = 10000
 live-deadline-ms = 30000
-# Screening may queue, but it ends before the morning's auditions.
+# Screening may queue, but has to end before the auditions in the morning.
 batch-deadline-ms = 28800000
 attempts = 3
 
@@ -162,9 +163,9 @@
 at-once = 2
 "#,
     base: "gemma-hr",
-    engines: r#"# Answers callers who wait, and screens submissions overnight. `fencing = true`
-# is for engines that refuse orders under an old fencing number; where that is
-# not certain, `false` is the safe side.
+    engines: r#"# Answers waiting callers, and screens submissions overnight. `fencing = true` is
+# for engines that refuse orders with an outdated fencing number; if that is not
+# certain, `false` is the safe choice.
 [pools.drafting]
 kind = "engine"
 base = "gemma-hr"
@@ -228,7 +229,7 @@
 class = "critical"
 mark = "repeatable"
 
-# Applications: one that runs twice makes the applicant look careless.
+# Applications must not run twice: a duplicate makes the applicant look careless.
 [brands.BRAND.services.submissions]
 kind = "plain"
 pool = "portal"
@@ -236,7 +237,7 @@
 mark = "once"
 needs = ["receipts"]
 
-# Casting offices post calls.
+# Casting offices post casting calls.
 [brands.BRAND.services.posting]
 kind = "plain"
 pool = "portal"
@@ -252,8 +253,8 @@
 # matching platform. Written by `cargo xtask samples`.
 #
 # Instances, targets and their zones (kurasini-hall, mikocheni-hall,
-# ubungo-hall) are not named here: they come from the platform's list, 18
-# assistant and 3 matching-service replicas of today.
+# ubungo-hall) are not named here: they come from the platform's list, currently
+# 18 assistant and 3 matching-service replicas.
 #
 # The partners' weights are equal, so that none is favoured under load.
 
@@ -270,8 +271,8 @@
 at-once = 2
 "#,
     base: "llama-sw",
-    engines: r#"# Drafts letters for students who watch, and scores CVs overnight. `fencing =
-# false` is for engines that ignore fencing numbers, or may do so.
+    engines: r#"# Drafts letters for waiting students, and scores CVs overnight. `fencing = false`
+# is for engines that ignore fencing numbers, or may do so.
 [pools.assistant]
 kind = "engine"
 base = "llama-sw"
@@ -307,7 +308,7 @@
 class = "live"
 needs = ["listing"]
 
-# Drafts cover letters while students watch.
+# Drafts cover letters while students wait.
 [brands.BRAND.services.letters]
 kind = "assistant"
 adapter = "BRAND-live"
@@ -335,7 +336,7 @@
 class = "critical"
 mark = "repeatable"
 
-# A doubled application feeds suspicion between the partners.
+# Must not run twice: duplicate applications cause distrust between the partners.
 [brands.BRAND.services.applications]
 kind = "plain"
 pool = "matching"
@@ -343,7 +344,7 @@
 mark = "once"
 needs = ["receipts"]
 
-# A lost or doubled acceptance gives the seat away.
+# A lost or duplicate acceptance would give the seat to somebody else.
 [brands.BRAND.services.acceptances]
 kind = "plain"
 pool = "matching"
