--- a/crates/scenarios/scripts/calm.rhai
+++ b/crates/scenarios/scripts/calm.rhai
@@ -1,4 +1,4 @@
-// Nothing fails: every engine gets an owner, requests and orders flow.
+// No faults: every engine gets an owner, and requests and orders succeed.
 for z in ["za", "zb"] {
     engine(z + "-e1", z, true);
     engine(z + "-e2", z, false);
--- a/crates/scenarios/scripts/chaos.rhai
+++ b/crates/scenarios/scripts/chaos.rhai
@@ -1,4 +1,4 @@
-// Anything, at any moment, together or twice.
+// Random faults of all kinds, also several at once and repeatedly.
 for z in ["za", "zb"] {
     engine(z + "-e1", z, rand(2) == 0);
     engine(z + "-e2", z, rand(2) == 0);
--- a/crates/scenarios/scripts/claims.rhai
+++ b/crates/scenarios/scripts/claims.rhai
@@ -1,5 +1,6 @@
-// Marked requests with few keys, so that resends meet through other
-// instances, during and after the first, amid kills, cuts and leader changes.
+// Marked requests (at most once, by idempotency key) with few keys, so that a retry
+// reaches another instance during or after the first attempt, with crashes, partitions
+// and leader changes in between.
 entry("n1", "za");
 entry("n2", "za");
 entry("m1", "zb");
--- a/crates/scenarios/scripts/frozen.rhai
+++ b/crates/scenarios/scripts/frozen.rhai
@@ -1,5 +1,5 @@
-// An owner is frozen at any step, also between check and send, and thawed
-// while another is in charge.
+// An owner is paused at any step, also between the check and the sending of an order,
+// and resumes while another instance is the owner.
 engine("e1", "za", true);
 engine("e2", "za", false);
 entry("n1", "za");
--- a/crates/scenarios/scripts/handover.rhai
+++ b/crates/scenarios/scripts/handover.rhai
@@ -1,5 +1,5 @@
-// An instance leaves in order: its engines move at once, what its requests use
-// stays. Meanwhile the leader changes, or the new owner fails.
+// An instance shuts down gracefully: its engines get another owner at once, and adapters
+// that its requests use stay loaded. Meanwhile the leader changes, or the new owner fails.
 engine("e1", "za", false);
 engine("e2", "za", true);
 entry("n1", "za");
--- a/crates/scenarios/scripts/isolated.rhai
+++ b/crates/scenarios/scripts/isolated.rhai
@@ -1,5 +1,5 @@
-// An owner is cut off from the leader and its zone-mates for minutes, but not
-// from its engines, and believes that it is in charge.
+// An owner is partitioned for minutes from the leader and the other instances of its
+// zone, but not from its engines, and still takes itself for the owner.
 engine("e1", "za", true);
 engine("e2", "za", false);
 entry("n1", "za");
--- a/crates/scenarios/scripts/newcomer.rhai
+++ b/crates/scenarios/scripts/newcomer.rhai
@@ -1,5 +1,6 @@
-// A zone's owner is cut off from the leader while a newcomer that it has
-// never heard of starts and reaches the leader, and other mates come and go.
+// The owner of a zone's engines is partitioned from the leader while a new instance,
+// unknown to it, starts and reaches the leader, and other instances of the zone pause or
+// crash.
 engine("e1", "za", false);
 engine("e2", "za", false);
 entry("n1", "za");
--- a/crates/scenarios/scripts/one_way.rhai
+++ b/crates/scenarios/scripts/one_way.rhai
@@ -1,4 +1,4 @@
-// Links that lose one direction only, flapping faster than leases run out.
+// Links that lose messages in one direction only, and change faster than leases expire.
 engine("e1", "za", false);
 engine("e2", "za", true);
 engine("e3", "zb", false);
--- a/crates/scenarios/scripts/operators.rhai
+++ b/crates/scenarios/scripts/operators.rhai
@@ -1,5 +1,5 @@
-// Operators race on equal versions and resend through leader changes,
-// compaction and restarts.
+// Operators send concurrent changes on the same base version and retry them across
+// leader changes, compaction and restarts.
 engine("e1", "za", false);
 entry("n1", "za");
 entry("m1", "zb");
--- a/crates/scenarios/scripts/replaced.rhai
+++ b/crates/scenarios/scripts/replaced.rhai
@@ -1,6 +1,6 @@
-// The only instance of a zone is cut off and replaced under a new name while
-// it goes on believing that it is in charge; or it crashes and comes back
-// under its own name, or under a new one.
+// The only instance of a zone is partitioned and replaced under a new name while it
+// still takes itself for the owner. Later the replacement crashes and restarts under its
+// own name.
 engine("e1", "za", true);
 engine("e2", "za", false);
 entry("n1", "za");
--- a/crates/scenarios/scripts/rolling.rhai
+++ b/crates/scenarios/scripts/rolling.rhai
@@ -1,5 +1,4 @@
-// Every process is replaced in turn, control instances by a kill and a
-// restart from disk.
+// A rolling restart of every process; control instances crash and restart from disk.
 engine("e1", "za", false);
 engine("e2", "za", true);
 engine("e3", "zb", false);
--- a/crates/scenarios/scripts/zone_cut.rhai
+++ b/crates/scenarios/scripts/zone_cut.rhai
@@ -1,5 +1,6 @@
-// A zone is cut off with two instances, another with one; each goes on being
-// in charge of its engines. After the heal everybody agrees, without a stop.
+// A zone with two instances and one with a single instance are partitioned; each keeps
+// the ownership of its engines. Once the partition heals all instances agree, and no
+// engine is without an owner.
 engine("e1", "za", false);
 engine("e2", "za", true);
 engine("e3", "zb", false);
@@ -13,7 +14,7 @@
     if rand(3) == 0 { cut_zone(if zone == "za" { "zb" } else { "za" }); }
     let old = [owner("e1"), owner("e2"), owner("e3")];
     run(20000 + rand(60000));
-    // An engine may have been between two owners when the cut came.
+    // An engine may have been between two owners when the partition began.
     let now = [owner("e1"), owner("e2"), owner("e3")];
     for e in 0..3 {
         expect(old[e] == "" || now[e] == old[e], "an owner gave up in a cut zone");
@@ -22,7 +23,8 @@
     run(3000 + rand(3000));
     expect(owner("e1") != "" && owner("e3") != "", "an engine lost its owner by the heal");
 }
-// With a dead zone-mate nobody can be sure: restricted, not in charge.
+// With the other instance of the zone crashed, the lease cannot be confirmed: ownership
+// is restricted.
 cut_zone("za");
 run(4000);
 let stays = owner("e1");
--- a/crates/scenarios/src/check.rs
+++ b/crates/scenarios/src/check.rs
@@ -1,4 +1,4 @@
-//! The checker: what has to hold over the whole history of a run.
+//! Checks the invariants that must hold over the whole history of a run.
 
 use std::collections::BTreeMap;
 
@@ -7,22 +7,32 @@
 
 use crate::engine::{Evicted, Order, Sender};
 
-/// An unload in flight for longer than this may hit a request: the engine
-/// ignores fencing numbers, and its owner was frozen between check and send.
-/// The design notes name this as what remains.
-const FLIGHT_MS: u64 = 600;
+/// Time in milliseconds between the check and the arrival of an unload, beyond which it
+/// may interrupt a request at an engine that ignores fencing numbers.
+///
+/// It happens when the engine's owner is paused between check and send. The design notes
+/// list this as a known limitation.
+const TOLERATED_FLIGHT_MS: u64 = 600;
 
 #[derive(Debug, Default)]
 pub(crate) struct Checker {
+    /// The first few violations.
     pub(crate) errors: Vec<String>,
+    /// The incarnation that first used each fencing number of a target.
     fences: BTreeMap<(String, Fence), (String, u64)>,
+    /// The newest text version of each incarnation.
     texts: BTreeMap<(String, u64), TextVersion>,
+    /// The change accepted on top of each base version.
     winners: BTreeMap<u64, String>,
+    /// The version and text as which each change was accepted.
     accepted: BTreeMap<String, (TextVersion, String)>,
+    /// Refused changes, by change id, base version and text.
     refused: BTreeMap<(String, u64, String), Applied>,
+    /// Executions of each idempotency key.
     runs: BTreeMap<String, u32>,
+    /// Unloads of an adapter in use that arrived after [`TOLERATED_FLIGHT_MS`].
     pub(crate) late: u32,
-    /// Requests of instances that the platform had dropped long before.
+    /// Interrupted requests of instances that the platform no longer lists.
     pub(crate) unlisted: u32,
     pub(crate) orders: u32,
     pub(crate) requests: u32,
@@ -36,6 +46,8 @@
         }
     }
 
+    /// Checks an order that an engine took: one sender per fencing number, and no unload of
+    /// an adapter in use.
     pub(crate) fn order(
         &mut self,
         now: Time,
@@ -56,31 +68,32 @@
             let fence = sender.fence;
             self.fail(
                 now,
-                format!("{target}: {first:?} and {:?} under {fence}", sender.life),
+                format!("{target}: fencing number {fence} used by {first:?} and {:?}", sender.life),
             );
         }
         let Some(evicted) = evicted else {
             return;
         };
         let flight = now.since(sender.checked).as_millis();
-        if !fencing && flight > u128::from(FLIGHT_MS) {
+        if !fencing && flight > u128::from(TOLERATED_FLIGHT_MS) {
             self.late += 1;
             return;
         }
         let what = format!(
-            "{target}: {order:?} of {sender:?} after {flight} ms took {} from requests {:?}",
+            "{target}: {order:?} of {sender:?} arrived after {flight} ms and unloaded {} in use by requests {:?}",
             evicted.adapter, evicted.requests
         );
         self.fail(now, what);
     }
 
+    /// Checks that at most one instance has full ownership of a target.
     pub(crate) fn owners(&mut self, now: Time, target: &str, full: &[String]) {
         if full.len() > 1 {
-            self.fail(now, format!("{target}: in charge at once: {full:?}"));
+            self.fail(now, format!("{target}: several owners at the same time: {full:?}"));
         }
     }
 
-    /// Takes the text that an instance has in force.
+    /// Checks that the text version in force at an instance never decreases.
     pub(crate) fn text(&mut self, now: Time, life: (String, u64), version: TextVersion) {
         let last = self.texts.entry(life.clone()).or_default();
         if version < *last {
@@ -91,7 +104,7 @@
         *last = version;
     }
 
-    /// Takes what an operator was told.
+    /// Checks the answer to an operator's change against earlier answers.
     pub(crate) fn applied(
         &mut self,
         now: Time,
@@ -119,8 +132,10 @@
         }
     }
 
-    /// A resend under the same id and text may name another base; what counts
-    /// is the version that the change became.
+    /// Records an accepted change.
+    ///
+    /// A retry with the same id and text may name another base version, so the base is
+    /// taken from the version as which the change was accepted.
     fn accept(&mut self, now: Time, change: &str, text: &str, version: TextVersion) {
         let base = version.get() - 1;
         let key = (change.to_owned(), base, text.to_owned());
@@ -130,7 +145,7 @@
         let fresh = || change.to_owned();
         let winner = self.winners.entry(base).or_insert_with(fresh).clone();
         if winner != change {
-            self.fail(now, format!("base {base}: both {winner} and {change} won"));
+            self.fail(now, format!("base {base}: both {winner} and {change} were accepted"));
         }
         let value = (version, text.to_owned());
         let fresh = || value.clone();
@@ -144,15 +159,16 @@
         }
     }
 
-    /// Takes the history that is in force at the end.
+    /// Checks that every accepted change is in the final history.
     pub(crate) fn history(&mut self, now: Time, found: &BTreeMap<TextVersion, String>) {
         for (change, (version, ..)) in std::mem::take(&mut self.accepted) {
             if found.get(&version) != Some(&change) {
-                self.fail(now, format!("{change}: accepted as {version}, and lost"));
+                self.fail(now, format!("{change}: accepted as version {version}, then lost"));
             }
         }
     }
 
+    /// Checks that a marked request runs at most once per idempotency key.
     pub(crate) fn ran(&mut self, now: Time, key: &str) {
         let runs = self.runs.entry(key.to_owned()).or_default();
         *runs += 1;
@@ -162,6 +178,7 @@
         }
     }
 
+    /// Returns how many idempotency keys were executed.
     pub(crate) fn runs(&self) -> usize {
         self.runs.len()
     }
--- a/crates/scenarios/src/engine.rs
+++ b/crates/scenarios/src/engine.rs
@@ -1,16 +1,16 @@
-//! A fake engine: slots, running requests, and orders that it takes.
+//! A fake engine: adapter slots, running requests, and orders to load and unload.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use base::{Fence, Incarnation, Time};
 
-/// What an order or a request is answered.
+/// The answer to an order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Answer {
     Done,
     Refused,
-    /// It holds the adapter already.
-    Already,
+    /// The adapter was loaded before the order came.
+    AlreadyLoaded,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -19,7 +19,7 @@
     Unload(String),
 }
 
-/// Who sent an order, and when it checked that it may.
+/// The sender of an order, and when it checked that its lease permits the order.
 #[derive(Clone, Debug)]
 pub(crate) struct Sender {
     pub(crate) life: (String, u64),
@@ -29,16 +29,18 @@
 
 #[derive(Debug)]
 pub(crate) struct Engine {
+    /// Whether orders with an old fencing number are refused.
     pub(crate) fencing: bool,
     pub(crate) slots: usize,
     pub(crate) incarnation: Incarnation,
     pub(crate) resident: BTreeSet<String>,
     /// Adapter of each running request.
     pub(crate) running: BTreeMap<u64, String>,
+    /// The highest fencing number seen so far.
     pub(crate) newest: Fence,
 }
 
-/// What an order did wrong, for the checker.
+/// An unload of an adapter in use, with the requests that it interrupted.
 #[derive(Debug)]
 pub(crate) struct Evicted {
     pub(crate) adapter: String,
@@ -57,6 +59,7 @@
         }
     }
 
+    /// Carries out an order; returns the interrupted requests of an unload, if any.
     pub(crate) fn order(&mut self, order: &Order, fence: Fence) -> (Answer, Option<Evicted>) {
         if self.fencing && fence < self.newest {
             return (Answer::Refused, None);
@@ -69,7 +72,7 @@
                     return (Answer::Refused, None);
                 }
                 let fresh = self.resident.insert(adapter.clone());
-                let answer = if fresh { Answer::Done } else { Answer::Already };
+                let answer = if fresh { Answer::Done } else { Answer::AlreadyLoaded };
                 (answer, None)
             }
             Order::Unload(adapter) => {
@@ -83,7 +86,7 @@
         }
     }
 
-    /// Takes a request; tells whether it runs.
+    /// Starts a request if its adapter is loaded; returns whether it runs.
     pub(crate) fn start(&mut self, id: u64, adapter: &str) -> bool {
         let known = self.resident.contains(adapter);
         if known {
@@ -92,6 +95,7 @@
         known
     }
 
+    /// Starts a new incarnation without adapters and requests.
     pub(crate) fn restart(&mut self) {
         self.incarnation = self.incarnation.next();
         self.resident.clear();
--- a/crates/scenarios/src/entry.rs
+++ b/crates/scenarios/src/entry.rs
@@ -1,4 +1,4 @@
-//! A fake entry instance around the real [`Lessee`].
+//! A fake entry instance around the production [`Lessee`].
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,26 +7,29 @@
 use owner::{Config, Lessee};
 use wire::{call::Beat, engine::Resident};
 
-/// What the instance knows of one engine.
+/// An entry instance's view of one engine.
 #[derive(Debug, Default)]
 pub(crate) struct View {
+    /// Adapters known to be loaded.
     pub(crate) resident: BTreeSet<String>,
-    /// Requests admitted and not finished, with their adapter and age.
+    /// Requests admitted and not finished, with their adapter and start.
     pub(crate) running: BTreeMap<u64, (String, Time)>,
     /// Orders sent and not answered.
     pub(crate) orders: BTreeSet<u64>,
-    /// Loads sent and not answered: no unload of these.
+    /// Loads sent and not answered; these adapters are not unloaded meanwhile.
     pub(crate) loading: BTreeMap<String, Time>,
-    /// Unloads sent and not answered: no new request on these.
+    /// Unloads sent and not answered; these adapters get no new requests.
     pub(crate) unloading: BTreeMap<String, Time>,
 }
 
-/// A marked request under way.
+/// A marked request in progress: an at-most-once request with an idempotency key.
 #[derive(Clone, Debug)]
 pub(crate) struct Marked {
     pub(crate) key: u8,
     pub(crate) attempt: u64,
+    /// Claims sent so far.
     pub(crate) tries: u32,
+    /// Whether the claim was granted.
     pub(crate) sent: bool,
 }
 
@@ -40,8 +43,11 @@
     pub(crate) views: BTreeMap<TargetName, View>,
     pub(crate) engines: Vec<TargetName>,
     pub(crate) text: TextVersion,
+    /// The control instance that last answered as leader.
     pub(crate) leader: Option<String>,
+    /// Number of the last heartbeat.
     pub(crate) serial: u64,
+    /// Whether the next heartbeat lists the engines.
     pub(crate) tell: bool,
     pub(crate) marked: BTreeMap<u64, Marked>,
     pub(crate) attempts: u64,
@@ -89,14 +95,14 @@
         }
     }
 
-    /// Returns what its own requests use at an engine.
+    /// Returns the adapters that this instance's requests use at an engine.
     pub(crate) fn using(&self, target: &TargetName) -> BTreeSet<Resident> {
         let view = self.views.get(target);
         let running = view.into_iter().flat_map(|view| view.running.values());
         running.map(|(adapter, _)| resident(adapter)).collect()
     }
 
-    /// Drops requests that can no longer run: their connections are closed.
+    /// Drops requests and orders older than `age_ms`, whose connections are closed by then.
     pub(crate) fn expire(&mut self, now: Time, age_ms: u64) {
         for view in self.views.values_mut() {
             view.loading
@@ -121,7 +127,7 @@
     name.parse().unwrap()
 }
 
-/// Where an order goes, to be sent in a later step than its check.
+/// A permission to send to a target, checked at `at` and used in a later step.
 #[derive(Clone, Debug)]
 pub(crate) struct Checked {
     pub(crate) target: TargetName,
--- a/crates/scenarios/src/keeper.rs
+++ b/crates/scenarios/src/keeper.rs
@@ -1,4 +1,4 @@
-//! A control instance with a fake disk.
+//! A production control instance with a fake disk.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -6,14 +6,14 @@
 use control::{Checked, Config, Control, Limits};
 use replog::{Record, Replica, ReplicaId, Restored, Settings, Snapshot, WriteNo};
 
-/// What survives a power cut.
+/// The synced state that survives a crash.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Disk {
     snapshot: Option<Snapshot>,
     records: Vec<Record>,
 }
 
-/// A write on its way to the disk.
+/// A write that is not synced yet.
 #[derive(Debug)]
 pub(crate) enum Write {
     Append(WriteNo, Vec<Record>),
@@ -25,7 +25,7 @@
     pub(crate) control: Control,
     pub(crate) disk: Disk,
     pub(crate) writes: VecDeque<Write>,
-    /// Who called, by ticket.
+    /// Caller and call id of each open ticket.
     pub(crate) callers: BTreeMap<Ticket, (String, u64)>,
     pub(crate) tickets: u64,
 }
@@ -42,7 +42,7 @@
         raw.keep = 20;
         let restored = Restored::replay(disk.snapshot.clone(), disk.records.clone());
         let settings = Settings::try_from(raw).unwrap();
-        let replica = Replica::new(settings, restored.expect("the disk is sound"));
+        let replica = Replica::new(settings, restored.expect("the disk holds no damage"));
         let limits = Limits {
             full_ms: 4_000,
             running_ms: 60_000,
@@ -62,6 +62,7 @@
         }
     }
 
+    /// Assigns a ticket to call `id` of `from`.
     pub(crate) fn ticket(&mut self, from: &str, id: u64) -> Ticket {
         self.tickets += 1;
         let ticket = Ticket(self.tickets);
@@ -69,7 +70,7 @@
         ticket
     }
 
-    /// Ends the oldest write; returns its number.
+    /// Syncs the oldest write; returns its number.
     pub(crate) fn sync(&mut self) -> Option<WriteNo> {
         match self.writes.pop_front()? {
             Write::Append(no, records) => {
--- a/crates/scenarios/src/lib.rs
+++ b/crates/scenarios/src/lib.rs
@@ -1,9 +1,9 @@
-//! Scenarios of faults, written as rhai scripts over a small world of fakes.
+//! Fault-injection scenarios, written as rhai scripts over a deterministic simulation.
 //!
-//! Real control instances, leases and observations are driven over fake links,
-//! clocks, disks and engines. Tests and `cargo xtask soak-control` run the same
-//! scripts. A library in place of a fixture of our own: loops, functions and
-//! random choices come with it.
+//! The control instances, leases and observations of targets are the production code;
+//! links, clocks, disks and engines are fakes. Tests and `cargo xtask soak-control` run
+//! the same scripts. The scripts are in rhai rather than in a table of steps, because a
+//! scripting language brings loops, functions and random choices with it.
 
 mod check;
 mod engine;
@@ -14,7 +14,7 @@
 
 macro_rules! scripts {
     ($($name:ident)+) => {
-        /// Every script by name.
+        /// All scripts, as pairs of name and text.
         pub const SCRIPTS: &[(&str, &str)] = &[
             $((stringify!($name), include_str!(concat!("../scripts/", stringify!($name), ".rhai")))),+
         ];
@@ -36,12 +36,12 @@
     chaos
 }
 
-/// Runs the script called `name` under one seed.
+/// Runs the script called `name` with one seed.
 ///
 /// # Errors
 ///
-/// Fails with what was violated and the end of the trace, or when there is no
-/// such script.
+/// Returns the violated invariants and the end of the trace, or an error if no script has
+/// this name.
 pub fn run(name: &str, seed: u64) -> Result<(), String> {
     let found = SCRIPTS.iter().find(|(known, _)| *known == name);
     let (_, text) = found.ok_or_else(|| format!("no script is called {name}"))?;
--- a/crates/scenarios/src/script.rs
+++ b/crates/scenarios/src/script.rs
@@ -1,7 +1,7 @@
-//! The scripts' language: rhai with words for faults and checks.
+//! The functions that scripts call: rhai with functions for faults and checks.
 //!
-//! A library in place of a fixture of our own: loops, functions and random
-//! choices come with it, and a scenario reads as what happens in which order.
+//! A scripting language brings loops, functions and random choices with it, and a
+//! scenario lists its events in the order in which they happen.
 
 use std::sync::{Arc, Mutex};
 
@@ -12,11 +12,11 @@
 type Shared = Arc<Mutex<World>>;
 type Checked = Result<(), Box<EvalAltResult>>;
 
-/// Runs one script under one seed.
+/// Runs one script with one seed.
 ///
 /// # Errors
 ///
-/// Fails with what was violated, and the end of the trace.
+/// Returns the violated invariants and the end of the trace.
 pub(crate) fn run(text: &str, seed: u64) -> Result<(), String> {
     let world = Arc::new(Mutex::new(World::new(seed)));
     let mut engine = Engine::new();
@@ -33,7 +33,7 @@
     Err(format!("{errors}\n{result:?}\ntrace:\n{trace}"))
 }
 
-/// Registers a word that acts on the world.
+/// Registers a script function that acts on the world.
 macro_rules! word {
     ($engine:ident, $world:ident, $name:literal, |$w:ident $(, $arg:ident: $kind:ty)*| $body:expr) => {
         let shared: Shared = Arc::clone($world);
--- a/crates/scenarios/src/world.rs
+++ b/crates/scenarios/src/world.rs
@@ -1,5 +1,5 @@
-//! The world of a scenario: clocks, links, processes and engines, all driven
-//! from one seed.
+//! The simulation of a scenario: clocks, links, processes and engines, all driven from
+//! one seed.
 
 mod act;
 mod audit;
@@ -43,7 +43,7 @@
     Applied(u64, Applied),
 }
 
-/// What a process does next, unless it is frozen or killed before.
+/// A scheduled action of a process; a pause delays it, a crash drops it.
 #[derive(Clone, Debug)]
 pub(crate) enum Step {
     Wake(u64),
@@ -62,7 +62,7 @@
     Resend(u64),
 }
 
-/// What an answer belongs to.
+/// What a sent message asked for, so that its answer can be handled.
 #[derive(Clone, Debug)]
 pub(crate) enum Pending {
     Beat,
@@ -92,17 +92,20 @@
     Operator,
 }
 
-/// A node: a process or an engine, its clock, and whether it runs.
+/// A process or an engine, its clock, and whether it runs.
 #[derive(Debug)]
 pub(crate) struct Node {
     pub(crate) proc: Proc,
     pub(crate) zone: String,
     pub(crate) life: u64,
     pub(crate) up: bool,
+    /// The node is paused until this time.
     pub(crate) frozen: Time,
-    /// The wake-up that counts; a new one replaces the last.
+    /// Number of the latest wake-up; earlier ones are ignored.
     wake: u64,
+    /// Local microseconds that pass in a real millisecond.
     drift: u64,
+    /// Local time at the real time zero, in microseconds.
     offset: u64,
 }
 
@@ -110,10 +113,13 @@
     pub(crate) now: Time,
     pub(crate) rng: ChaCha8Rng,
     pub(crate) nodes: BTreeMap<String, Node>,
+    /// Links that lose all messages, each in one direction.
     pub(crate) cuts: BTreeSet<(String, String)>,
+    /// Instances on the platform's list.
     pub(crate) listed: BTreeSet<String>,
     pub(crate) check: Checker,
     pub(crate) trace: Vec<String>,
+    /// Open calls by id: the sender, its incarnation, and what it asked for.
     pending: BTreeMap<u64, (String, u64, Pending)>,
     queue: BinaryHeap<Reverse<(Time, u64, String)>>,
     events: BTreeMap<u64, Event>,
@@ -167,7 +173,7 @@
         }
     }
 
-    /// Lets time pass, event by event.
+    /// Processes the events of the next `ms` milliseconds, with an audit every 20 ms.
     pub(crate) fn run(&mut self, ms: u64) {
         let end = self.now + Duration::from_millis(ms);
         let mut audit = self.now;
@@ -193,6 +199,7 @@
         self.now = end;
     }
 
+    /// Returns the time on the clock of `name`.
     pub(crate) fn local(&self, name: &str) -> Time {
         let node = &self.nodes[name];
         Time(node.offset + self.now.0 / 1_000 * node.drift + self.now.0 % 1_000)
@@ -281,7 +288,7 @@
         up.map(|(name, _)| name.clone()).collect()
     }
 
-    /// Lets the present life of `name` take a step after `ms`.
+    /// Schedules a step of the current incarnation of `name` in `ms` milliseconds.
     pub(crate) fn step(&mut self, name: &str, ms: u64, step: Step) {
         let life = self.nodes[name].life;
         let jitter = self.roll(0..1_000);
@@ -289,7 +296,7 @@
         self.push(at, name, Event::Step(life, step));
     }
 
-    /// Wakes the present life of `name` after `wait`, and not before.
+    /// Wakes the current incarnation of `name` after `wait`; replaces earlier wake-ups.
     pub(crate) fn wake(&mut self, name: &str, wait: Duration) {
         let Some(node) = self.nodes.get_mut(name) else {
             return;
@@ -300,12 +307,12 @@
         self.push(at, name, Event::Step(life, Step::Wake(wake)));
     }
 
-    /// Sends a message; a cut link loses it.
+    /// Sends a message, which is lost if the link is cut.
     pub(crate) fn send(&mut self, from: &str, to: &str, msg: Msg) {
         if self.cuts.contains(&(from.to_owned(), to.to_owned())) {
             return;
         }
-        // One message in a hundred is late by up to two seconds.
+        // One message in a hundred is delayed by up to two seconds.
         let late = self.roll(0..100) == 0;
         let delay = if late {
             self.roll(5_000..2_000_000)
@@ -316,7 +323,7 @@
         self.push(at, to, Event::Deliver(from.to_owned(), msg));
     }
 
-    /// Sends a question whose answer belongs to `pending`.
+    /// Sends a message whose answer is handled as `pending`.
     pub(crate) fn ask(
         &mut self,
         from: &str,
@@ -344,7 +351,7 @@
         if !node.up {
             return;
         }
-        // A frozen process goes on exactly where it was.
+        // A paused process takes the event once it resumes.
         if node.frozen > self.now {
             let at = node.frozen;
             self.push(at, &to, event);
@@ -362,7 +369,7 @@
         }
     }
 
-    /// Hands one input to a control instance and carries out what follows.
+    /// Passes one input to a control instance and carries out its outputs.
     pub(crate) fn drive_keeper(&mut self, name: &str, input: Input) {
         let now = self.local(name);
         let Some(keeper) = self.keeper(name) else {
@@ -403,7 +410,7 @@
                 let wait = self.after_local(name, at);
                 self.wake(name, wait);
             }
-            // Scenarios change replicas and name editions by other means.
+            // Scenarios neither change the replicas nor follow published editions.
             Output::Members { .. } | Output::Published { .. } => {}
             Output::Event(event) => self.log(|| format!("{name} {event:?}")),
         }
--- a/crates/scenarios/src/world/act.rs
+++ b/crates/scenarios/src/world/act.rs
@@ -1,4 +1,4 @@
-//! What processes do of themselves.
+//! Steps that processes take without a message from elsewhere.
 
 use base::{TargetName, Time};
 use control::Input;
@@ -11,9 +11,9 @@
     entry::{Checked, Marked, resident},
 };
 
-/// Requests that an entry instance gives up: their connections are closed.
+/// Time after which an entry instance gives up a request and closes its connection.
 const REQUEST_MS: u64 = 8_000;
-/// Keys that callers use; few, so that resends meet.
+/// Idempotency keys in use; few, so that retries of a key overlap.
 const KEYS: u64 = 40;
 
 impl World {
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Hands one input to an instance's leases and carries out what follows.
+    /// Passes one input to an instance's [`owner::Lessee`] and carries out its outputs.
     pub(crate) fn hold(&mut self, name: &str, input: Holding) {
         let now = self.local(name);
         let mut out = Vec::new();
@@ -125,7 +125,8 @@
             return;
         };
         let beat = entry.beat();
-        // The hint is used once: without answer the next beat goes elsewhere.
+        // The leader is used once: without an answer the next heartbeat goes to any control
+        // instance.
         let to = entry.leader.take().unwrap_or(any);
         let call = Call::Beat(beat);
         self.ask(name, &to, Pending::Beat, |id| Msg::Call(id, call));
@@ -187,7 +188,8 @@
         self.step(name, 0, Step::SendRequest(checked, id, adapter));
     }
 
-    /// Gives an engine that checks fencing numbers its first order.
+    /// Sends the first order to an engine that checks fencing numbers: no request may be sent
+    /// to it before it has accepted an order of this owner.
     fn touch(&mut self, name: &str, now: Time, target: &TargetName) {
         let adapters: Vec<_> = {
             let view = self.entry(name).unwrap().view(target);
@@ -222,8 +224,8 @@
         }
     }
 
-    /// Checks and marks an order; it leaves in a step of its own, so that a
-    /// freeze may come in between.
+    /// Checks and records an order; it is sent in a separate step, so that a pause may
+    /// come in between.
     fn order(&mut self, name: &str, now: Time, target: &TargetName, order: Order) {
         let fencing = self.fencing(target);
         let entry = self.entry(name).unwrap();
@@ -323,7 +325,7 @@
         self.step(name, 700, Step::Retry(id));
     }
 
-    /// Dates of keys stand still: each key has one date.
+    /// Returns the date of dated keys, which is constant so that retries of a key agree.
     fn key_epoch(&self) -> u64 {
         1_000_000_000
     }
--- a/crates/scenarios/src/world/audit.rs
+++ b/crates/scenarios/src/world/audit.rs
@@ -1,4 +1,4 @@
-//! What is looked at over and over, and at the end.
+//! Invariants checked during a run, and convergence at its end.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,8 +7,8 @@
 use super::{Proc, World};
 
 impl World {
-    /// Looks for two instances that believe to be in charge of one engine,
-    /// each by its own clock; a frozen one counts as well.
+    /// Checks that no two instances have full ownership of one engine, each by its own
+    /// clock; a paused instance counts too, as it may resume at any moment.
     pub(crate) fn audit(&mut self) {
         let mut full: BTreeMap<String, Vec<String>> = BTreeMap::new();
         for (name, node) in &self.nodes {
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Returns who is in charge of an engine, as the instances see it.
+    /// Returns the instance that has full ownership of an engine by its own clock.
     pub(crate) fn owner_of(&self, target: &str) -> Option<String> {
         let target = target.parse().unwrap();
         let owner = self.nodes.iter().find(|(name, node)| match &node.proc {
@@ -43,6 +43,7 @@
         owner.map(|(name, _)| name.clone())
     }
 
+    /// Returns the ownership that an instance has of an engine, as scripts name it.
     pub(crate) fn own(&self, name: &str, target: &str) -> String {
         let Proc::Entry(entry) = &self.nodes[name].proc else {
             return "none".to_owned();
@@ -56,7 +57,8 @@
         own.to_owned()
     }
 
-    /// Checks that everybody agrees again, after faults are over.
+    /// Checks that every engine has an owner and all instances have the newest text, once
+    /// faults are over.
     pub(crate) fn converged(&mut self) -> Result<(), String> {
         let engines = self.names(|p| matches!(p, Proc::Engine(_)));
         let zones = self.names(World::is_entry).into_iter();
--- a/crates/scenarios/src/world/deliver.rs
+++ b/crates/scenarios/src/world/deliver.rs
@@ -1,4 +1,4 @@
-//! What nodes do with messages.
+//! Handles messages that arrive at a node.
 
 use std::collections::BTreeSet;
 
@@ -78,9 +78,11 @@
         }
     }
 
-    /// Leaves out requests of instances that the platform's list has dropped:
-    /// after ten minutes of silence the leader believes the list. The design
-    /// note names this as what remains.
+    /// Leaves out requests of instances that the platform no longer lists.
+    ///
+    /// Once an instance was not heard from within ten minutes, the leader relies on the
+    /// platform's list, and its requests may be interrupted. The design notes list this as
+    /// a known limitation.
     fn without_unlisted(&mut self, mut evicted: Evicted) -> Option<Evicted> {
         let (pending, listed) = (&self.pending, &self.listed);
         let before = evicted.requests.len();
@@ -197,7 +199,7 @@
         }
     }
 
-    /// Returns the leader, which alone answers beats.
+    /// Returns the leader, which alone answers heartbeats.
     fn last_sender(&mut self, _id: u64) -> Option<String> {
         let keepers = self.keepers.clone();
         keepers.into_iter().find(|name| {
@@ -259,8 +261,8 @@
         }
     }
 
-    /// Takes an engine's answer to an order; `known` says that it is still the engine
-    /// that the order was meant for.
+    /// Handles an engine's answer to an order; `known` tells whether it is still the
+    /// incarnation that the order was sent to.
     fn on_ordered(
         &mut self,
         name: &str,
@@ -288,7 +290,7 @@
         if answer == Answer::Refused || !known {
             return;
         }
-        // What somebody else loaded is used only by who is in charge.
+        // An adapter that another instance loaded is used only under full ownership.
         let fresh = answer == Answer::Done;
         let usable = match entry.holder.ownership(now, &target) {
             Ownership::Full { .. } => true,
@@ -307,7 +309,7 @@
         self.hold(name, input);
     }
 
-    /// Takes an engine's report of what it holds.
+    /// Handles an engine's report of its loaded adapters.
     fn on_report(
         &mut self,
         name: &str,
@@ -349,8 +351,8 @@
         }
     }
 
-    /// Lets the answer to the question just asked come back under `id`, the
-    /// request's own number.
+    /// Registers the latest call under `id`, the request's own number, which its answer
+    /// carries.
     pub(crate) fn alias(&mut self, id: u64) {
         let asked = self.next_question();
         if let Some(pending) = self.pending.remove(&asked) {
@@ -358,7 +360,7 @@
         }
     }
 
-    /// Returns the number of the question asked last.
+    /// Returns the id of the latest call.
     pub(crate) fn next_question(&self) -> u64 {
         self.pending.last_key_value().map_or(0, |(id, _)| *id)
     }
--- a/crates/scenarios/src/world/faults.rs
+++ b/crates/scenarios/src/world/faults.rs
@@ -1,4 +1,4 @@
-//! Faults, and what operators and the platform do.
+//! Injected faults, and actions of operators and the platform.
 
 use std::time::Duration;
 
@@ -59,8 +59,8 @@
         if let Some(node) = self.nodes.get_mut(name) {
             node.up = false;
         }
-        // The kernel closes the connections of a dead process, and an engine
-        // ends requests that nobody waits for.
+        // The kernel closes the connections of a dead process, and an engine cancels
+        // requests whose caller is gone.
         let theirs: Vec<_> = {
             let asked = self.pending.iter().filter(|(_, (owner, ..))| owner == name);
             asked.map(|(id, _)| *id).collect()
@@ -112,7 +112,8 @@
         self.keepers.iter().find(|name| leads(name)).cloned()
     }
 
-    /// An operator edits the newest version that it sees.
+    /// Sends a change of the text that any control instance has, based on a version that is
+    /// `back` versions older.
     pub(crate) fn operate(&mut self, id: &str, back: u64) {
         let keepers = self.names(|p| matches!(p, Proc::Keeper(_)));
         let Some(any) = self.pick(&keepers) else {
@@ -138,7 +139,7 @@
         self.step("op", 3_000, Step::Resend(id));
     }
 
-    /// Sends a change again whose answer did not come.
+    /// Retries a change that was not answered.
     pub(crate) fn resend_change(&mut self, id: u64) {
         if let Some((_, _, Pending::Change(apply))) = self.pending.remove(&id) {
             self.send_change(apply);
@@ -162,7 +163,7 @@
         }
     }
 
-    /// Returns the nodes that `what` means: a node, a zone, or `*`.
+    /// Returns the nodes that `what` names: a node, a zone, `not ZONE`, or `*` for all.
     fn matching(&self, what: &str) -> Vec<String> {
         if what == "*" {
             return self.nodes.keys().cloned().collect();
--- a/crates/scenarios/tests/scenarios.rs
+++ b/crates/scenarios/tests/scenarios.rs
@@ -1,7 +1,7 @@
-//! Each script under its seeds.
+//! Runs each script with its seeds.
 //!
-//! `cargo xtask soak-control --from SEED --seeds N` runs every script under many
-//! seeds and prints the first that fails with its trace.
+//! `cargo xtask soak-control --from SEED --seeds N` runs every script with many
+//! seeds and prints the first failure with its trace.
 
 use std::{
     ops::Range,
@@ -11,7 +11,7 @@
 use googletest::prelude::*;
 use scenarios::SCRIPTS;
 
-/// Threads of a soak; it shares its machine with other work.
+/// Threads of a soak run, which leaves the other cores of its machine to other work.
 const THREADS: usize = 4;
 
 fn check((name, seeds): (&str, Range<u64>)) {
@@ -22,7 +22,7 @@
 }
 
 base::cases! {
-    /// Seeds of an ordinary run; together some two hundred.
+    /// Seeds of an ordinary test run; together some two hundred.
     scenario: check => {
         calm: ("calm", 1..5),
         isolated: ("isolated", 1..21),
