--- a/crates/scenarios/src/check.rs
+++ b/crates/scenarios/src/check.rs
@@ -62,13 +62,13 @@
         let first = self
             .fences
             .entry(key)
-            .or_insert_with(|| sender.life.clone())
+            .or_insert_with(|| sender.incarnation.clone())
             .clone();
-        if first != sender.life {
+        if first != sender.incarnation {
             let fence = sender.fence;
             self.fail(
                 now,
-                format!("{target}: fencing number {fence} used by {first:?} and {:?}", sender.life),
+                format!("{target}: fencing number {fence} used by {first:?} and {:?}", sender.incarnation),
             );
         }
         let Some(evicted) = evicted else {
@@ -87,18 +87,18 @@
     }
 
     /// Checks that at most one instance has full ownership of a target.
-    pub(crate) fn owners(&mut self, now: Time, target: &str, full: &[String]) {
-        if full.len() > 1 {
-            self.fail(now, format!("{target}: several owners at the same time: {full:?}"));
+    pub(crate) fn owners(&mut self, now: Time, target: &str, owners: &[String]) {
+        if owners.len() > 1 {
+            self.fail(now, format!("{target}: several owners at the same time: {owners:?}"));
         }
     }
 
     /// Checks that the text version in force at an instance never decreases.
-    pub(crate) fn text(&mut self, now: Time, life: (String, u64), version: TextVersion) {
-        let last = self.texts.entry(life.clone()).or_default();
+    pub(crate) fn text(&mut self, now: Time, incarnation: (String, u64), version: TextVersion) {
+        let last = self.texts.entry(incarnation.clone()).or_default();
         if version < *last {
             let last = *last;
-            self.fail(now, format!("{life:?}: text went from {last} to {version}"));
+            self.fail(now, format!("{incarnation:?}: text went from {last} to {version}"));
             return;
         }
         *last = version;
--- a/crates/scenarios/src/engine.rs
+++ b/crates/scenarios/src/engine.rs
@@ -22,7 +22,7 @@
 /// The sender of an order, and when it checked that its lease permits the order.
 #[derive(Clone, Debug)]
 pub(crate) struct Sender {
-    pub(crate) life: (String, u64),
+    pub(crate) incarnation: (String, u64),
     pub(crate) fence: Fence,
     pub(crate) checked: Time,
 }
--- a/crates/scenarios/src/entry.rs
+++ b/crates/scenarios/src/entry.rs
@@ -37,8 +37,8 @@
 pub(crate) struct Entry {
     pub(crate) name: String,
     pub(crate) zone: String,
-    pub(crate) life: u64,
-    pub(crate) holder: Lessee,
+    pub(crate) incarnation: u64,
+    pub(crate) lessee: Lessee,
     pub(crate) targets: Targets,
     pub(crate) views: BTreeMap<TargetName, View>,
     pub(crate) engines: Vec<TargetName>,
@@ -55,13 +55,13 @@
 }
 
 impl Entry {
-    pub(crate) fn new(name: &str, zone: &str, life: u64, now: Time) -> Self {
+    pub(crate) fn new(name: &str, zone: &str, incarnation: u64, now: Time) -> Self {
         let config = Config::default();
         Entry {
             name: name.to_owned(),
             zone: zone.to_owned(),
-            life,
-            holder: Lessee::new(config, name.parse().unwrap(), zone.parse().unwrap(), now),
+            incarnation,
+            lessee: Lessee::new(config, name.parse().unwrap(), zone.parse().unwrap(), now),
             targets: Targets::default(),
             views: BTreeMap::new(),
             engines: Vec::new(),
@@ -75,28 +75,28 @@
         }
     }
 
-    pub(crate) fn beat(&mut self) -> Beat {
+    pub(crate) fn heartbeat(&mut self) -> Beat {
         self.serial += 1;
         let tell = std::mem::take(&mut self.tell);
         Beat {
             instance: self.name.parse().unwrap(),
             zone: self.zone.parse().unwrap(),
-            incarnation: Incarnation(self.life),
+            incarnation: Incarnation(self.incarnation),
             peer: format!("10.0.0.{}", self.name),
             text: self.text,
-            leaving: self.holder.leaving(),
+            leaving: self.lessee.leaving(),
             serial: self.serial,
-            heard: self.holder.heard(),
-            roster: self.holder.roster(),
+            heard: self.lessee.heard(),
+            roster: self.lessee.roster(),
             engines: tell.then(|| self.engines.clone()),
-            busy: self.holder.busy(),
+            busy: self.lessee.busy(),
             shares: Vec::new(),
             loads: 1,
         }
     }
 
     /// Returns the adapters that this instance's requests use at an engine.
-    pub(crate) fn using(&self, target: &TargetName) -> BTreeSet<Resident> {
+    pub(crate) fn in_use(&self, target: &TargetName) -> BTreeSet<Resident> {
         let view = self.views.get(target);
         let running = view.into_iter().flat_map(|view| view.running.values());
         running.map(|(adapter, _)| resident(adapter)).collect()
@@ -129,7 +129,7 @@
 
 /// A permission to send to a target, checked at `at` and used in a later step.
 #[derive(Clone, Debug)]
-pub(crate) struct Checked {
+pub(crate) struct Permit {
     pub(crate) target: TargetName,
     pub(crate) fence: Fence,
     pub(crate) at: Time,
--- a/crates/scenarios/src/keeper.rs
+++ b/crates/scenarios/src/keeper.rs
@@ -21,7 +21,7 @@
 }
 
 #[derive(Debug)]
-pub(crate) struct Keeper {
+pub(crate) struct ControlNode {
     pub(crate) control: Control,
     pub(crate) disk: Disk,
     pub(crate) writes: VecDeque<Write>,
@@ -30,7 +30,7 @@
     pub(crate) tickets: u64,
 }
 
-impl Keeper {
+impl ControlNode {
     pub(crate) fn new(name: &str, peers: &[String], disk: Disk, seed: u64) -> Self {
         let id = ReplicaId {
             instance: name.parse().unwrap(),
@@ -53,7 +53,7 @@
             ..Config::default()
         };
         let check = |_: &str| Ok(Checked { rate: PerSecond(5) });
-        Keeper {
+        ControlNode {
             control: Control::new(config, replica, Box::new(check)),
             disk,
             writes: VecDeque::new(),
--- a/crates/scenarios/src/script.rs
+++ b/crates/scenarios/src/script.rs
@@ -10,7 +10,7 @@
 use crate::world::{Proc, World};
 
 type Shared = Arc<Mutex<World>>;
-type Checked = Result<(), Box<EvalAltResult>>;
+type ScriptResult = Result<(), Box<EvalAltResult>>;
 
 /// Runs one script with one seed.
 ///
@@ -21,7 +21,7 @@
     let world = Arc::new(Mutex::new(World::new(seed)));
     let mut engine = Engine::new();
     engine.set_max_operations(0);
-    words(&mut engine, &world);
+    register_functions(&mut engine, &world);
     let result = engine.run(text).map_err(|err| err.to_string());
     let world = world.lock().unwrap();
     let errors = world.check.errors.join("\n");
@@ -34,7 +34,7 @@
 }
 
 /// Registers a script function that acts on the world.
-macro_rules! word {
+macro_rules! function {
     ($engine:ident, $world:ident, $name:literal, |$w:ident $(, $arg:ident: $kind:ty)*| $body:expr) => {
         let shared: Shared = Arc::clone($world);
         $engine.register_fn($name, move |$($arg: $kind),*| {
@@ -44,8 +44,8 @@
     };
 }
 
-fn words(engine: &mut Engine, world: &Shared) {
-    word!(
+fn register_functions(engine: &mut Engine, world: &Shared) {
+    function!(
         engine,
         world,
         "engine",
@@ -53,69 +53,69 @@
             w.add_engine(name, zone, fencing, 3);
         }
     );
-    word!(engine, world, "entry", |w, name: &str, zone: &str| w
+    function!(engine, world, "entry", |w, name: &str, zone: &str| w
         .start_entry(name, zone, 1));
-    word!(engine, world, "run", |w, ms: i64| {
+    function!(engine, world, "run", |w, ms: i64| {
         w.run(u64::try_from(ms).unwrap());
-        sound(w)
+        check_errors(w)
     });
-    word!(engine, world, "rand", |w, n: i64| {
-        i64::try_from(w.roll(0..u64::try_from(n).unwrap())).unwrap()
+    function!(engine, world, "rand", |w, n: i64| {
+        i64::try_from(w.random(0..u64::try_from(n).unwrap())).unwrap()
     });
-    faults(engine, world);
-    checks(engine, world);
+    register_faults(engine, world);
+    register_checks(engine, world);
 }
 
-fn faults(engine: &mut Engine, world: &Shared) {
-    word!(engine, world, "cut_one", |w, from: &str, to: &str| w
+fn register_faults(engine: &mut Engine, world: &Shared) {
+    function!(engine, world, "cut_one", |w, from: &str, to: &str| w
         .cut(from, to));
-    word!(engine, world, "cut", |w, a: &str, b: &str| {
+    function!(engine, world, "cut", |w, a: &str, b: &str| {
         w.cut(a, b);
         w.cut(b, a);
     });
-    word!(engine, world, "cut_zone", |w, zone: &str| {
+    function!(engine, world, "cut_zone", |w, zone: &str| {
         let others = format!("not {zone}");
         w.cut(zone, &others);
         w.cut(&others, zone);
     });
-    word!(engine, world, "heal", |w| w.heal());
-    word!(engine, world, "freeze", |w, name: &str, ms: i64| {
+    function!(engine, world, "heal", |w| w.heal());
+    function!(engine, world, "freeze", |w, name: &str, ms: i64| {
         w.freeze(name, u64::try_from(ms).unwrap());
     });
-    word!(engine, world, "thaw", |w| w.thaw_all());
-    word!(engine, world, "kill", |w, name: &str| w.kill(name));
-    word!(engine, world, "restart", |w, name: &str| w.restart(name));
-    word!(engine, world, "unlist", |w, name: &str| {
+    function!(engine, world, "thaw", |w| w.thaw_all());
+    function!(engine, world, "kill", |w, name: &str| w.kill(name));
+    function!(engine, world, "restart", |w, name: &str| w.restart(name));
+    function!(engine, world, "unlist", |w, name: &str| {
         w.listed.remove(name);
     });
-    word!(engine, world, "renounce", |w, name: &str| w.renounce(name));
-    word!(engine, world, "hand_over", |w, name: &str| w
+    function!(engine, world, "renounce", |w, name: &str| w.renounce(name));
+    function!(engine, world, "hand_over", |w, name: &str| w
         .hand_over(name));
-    word!(engine, world, "operate", |w, id: &str, back: i64| {
+    function!(engine, world, "operate", |w, id: &str, back: i64| {
         w.operate(id, u64::try_from(back).unwrap());
     });
-    word!(engine, world, "any", |w, kind: &str| {
+    function!(engine, world, "any", |w, kind: &str| {
         let names = match kind {
             "entry" => w.names(World::is_entry),
             "engine" => w.names(|p| matches!(p, Proc::Engine(_))),
-            _ => w.names(|p| matches!(p, Proc::Keeper(_))),
+            _ => w.names(|p| matches!(p, Proc::Control(_))),
         };
         w.pick(&names).unwrap_or_default()
     });
 }
 
-fn checks(engine: &mut Engine, world: &Shared) {
-    word!(engine, world, "leader", |w| w.leader().unwrap_or_default());
-    word!(engine, world, "owner", |w, target: &str| w
+fn register_checks(engine: &mut Engine, world: &Shared) {
+    function!(engine, world, "leader", |w| w.leader().unwrap_or_default());
+    function!(engine, world, "owner", |w, target: &str| w
         .owner_of(target)
         .unwrap_or_default());
-    word!(engine, world, "own", |w, name: &str, target: &str| w
-        .own(name, target));
-    word!(engine, world, "up", |w, name: &str| w
+    function!(engine, world, "own", |w, name: &str, target: &str| w
+        .ownership_name(name, target));
+    function!(engine, world, "up", |w, name: &str| w
         .nodes
         .get(name)
         .is_some_and(|n| n.up));
-    word!(engine, world, "count", |w, what: &str| {
+    function!(engine, world, "count", |w, what: &str| {
         let count = match what {
             "orders" => w.check.orders,
             "requests" => w.check.requests,
@@ -125,16 +125,16 @@
         };
         i64::from(count)
     });
-    word!(engine, world, "converged", |w| {
+    function!(engine, world, "converged", |w| {
         w.converged()?;
-        sound(w)
+        check_errors(w)
     });
-    engine.register_fn("expect", |ok: bool, what: &str| -> Checked {
+    engine.register_fn("expect", |ok: bool, what: &str| -> ScriptResult {
         if ok { Ok(()) } else { Err(what.into()) }
     });
 }
 
-fn sound(world: &World) -> Checked {
+fn check_errors(world: &World) -> ScriptResult {
     match world.check.errors.first() {
         Some(error) => Err(error.clone().into()),
         None => Ok(()),
--- a/crates/scenarios/src/world.rs
+++ b/crates/scenarios/src/world.rs
@@ -22,8 +22,8 @@
 use crate::{
     check::Checker,
     engine::{Answer, Engine, Order, Sender},
-    entry::{Checked, Entry},
-    keeper::{Disk, Keeper, Write},
+    entry::{Permit, Entry},
+    keeper::{Disk, ControlNode, Write},
 };
 
 /// A message between two nodes.
@@ -47,32 +47,33 @@
 #[derive(Clone, Debug)]
 pub(crate) enum Step {
     Wake(u64),
-    Beat { again: bool },
+    Heartbeat { again: bool },
     Work,
-    Claim,
-    Retry(u64),
-    SendOrder(Checked, Order),
-    SendRequest(Checked, u64, String),
+    BeginMarked,
+    RetryClaim(u64),
+    SendOrder(Permit, Order),
+    SendRequest(Permit, u64, String),
     SendMarked(u64),
-    MarkedLost(u64),
+    MarkedTimedOut(u64),
     Sync,
-    Clocks,
-    PassLost(Ticket),
+    /// Passes the wall clock and the platform's list to a control instance.
+    PlatformInput,
+    ForwardTimedOut(Ticket),
     EndRequest(u64),
-    Resend(u64),
+    RetryChange(u64),
 }
 
 /// What a sent message asked for, so that its answer can be handled.
 #[derive(Clone, Debug)]
 pub(crate) enum Pending {
-    Beat,
+    Heartbeat,
     Confirm(String, TargetName, u64),
     Claim(u64),
     Execute(u64),
-    Order(TargetName, Order, Checked, Option<Observation>),
+    Order(TargetName, Order, Permit, Option<Observation>),
     Request(TargetName, u64),
     Report(TargetName, Observation, Time),
-    Pass(Ticket),
+    Forward(Ticket),
     Change(Apply),
     Other,
 }
@@ -85,7 +86,7 @@
 
 #[derive(Debug)]
 pub(crate) enum Proc {
-    Keeper(Box<Keeper>),
+    Control(Box<ControlNode>),
     Entry(Box<Entry>),
     Engine(Box<Engine>),
     Service,
@@ -97,7 +98,7 @@
 pub(crate) struct Node {
     pub(crate) proc: Proc,
     pub(crate) zone: String,
-    pub(crate) life: u64,
+    pub(crate) incarnation: u64,
     pub(crate) up: bool,
     /// The node is paused until this time.
     pub(crate) frozen: Time,
@@ -124,7 +125,7 @@
     queue: BinaryHeap<Reverse<(Time, u64, String)>>,
     events: BTreeMap<u64, Event>,
     disks: BTreeMap<String, Disk>,
-    keepers: Vec<String>,
+    control_nodes: Vec<String>,
     next: u64,
 }
 
@@ -142,18 +143,18 @@
             queue: BinaryHeap::new(),
             events: BTreeMap::new(),
             disks: BTreeMap::new(),
-            keepers: ["k1", "k2", "k3"].map(String::from).to_vec(),
+            control_nodes: ["k1", "k2", "k3"].map(String::from).to_vec(),
             next: 0,
         };
         for (name, zone) in [("k1", "za"), ("k2", "zb"), ("k3", "zc")] {
-            world.start_keeper(name, zone, 1);
+            world.start_control(name, zone, 1);
         }
         world.add("svc", "hub", Proc::Service, 1);
         world.add("op", "hub", Proc::Operator, 1);
         world
     }
 
-    pub(crate) fn roll(&mut self, range: std::ops::Range<u64>) -> u64 {
+    pub(crate) fn random(&mut self, range: std::ops::Range<u64>) -> u64 {
         self.rng.random_range(range)
     }
 
@@ -183,7 +184,7 @@
             }
             if *at >= audit {
                 self.now = audit.max(self.now);
-                self.audit();
+                self.check_owners();
                 audit = audit + Duration::from_millis(20);
                 continue;
             }
@@ -194,7 +195,7 @@
             let Some(event) = self.events.remove(&seq) else {
                 continue;
             };
-            self.happen(to, event);
+            self.dispatch(to, event);
         }
         self.now = end;
     }
@@ -211,9 +212,9 @@
         Duration::from_micros(wait * 1_000 / self.nodes[name].drift + 2_000)
     }
 
-    pub(crate) fn add(&mut self, name: &str, zone: &str, proc: Proc, life: u64) {
-        let drift = 980 + self.roll(0..41);
-        let offset = self.roll(1..100_000_000_000);
+    pub(crate) fn add(&mut self, name: &str, zone: &str, proc: Proc, incarnation: u64) {
+        let drift = 980 + self.random(0..41);
+        let offset = self.random(1..100_000_000_000);
         let (drift, offset) = match self.nodes.get(name) {
             Some(old) => (old.drift, old.offset),
             None => (drift, offset),
@@ -221,7 +222,7 @@
         let node = Node {
             proc,
             zone: zone.to_owned(),
-            life,
+            incarnation,
             up: true,
             frozen: Time::ZERO,
             wake: 0,
@@ -231,18 +232,18 @@
         self.nodes.insert(name.to_owned(), node);
     }
 
-    pub(crate) fn start_keeper(&mut self, name: &str, zone: &str, life: u64) {
+    pub(crate) fn start_control(&mut self, name: &str, zone: &str, incarnation: u64) {
         let disk = self.disks.get(name).cloned().unwrap_or_default();
-        let seed = self.roll(0..u64::MAX);
-        let keeper = Keeper::new(name, &self.keepers, disk, seed);
-        self.add(name, zone, Proc::Keeper(Box::new(keeper)), life);
-        self.step(name, 1, Step::Clocks);
+        let seed = self.random(0..u64::MAX);
+        let control_node = ControlNode::new(name, &self.control_nodes, disk, seed);
+        self.add(name, zone, Proc::Control(Box::new(control_node)), incarnation);
+        self.step(name, 1, Step::PlatformInput);
         self.wake(name, Duration::from_millis(1));
     }
 
-    pub(crate) fn start_entry(&mut self, name: &str, zone: &str, life: u64) {
-        self.add(name, zone, Proc::Service, life);
-        let mut entry = Entry::new(name, zone, life, self.local(name));
+    pub(crate) fn start_entry(&mut self, name: &str, zone: &str, incarnation: u64) {
+        self.add(name, zone, Proc::Service, incarnation);
+        let mut entry = Entry::new(name, zone, incarnation, self.local(name));
         let here = self.nodes.iter().filter(|(_, node)| node.zone == zone);
         for (engine, node) in here {
             if let Proc::Engine(fake) = &node.proc {
@@ -253,10 +254,10 @@
         entry.targets.apply_list(&self.platform_list());
         self.nodes.get_mut(name).unwrap().proc = Proc::Entry(Box::new(entry));
         self.listed.insert(name.to_owned());
-        self.step(name, 5, Step::Beat { again: true });
+        self.step(name, 5, Step::Heartbeat { again: true });
         self.step(name, 50, Step::Work);
-        let wait = self.roll(500..1_500);
-        self.step(name, wait, Step::Claim);
+        let wait = self.random(500..1_500);
+        self.step(name, wait, Step::BeginMarked);
     }
 
     pub(crate) fn entry(&mut self, name: &str) -> Option<&mut Entry> {
@@ -266,9 +267,9 @@
         }
     }
 
-    pub(crate) fn keeper(&mut self, name: &str) -> Option<&mut Keeper> {
+    pub(crate) fn control_node(&mut self, name: &str) -> Option<&mut ControlNode> {
         match &mut self.nodes.get_mut(name)?.proc {
-            Proc::Keeper(keeper) => Some(keeper),
+            Proc::Control(control_node) => Some(control_node),
             _ => None,
         }
     }
@@ -290,10 +291,10 @@
 
     /// Schedules a step of the current incarnation of `name` in `ms` milliseconds.
     pub(crate) fn step(&mut self, name: &str, ms: u64, step: Step) {
-        let life = self.nodes[name].life;
-        let jitter = self.roll(0..1_000);
+        let incarnation = self.nodes[name].incarnation;
+        let jitter = self.random(0..1_000);
         let at = self.now + Duration::from_micros(ms * 1_000 + jitter);
-        self.push(at, name, Event::Step(life, step));
+        self.schedule(at, name, Event::Step(incarnation, step));
     }
 
     /// Wakes the current incarnation of `name` after `wait`; replaces earlier wake-ups.
@@ -302,9 +303,9 @@
             return;
         };
         node.wake += 1;
-        let (life, wake) = (node.life, node.wake);
+        let (incarnation, wake) = (node.incarnation, node.wake);
         let at = self.now + wait.min(Duration::from_secs(60));
-        self.push(at, name, Event::Step(life, Step::Wake(wake)));
+        self.schedule(at, name, Event::Step(incarnation, Step::Wake(wake)));
     }
 
     /// Sends a message, which is lost if the link is cut.
@@ -313,18 +314,18 @@
             return;
         }
         // One message in a hundred is delayed by up to two seconds.
-        let late = self.roll(0..100) == 0;
+        let late = self.random(0..100) == 0;
         let delay = if late {
-            self.roll(5_000..2_000_000)
+            self.random(5_000..2_000_000)
         } else {
-            self.roll(500..4_000)
+            self.random(500..4_000)
         };
         let at = self.now + Duration::from_micros(delay);
-        self.push(at, to, Event::Deliver(from.to_owned(), msg));
+        self.schedule(at, to, Event::Deliver(from.to_owned(), msg));
     }
 
     /// Sends a message whose answer is handled as `pending`.
-    pub(crate) fn ask(
+    pub(crate) fn call(
         &mut self,
         from: &str,
         to: &str,
@@ -333,18 +334,18 @@
     ) {
         self.next += 1;
         let id = self.next;
-        let life = self.nodes[from].life;
-        self.pending.insert(id, (from.to_owned(), life, pending));
+        let incarnation = self.nodes[from].incarnation;
+        self.pending.insert(id, (from.to_owned(), incarnation, pending));
         self.send(from, to, msg(id));
     }
 
-    fn push(&mut self, at: Time, to: &str, event: Event) {
+    fn schedule(&mut self, at: Time, to: &str, event: Event) {
         self.next += 1;
         self.events.insert(self.next, event);
         self.queue.push(Reverse((at, self.next, to.to_owned())));
     }
 
-    fn happen(&mut self, to: String, event: Event) {
+    fn dispatch(&mut self, to: String, event: Event) {
         let Some(node) = self.nodes.get(&to) else {
             return;
         };
@@ -354,11 +355,11 @@
         // A paused process takes the event once it resumes.
         if node.frozen > self.now {
             let at = node.frozen;
-            self.push(at, &to, event);
+            self.schedule(at, &to, event);
             return;
         }
         match event {
-            Event::Step(life, _) if life != node.life => {}
+            Event::Step(incarnation, _) if incarnation != node.incarnation => {}
             Event::Step(_, Step::Wake(wake)) if wake != node.wake => {}
             Event::Step(_, step) => self.take_step(&to, step),
             Event::Deliver(from, msg) => {
@@ -370,19 +371,19 @@
     }
 
     /// Passes one input to a control instance and carries out its outputs.
-    pub(crate) fn drive_keeper(&mut self, name: &str, input: Input) {
+    pub(crate) fn drive_control(&mut self, name: &str, input: Input) {
         let now = self.local(name);
-        let Some(keeper) = self.keeper(name) else {
+        let Some(control_node) = self.control_node(name) else {
             return;
         };
         let mut out = Vec::new();
-        keeper.control.handle(now, input, &mut out);
+        control_node.control.handle(now, input, &mut out);
         for output in out {
-            self.keeper_output(name, output);
+            self.control_output(name, output);
         }
     }
 
-    fn keeper_output(&mut self, name: &str, output: Output) {
+    fn control_output(&mut self, name: &str, output: Output) {
         match output {
             Output::Reply { ticket, reply } => {
                 self.answer(name, ticket, |id| Msg::Reply(id, reply))
@@ -392,13 +393,13 @@
             }
             Output::Forward { ticket, to, apply } => {
                 let call = Call::Apply(apply);
-                self.ask(name, to.as_str(), Pending::Pass(ticket), |id| {
+                self.call(name, to.as_str(), Pending::Forward(ticket), |id| {
                     Msg::Call(id, call)
                 });
-                self.step(name, 1_500, Step::PassLost(ticket));
+                self.step(name, 1_500, Step::ForwardTimedOut(ticket));
             }
             Output::Send { to, call } => {
-                self.ask(name, to.as_str(), Pending::Other, |id| Msg::Call(id, call));
+                self.call(name, to.as_str(), Pending::Other, |id| Msg::Call(id, call));
             }
             Output::Write { no, records } => self.write(name, Write::Append(no, records)),
             Output::Rewrite {
@@ -417,17 +418,17 @@
     }
 
     fn answer(&mut self, name: &str, ticket: Ticket, msg: impl FnOnce(u64) -> Msg) {
-        let caller = self.keeper(name).and_then(|k| k.callers.remove(&ticket));
+        let caller = self.control_node(name).and_then(|k| k.callers.remove(&ticket));
         if let Some((to, id)) = caller {
             self.send(name, &to, msg(id));
         }
     }
 
     fn write(&mut self, name: &str, write: Write) {
-        if let Some(keeper) = self.keeper(name) {
-            keeper.writes.push_back(write);
+        if let Some(control_node) = self.control_node(name) {
+            control_node.writes.push_back(write);
         }
-        let wait = self.roll(1..6);
+        let wait = self.random(1..6);
         self.step(name, wait, Step::Sync);
     }
 }
--- a/crates/scenarios/src/world/act.rs
+++ b/crates/scenarios/src/world/act.rs
@@ -2,13 +2,13 @@
 
 use base::{TargetName, Time};
 use control::Input;
-use owner::{Input as Holding, Order as Wanted, Output as Told, Ownership};
+use owner::{Input as LeaseInput, Order as LeaseOrder, Output as LeaseOutput, Ownership};
 use wire::call::{Call, Claim, Fate, Settle};
 
 use super::{Msg, Pending, Proc, Step, World};
 use crate::{
     engine::{Order, Sender},
-    entry::{Checked, Marked, resident},
+    entry::{Permit, Marked, resident},
 };
 
 /// Time after which an entry instance gives up a request and closes its connection.
@@ -20,81 +20,81 @@
     pub(crate) fn take_step(&mut self, name: &str, step: Step) {
         match step {
             Step::Wake(_) => match self.nodes[name].proc {
-                Proc::Keeper(_) => self.drive_keeper(name, Input::Wake),
-                _ => self.hold(name, Holding::Wake),
+                Proc::Control(_) => self.drive_control(name, Input::Wake),
+                _ => self.drive_lessee(name, LeaseInput::Wake),
             },
-            Step::Beat { again } => self.beat(name, again),
+            Step::Heartbeat { again } => self.heartbeat(name, again),
             Step::Work => self.work(name),
-            Step::Claim => self.begin_marked(name),
-            Step::Retry(id) => self.send_claim(name, id),
-            Step::SendOrder(checked, order) => self.send_order(name, checked, order),
-            Step::SendRequest(checked, id, adapter) => {
-                let target = checked.target.clone();
+            Step::BeginMarked => self.begin_marked(name),
+            Step::RetryClaim(id) => self.send_claim(name, id),
+            Step::SendOrder(permit, order) => self.send_order(name, permit, order),
+            Step::SendRequest(permit, id, adapter) => {
+                let target = permit.target.clone();
                 let pending = Pending::Request(target.clone(), id);
-                self.ask(name, target.as_str(), pending, |_| {
+                self.call(name, target.as_str(), pending, |_| {
                     Msg::Request(id, adapter)
                 });
-                self.alias(id);
+                self.alias_last_call(id);
             }
             Step::SendMarked(id) => self.send_marked(name, id),
-            Step::MarkedLost(id) => self.settle(name, id, Fate::MayHaveRun),
+            Step::MarkedTimedOut(id) => self.settle(name, id, Fate::MayHaveRun),
             Step::Sync => {
-                let upto = self.keeper(name).and_then(crate::keeper::Keeper::sync);
+                let upto = self.control_node(name).and_then(crate::keeper::ControlNode::sync);
                 if let Some(upto) = upto {
-                    self.drive_keeper(name, Input::Synced { upto });
+                    self.drive_control(name, Input::Synced { upto });
                 }
             }
-            Step::Clocks => {
+            Step::PlatformInput => {
                 let ms = self.now.as_millis() + 1_000_000_000;
                 let instances = self.listed.iter().map(|n| n.parse().unwrap()).collect();
-                self.drive_keeper(name, Input::Wall { ms });
-                self.drive_keeper(name, Input::List { instances });
-                self.step(name, 5_000, Step::Clocks);
+                self.drive_control(name, Input::Wall { ms });
+                self.drive_control(name, Input::List { instances });
+                self.step(name, 5_000, Step::PlatformInput);
             }
-            Step::PassLost(ticket) => {
+            Step::ForwardTimedOut(ticket) => {
                 let reply = None;
                 let open = self
-                    .keeper(name)
+                    .control_node(name)
                     .is_some_and(|k| k.callers.contains_key(&ticket));
                 if open {
-                    self.drive_keeper(name, Input::Forwarded { ticket, reply });
+                    self.drive_control(name, Input::Forwarded { ticket, reply });
                 }
             }
             Step::EndRequest(id) => self.end_request(name, id),
-            Step::Resend(id) => self.resend_change(id),
+            Step::RetryChange(id) => self.retry_change(id),
         }
     }
 
     /// Passes one input to an instance's [`owner::Lessee`] and carries out its outputs.
-    pub(crate) fn hold(&mut self, name: &str, input: Holding) {
+    pub(crate) fn drive_lessee(&mut self, name: &str, input: LeaseInput) {
         let now = self.local(name);
         let mut out = Vec::new();
         if let Some(entry) = self.entry(name) {
-            entry.holder.handle(now, input, &mut out);
+            entry.lessee.handle(now, input, &mut out);
         }
-        self.told(name, out);
+        self.lessee_outputs(name, out);
     }
 
-    pub(crate) fn told(&mut self, name: &str, out: Vec<Told>) {
+    pub(crate) fn lessee_outputs(&mut self, name: &str, out: Vec<LeaseOutput>) {
         for output in out {
             match output {
-                Told::Ask { to, round, confirm } => {
+                LeaseOutput::Ask { to, round, confirm } => {
                     let target = confirm.target.clone();
                     let pending = Pending::Confirm(to.to_string(), target, round);
                     let call = Call::Confirm(confirm);
-                    self.ask(name, to.as_str(), pending, |id| Msg::Call(id, call));
+                    self.call(name, to.as_str(), pending, |id| Msg::Call(id, call));
                 }
-                Told::Changed { target, ownership } => {
+                LeaseOutput::Changed { target, ownership } => {
                     self.log(|| format!("{name} {target} {ownership:?}"));
                     if ownership == Ownership::None {
-                        self.tell_using(name, &target);
+                        self.report_in_use(name, &target);
                     }
                 }
-                Told::Handover { to, handover } => {
+                LeaseOutput::Handover { to, handover } => {
                     let call = Call::Handover(handover);
-                    self.ask(name, to.as_str(), Pending::Other, |id| Msg::Call(id, call));
+                    self.call(name, to.as_str(), Pending::Other, |id| Msg::Call(id, call));
                 }
-                Told::Wake(at) => {
+                LeaseOutput::Wake(at) => {
                     let wait = self.after_local(name, at);
                     self.wake(name, wait);
                 }
@@ -102,38 +102,38 @@
         }
     }
 
-    pub(crate) fn tell_using(&mut self, name: &str, target: &TargetName) {
+    pub(crate) fn report_in_use(&mut self, name: &str, target: &TargetName) {
         let Some(entry) = self.entry(name) else {
             return;
         };
-        let adapters = entry.using(target);
+        let adapters = entry.in_use(target);
         let target = target.clone();
-        self.hold(name, Holding::InUse { target, adapters });
+        self.drive_lessee(name, LeaseInput::InUse { target, adapters });
     }
 
-    fn beat(&mut self, name: &str, again: bool) {
+    fn heartbeat(&mut self, name: &str, again: bool) {
         if again {
-            self.step(name, 1_000, Step::Beat { again });
+            self.step(name, 1_000, Step::Heartbeat { again });
         }
         let Some(serial) = self.entry(name).map(|entry| entry.serial + 1) else {
             return;
         };
-        self.hold(name, Holding::Sent { serial });
-        let keepers = self.keepers.clone();
-        let any = self.pick(&keepers).unwrap();
+        self.drive_lessee(name, LeaseInput::Sent { serial });
+        let control_nodes = self.control_nodes.clone();
+        let any = self.pick(&control_nodes).unwrap();
         let Some(entry) = self.entry(name) else {
             return;
         };
-        let beat = entry.beat();
+        let heartbeat = entry.heartbeat();
         // The leader is used once: without an answer the next heartbeat goes to any control
         // instance.
         let to = entry.leader.take().unwrap_or(any);
-        let call = Call::Beat(beat);
-        self.ask(name, &to, Pending::Beat, |id| Msg::Call(id, call));
+        let call = Call::Beat(heartbeat);
+        self.call(name, &to, Pending::Heartbeat, |id| Msg::Call(id, call));
     }
 
     fn work(&mut self, name: &str) {
-        let wait = self.roll(60..200);
+        let wait = self.random(60..200);
         self.step(name, wait, Step::Work);
         let now = self.local(name);
         let Some(entry) = self.entry(name) else {
@@ -142,19 +142,19 @@
         entry.expire(now, REQUEST_MS);
         let engines = entry.engines.clone();
         for target in &engines {
-            self.tell_using(name, target);
+            self.report_in_use(name, target);
         }
         let Some(target) = self.pick(&engines) else {
             return;
         };
-        let own = self.entry(name).unwrap().holder.ownership(now, &target);
+        let own = self.entry(name).unwrap().lessee.ownership(now, &target);
         if own == Ownership::None {
             return;
         }
-        if matches!(own, Ownership::Full { .. }) && self.roll(0..3) == 0 {
+        if matches!(own, Ownership::Full { .. }) && self.random(0..3) == 0 {
             self.report(name, now, &target);
         }
-        match self.roll(0..10) {
+        match self.random(0..10) {
             0..5 => self.request(name, now, &target),
             5..8 => self.load(name, now, &target),
             _ => self.unload(name, now, &target),
@@ -162,18 +162,18 @@
     }
 
     fn report(&mut self, name: &str, now: Time, target: &TargetName) {
-        let Some(watch) = self.entry(name).and_then(|e| e.targets.begin(target)) else {
+        let Some(observation) = self.entry(name).and_then(|e| e.targets.begin(target)) else {
             return;
         };
-        let pending = Pending::Report(target.clone(), watch, now);
-        self.ask(name, target.as_str(), pending, Msg::Report);
+        let pending = Pending::Report(target.clone(), observation, now);
+        self.call(name, target.as_str(), pending, Msg::Report);
     }
 
     fn request(&mut self, name: &str, now: Time, target: &TargetName) {
         let fencing = self.fencing(target);
         let entry = self.entry(name).unwrap();
-        let Some(fence) = entry.holder.may_send(now, target, fencing) else {
-            return self.touch(name, now, target);
+        let Some(fence) = entry.lessee.may_send(now, target, fencing) else {
+            return self.send_first_order(name, now, target);
         };
         let adapters: Vec<_> = entry.view(target).resident.iter().cloned().collect();
         let Some(adapter) = self.pick(&adapters) else {
@@ -184,13 +184,13 @@
         let view = self.entry(name).unwrap().view(target);
         view.running.insert(id, (adapter.clone(), now));
         let (target, at) = (target.clone(), self.now);
-        let checked = Checked { target, fence, at };
-        self.step(name, 0, Step::SendRequest(checked, id, adapter));
+        let permit = Permit { target, fence, at };
+        self.step(name, 0, Step::SendRequest(permit, id, adapter));
     }
 
     /// Sends the first order to an engine that checks fencing numbers: no request may be sent
     /// to it before it has accepted an order of this owner.
-    fn touch(&mut self, name: &str, now: Time, target: &TargetName) {
+    fn send_first_order(&mut self, name: &str, now: Time, target: &TargetName) {
         let adapters: Vec<_> = {
             let view = self.entry(name).unwrap().view(target);
             view.resident.iter().cloned().collect()
@@ -232,17 +232,17 @@
         let fence = match &order {
             Order::Load(adapter) => {
                 entry.view(target).loading.insert(adapter.clone(), now);
-                entry.holder.may_order(now, target, Wanted::Load, fencing)
+                entry.lessee.may_order(now, target, LeaseOrder::Load, fencing)
             }
             Order::Unload(adapter) => {
                 let wanted = resident(adapter);
                 let fence = entry
-                    .holder
-                    .may_order(now, target, Wanted::Unload(&wanted), fencing);
+                    .lessee
+                    .may_order(now, target, LeaseOrder::Unload(&wanted), fencing);
                 if fence.is_some() {
                     let (target, resident) = (target.clone(), wanted);
-                    let input = Holding::Unloading { target, resident };
-                    entry.holder.handle(now, input, &mut Vec::new());
+                    let input = LeaseInput::Unloading { target, resident };
+                    entry.lessee.handle(now, input, &mut Vec::new());
                 }
                 if fence.is_some() {
                     let view = entry.view(target);
@@ -254,38 +254,38 @@
         };
         if let Some(fence) = fence {
             let (target, at) = (target.clone(), self.now);
-            let checked = Checked { target, fence, at };
-            self.step(name, 0, Step::SendOrder(checked, order));
+            let permit = Permit { target, fence, at };
+            self.step(name, 0, Step::SendOrder(permit, order));
         }
     }
 
-    fn send_order(&mut self, name: &str, checked: Checked, order: Order) {
-        let life = (name.to_owned(), self.nodes[name].life);
+    fn send_order(&mut self, name: &str, permit: Permit, order: Order) {
+        let incarnation = (name.to_owned(), self.nodes[name].incarnation);
         let sender = Sender {
-            life,
-            fence: checked.fence,
-            checked: checked.at,
+            incarnation,
+            fence: permit.fence,
+            checked: permit.at,
         };
-        let target = checked.target.clone();
-        let watch = self.entry(name).and_then(|e| e.targets.begin(&target));
-        let pending = Pending::Order(target.clone(), order.clone(), checked, watch);
-        self.ask(name, target.as_str(), pending, |id| {
+        let target = permit.target.clone();
+        let observation = self.entry(name).and_then(|e| e.targets.begin(&target));
+        let pending = Pending::Order(target.clone(), order.clone(), permit, observation);
+        self.call(name, target.as_str(), pending, |id| {
             Msg::Order(id, order, sender)
         });
-        let id = self.next_question();
+        let id = self.last_call();
         self.entry(name).unwrap().view(&target).orders.insert(id);
     }
 
     fn begin_marked(&mut self, name: &str) {
-        let wait = self.roll(200..900);
-        self.step(name, wait, Step::Claim);
-        let key = u8::try_from(self.roll(0..KEYS)).unwrap();
-        let life = self.nodes[name].life;
+        let wait = self.random(200..900);
+        self.step(name, wait, Step::BeginMarked);
+        let key = u8::try_from(self.random(0..KEYS)).unwrap();
+        let incarnation = self.nodes[name].incarnation;
         let Some(entry) = self.entry(name) else {
             return;
         };
         entry.attempts += 1;
-        let id = life << 32 | entry.attempts;
+        let id = incarnation << 32 | entry.attempts;
         let marked = Marked {
             key,
             attempt: id,
@@ -297,8 +297,8 @@
     }
 
     pub(crate) fn send_claim(&mut self, name: &str, id: u64) {
-        let keepers = self.keepers.clone();
-        let any = self.pick(&keepers).unwrap();
+        let control_nodes = self.control_nodes.clone();
+        let any = self.pick(&control_nodes).unwrap();
         let epoch = self.key_epoch();
         let Some(entry) = self.entry(name) else {
             return;
@@ -319,10 +319,10 @@
             dated: (marked.key % 2 == 0).then_some(epoch),
         };
         let to = entry.leader.clone().unwrap_or(any);
-        self.ask(name, &to, Pending::Claim(id), |n| {
+        self.call(name, &to, Pending::Claim(id), |n| {
             Msg::Call(n, Call::Claim(claim))
         });
-        self.step(name, 700, Step::Retry(id));
+        self.step(name, 700, Step::RetryClaim(id));
     }
 
     /// Returns the date of dated keys, which is constant so that retries of a key agree.
@@ -337,14 +337,14 @@
             .map(|m| m.key);
         if let Some(key) = key {
             let key = key.to_string();
-            self.ask(name, "svc", Pending::Execute(id), |n| Msg::Execute(n, key));
-            self.step(name, 3_000, Step::MarkedLost(id));
+            self.call(name, "svc", Pending::Execute(id), |n| Msg::Execute(n, key));
+            self.step(name, 3_000, Step::MarkedTimedOut(id));
         }
     }
 
-    pub(crate) fn settle(&mut self, name: &str, id: u64, fate: Fate) {
-        let keepers = self.keepers.clone();
-        let any = self.pick(&keepers).unwrap();
+    pub(crate) fn settle(&mut self, name: &str, id: u64, outcome: Fate) {
+        let control_nodes = self.control_nodes.clone();
+        let any = self.pick(&control_nodes).unwrap();
         let Some(entry) = self.entry(name) else {
             return;
         };
@@ -356,16 +356,16 @@
             key: [marked.key; 16],
             instance: name.parse().unwrap(),
             attempt: marked.attempt,
-            fate,
+            fate: outcome,
         };
         let to = entry.leader.clone().unwrap_or(any);
-        self.ask(name, &to, Pending::Other, |n| {
+        self.call(name, &to, Pending::Other, |n| {
             Msg::Call(n, Call::Settle(settle))
         });
     }
 
     fn adapter(&mut self) -> String {
-        format!("a{}", self.roll(0..6))
+        format!("a{}", self.random(0..6))
     }
 
     pub(crate) fn fencing(&mut self, target: &TargetName) -> bool {
--- a/crates/scenarios/src/world/audit.rs
+++ b/crates/scenarios/src/world/audit.rs
@@ -9,7 +9,7 @@
 impl World {
     /// Checks that no two instances have full ownership of one engine, each by its own
     /// clock; a paused instance counts too, as it may resume at any moment.
-    pub(crate) fn audit(&mut self) {
+    pub(crate) fn check_owners(&mut self) {
         let mut full: BTreeMap<String, Vec<String>> = BTreeMap::new();
         for (name, node) in &self.nodes {
             let Proc::Entry(entry) = &node.proc else {
@@ -17,7 +17,7 @@
             };
             let now = self.local(name);
             for target in entry.engines.iter().filter(|_| node.up) {
-                if matches!(entry.holder.ownership(now, target), Ownership::Full { .. }) {
+                if matches!(entry.lessee.ownership(now, target), Ownership::Full { .. }) {
                     full.entry(target.to_string())
                         .or_default()
                         .push(name.clone());
@@ -36,7 +36,7 @@
         let owner = self.nodes.iter().find(|(name, node)| match &node.proc {
             Proc::Entry(entry) if node.up => {
                 let now = self.local(name);
-                matches!(entry.holder.ownership(now, &target), Ownership::Full { .. })
+                matches!(entry.lessee.ownership(now, &target), Ownership::Full { .. })
             }
             _ => false,
         });
@@ -44,12 +44,12 @@
     }
 
     /// Returns the ownership that an instance has of an engine, as scripts name it.
-    pub(crate) fn own(&self, name: &str, target: &str) -> String {
+    pub(crate) fn ownership_name(&self, name: &str, target: &str) -> String {
         let Proc::Entry(entry) = &self.nodes[name].proc else {
             return "none".to_owned();
         };
         let target = target.parse().unwrap();
-        let own = match entry.holder.ownership(self.local(name), &target) {
+        let own = match entry.lessee.ownership(self.local(name), &target) {
             Ownership::Full { .. } => "full",
             Ownership::Restricted { .. } => "restricted",
             Ownership::None => "none",
@@ -68,14 +68,14 @@
                 return Err(format!("{engine} has no owner"));
             }
         }
-        let keepers = self.names(|p| matches!(p, Proc::Keeper(_)));
+        let control_nodes = self.names(|p| matches!(p, Proc::Control(_)));
         let mut histories = Vec::new();
-        for name in &keepers {
-            let keeper = self.keeper(name).unwrap();
-            let history = keeper.control.history(base::TextVersion(0)).into_iter();
+        for name in &control_nodes {
+            let control_node = self.control_node(name).unwrap();
+            let history = control_node.control.history(base::TextVersion(0)).into_iter();
             let history: BTreeMap<_, _> =
                 history.map(|e| (e.version, e.change.to_string())).collect();
-            histories.push((keeper.control.state().texts().version(), history));
+            histories.push((control_node.control.state().texts().version(), history));
         }
         let newest = histories
             .iter()
--- a/crates/scenarios/src/world/deliver.rs
+++ b/crates/scenarios/src/world/deliver.rs
@@ -5,7 +5,7 @@
 use base::{Fence, Incarnation, TargetName, Ticket, Time};
 use control::Input;
 use member::Observation;
-use owner::{Input as Holding, Ownership};
+use owner::{Input as LeaseInput, Ownership};
 use wire::{
     call::{BeatReply, Call, ClaimReply, Fate, Reply},
     operator::Applied,
@@ -22,9 +22,9 @@
         match msg {
             Msg::Call(id, call) => self.on_call(from, to, id, call),
             Msg::Apply(id, apply) => {
-                if let Some(keeper) = self.keeper(to) {
-                    let ticket = keeper.ticket(from, id);
-                    self.drive_keeper(to, Input::Apply { ticket, apply });
+                if let Some(control_node) = self.control_node(to) {
+                    let ticket = control_node.ticket(from, id);
+                    self.drive_control(to, Input::Apply { ticket, apply });
                 }
             }
             Msg::Order(id, order, sender) => {
@@ -51,7 +51,7 @@
                 };
                 if engine.start(id, &adapter) {
                     self.check.requests += 1;
-                    let wait = self.roll(30..2_500);
+                    let wait = self.random(30..2_500);
                     self.step(to, wait, Step::EndRequest(id));
                 } else {
                     self.check.refusals += 1;
@@ -96,9 +96,9 @@
     }
 
     fn on_call(&mut self, from: &str, to: &str, id: u64, call: Call) {
-        if let Some(keeper) = self.keeper(to) {
-            let ticket = keeper.ticket(from, id);
-            self.drive_keeper(to, Input::Call { ticket, call });
+        if let Some(control_node) = self.control_node(to) {
+            let ticket = control_node.ticket(from, id);
+            self.drive_control(to, Input::Call { ticket, call });
             return;
         }
         let now = self.local(to);
@@ -108,39 +108,39 @@
         match call {
             Call::Confirm(confirm) => {
                 let mut out = Vec::new();
-                let granted = entry.holder.confirm(now, &confirm, &mut out);
-                self.told(to, out);
+                let granted = entry.lessee.confirm(now, &confirm, &mut out);
+                self.lessee_outputs(to, out);
                 self.send(to, from, Msg::Reply(id, Reply::Confirm { granted }));
             }
-            Call::Handover(handover) => self.hold(to, Holding::Handover(handover)),
+            Call::Handover(handover) => self.drive_lessee(to, LeaseInput::Handover(handover)),
             _ => {}
         }
     }
 
     fn on_answer(&mut self, name: &str, id: u64, msg: Msg) {
-        let Some((owner, life, pending)) = self.pending.remove(&id) else {
+        let Some((owner, incarnation, pending)) = self.pending.remove(&id) else {
             return;
         };
-        if owner != name || self.nodes[name].life != life {
+        if owner != name || self.nodes[name].incarnation != incarnation {
             return;
         }
         match (pending, msg) {
-            (Pending::Beat, Msg::Reply(_, Reply::Beat(reply))) => self.on_beat(name, id, reply),
-            (Pending::Beat, Msg::Reply(_, Reply::Elsewhere { leader })) => {
+            (Pending::Heartbeat, Msg::Reply(_, Reply::Beat(reply))) => self.on_heartbeat(name, id, reply),
+            (Pending::Heartbeat, Msg::Reply(_, Reply::Elsewhere { leader })) => {
                 if let (Some(leader), Some(entry)) = (leader, self.entry(name)) {
                     entry.leader = Some(leader.to_string());
-                    self.step(name, 20, Step::Beat { again: false });
+                    self.step(name, 20, Step::Heartbeat { again: false });
                 }
             }
             (Pending::Confirm(from, target, round), Msg::Reply(_, Reply::Confirm { granted })) => {
                 let from = from.parse().unwrap();
-                let input = Holding::Confirmed {
+                let input = LeaseInput::Confirmed {
                     from,
                     target,
                     round,
                     granted,
                 };
-                self.hold(name, input);
+                self.drive_lessee(name, input);
             }
             (
                 Pending::Other,
@@ -151,14 +151,14 @@
                 };
                 entry.text = entry.text.max(version);
                 let text = entry.text;
-                let (now, life) = (self.now, self.nodes[name].life);
-                self.check.text(now, (name.to_owned(), life), text);
+                let (now, incarnation) = (self.now, self.nodes[name].incarnation);
+                self.check.text(now, (name.to_owned(), incarnation), text);
             }
             (Pending::Claim(marked), Msg::Reply(_, reply)) => self.on_claim(name, marked, &reply),
             (Pending::Execute(marked), Msg::Executed(_)) => {
                 self.settle(name, marked, Fate::Ran(None));
             }
-            (Pending::Pass(ticket), Msg::Reply(_, reply)) => self.on_passed(name, ticket, reply),
+            (Pending::Forward(ticket), Msg::Reply(_, reply)) => self.on_forwarded(name, ticket, reply),
             (Pending::Change(apply), Msg::Applied(_, applied)) => {
                 let now = self.now;
                 let (change, base) = (apply.change.to_string(), apply.base.get());
@@ -173,17 +173,17 @@
         }
     }
 
-    fn on_passed(&mut self, name: &str, ticket: Ticket, reply: Reply) {
+    fn on_forwarded(&mut self, name: &str, ticket: Ticket, reply: Reply) {
         let open = self
-            .keeper(name)
+            .control_node(name)
             .is_some_and(|k| k.callers.contains_key(&ticket));
         if open {
             let reply = Some(reply);
-            self.drive_keeper(name, Input::Forwarded { ticket, reply });
+            self.drive_control(name, Input::Forwarded { ticket, reply });
         }
     }
 
-    fn on_beat(&mut self, name: &str, id: u64, reply: BeatReply) {
+    fn on_heartbeat(&mut self, name: &str, id: u64, reply: BeatReply) {
         let from = self.last_sender(id);
         let Some(entry) = self.entry(name) else {
             return;
@@ -192,20 +192,20 @@
         let have = entry.text;
         let newer = reply.text > have;
         entry.leader.clone_from(&from);
-        self.hold(name, Holding::Reply(reply));
+        self.drive_lessee(name, LeaseInput::Reply(reply));
         if let (true, Some(to)) = (newer, from) {
             let call = Call::Text { have };
-            self.ask(name, &to, Pending::Other, |id| Msg::Call(id, call));
+            self.call(name, &to, Pending::Other, |id| Msg::Call(id, call));
         }
     }
 
     /// Returns the leader, which alone answers heartbeats.
     fn last_sender(&mut self, _id: u64) -> Option<String> {
-        let keepers = self.keepers.clone();
-        keepers.into_iter().find(|name| {
+        let control_nodes = self.control_nodes.clone();
+        control_nodes.into_iter().find(|name| {
             let now = self.local(name);
             let up = self.nodes[name].up;
-            up && self.keeper(name).is_some_and(|k| k.is_leader(now))
+            up && self.control_node(name).is_some_and(|k| k.is_leader(now))
         })
     }
 
@@ -219,8 +219,8 @@
                     return;
                 };
                 marked.sent = true;
-                let wait = self.roll(0..20);
-                if self.roll(0..10) == 0 {
+                let wait = self.random(0..20);
+                if self.random(0..10) == 0 {
                     self.settle(name, id, Fate::NotRun);
                 } else {
                     self.step(name, wait, Step::SendMarked(id));
@@ -238,24 +238,24 @@
 
     fn on_engine_answer(&mut self, name: &str, id: u64, pending: Pending, msg: Msg) {
         match (pending, msg) {
-            (Pending::Order(target, order, checked, watch), Msg::Ordered(_, answer)) => {
+            (Pending::Order(target, order, permit, observation), Msg::Ordered(_, answer)) => {
                 let Some(entry) = self.entry(name) else {
                     return;
                 };
-                let known = watch.map(|w| entry.targets.finish_order(&target, w));
+                let known = observation.map(|w| entry.targets.finish_order(&target, w));
                 entry.view(&target).orders.remove(&id);
                 let known = known.is_some_and(|known| known.is_ok());
-                self.on_ordered(name, target, &order, checked.fence, answer, known);
+                self.on_ordered(name, target, &order, permit.fence, answer, known);
             }
             (Pending::Request(target, request), Msg::Requested(_)) => {
                 let Some(entry) = self.entry(name) else {
                     return;
                 };
                 entry.view(&target).running.remove(&request);
-                self.tell_using(name, &target);
+                self.report_in_use(name, &target);
             }
-            (Pending::Report(target, watch, began), Msg::Reported(_, life, resident)) => {
-                self.on_report(name, target, watch, began, life, resident);
+            (Pending::Report(target, observation, began), Msg::Reported(_, incarnation, resident)) => {
+                self.on_report(name, target, observation, began, incarnation, resident);
             }
             _ => {}
         }
@@ -292,7 +292,7 @@
         }
         // An adapter that another instance loaded is used only under full ownership.
         let fresh = answer == Answer::Done;
-        let usable = match entry.holder.ownership(now, &target) {
+        let usable = match entry.lessee.ownership(now, &target) {
             Ownership::Full { .. } => true,
             Ownership::Restricted { .. } => fresh,
             Ownership::None => false,
@@ -300,13 +300,13 @@
         if usable {
             entry.view(&target).resident.insert(adapter.clone());
         }
-        let input = Holding::Loaded {
+        let input = LeaseInput::Loaded {
             target,
             fence,
             resident: resident(&adapter),
             fresh,
         };
-        self.hold(name, input);
+        self.drive_lessee(name, input);
     }
 
     /// Handles an engine's report of its loaded adapters.
@@ -314,27 +314,27 @@
         &mut self,
         name: &str,
         target: TargetName,
-        watch: Observation,
+        observation: Observation,
         began: Time,
-        life: Incarnation,
+        incarnation: Incarnation,
         resident: BTreeSet<String>,
     ) {
         let now = self.local(name);
         let Some(entry) = self.entry(name) else {
             return;
         };
-        let look = entry.targets.finish(&target, watch, began, Some(life));
-        let full = matches!(entry.holder.ownership(now, &target), Ownership::Full { .. });
-        if look.is_err() || !full {
+        let observed = entry.targets.finish(&target, observation, began, Some(incarnation));
+        let full = matches!(entry.lessee.ownership(now, &target), Ownership::Full { .. });
+        if observed.is_err() || !full {
             return;
         }
-        let restarted = look == Ok(member::Observed::Restarted);
+        let restarted = observed == Ok(member::Observed::Restarted);
         let view = entry.view(&target);
         let leaving = &view.unloading;
         let stay = resident.into_iter().filter(|a| !leaving.contains_key(a));
         view.resident = stay.collect();
         if restarted {
-            self.hold(name, Holding::Restarted { target });
+            self.drive_lessee(name, LeaseInput::Restarted { target });
         }
     }
 
@@ -353,15 +353,15 @@
 
     /// Registers the latest call under `id`, the request's own number, which its answer
     /// carries.
-    pub(crate) fn alias(&mut self, id: u64) {
-        let asked = self.next_question();
+    pub(crate) fn alias_last_call(&mut self, id: u64) {
+        let asked = self.last_call();
         if let Some(pending) = self.pending.remove(&asked) {
             self.pending.insert(id, pending);
         }
     }
 
     /// Returns the id of the latest call.
-    pub(crate) fn next_question(&self) -> u64 {
+    pub(crate) fn last_call(&self) -> u64 {
         self.pending.last_key_value().map_or(0, |(id, _)| *id)
     }
 
--- a/crates/scenarios/src/world/faults.rs
+++ b/crates/scenarios/src/world/faults.rs
@@ -4,7 +4,7 @@
 
 use base::{TextVersion, Time};
 use control::Input;
-use owner::Input as Holding;
+use owner::Input as LeaseInput;
 use wire::{
     operator::Apply,
     platform::{List, State, Target},
@@ -52,7 +52,7 @@
 
     pub(crate) fn kill(&mut self, name: &str) {
         self.log(|| format!("kill {name}"));
-        let disk = self.keeper(name).map(|keeper| keeper.disk.clone());
+        let disk = self.control_node(name).map(|control_node| control_node.disk.clone());
         if let Some(disk) = disk {
             self.disks.insert(name.to_owned(), disk);
         }
@@ -75,15 +75,15 @@
     pub(crate) fn restart(&mut self, name: &str) {
         self.log(|| format!("restart {name}"));
         let node = &self.nodes[name];
-        let (zone, life) = (node.zone.clone(), node.life + 1);
+        let (zone, incarnation) = (node.zone.clone(), node.incarnation + 1);
         match &node.proc {
-            Proc::Keeper(_) => {
+            Proc::Control(_) => {
                 if self.nodes[name].up {
                     self.kill(name);
                 }
-                self.start_keeper(name, &zone, life);
+                self.start_control(name, &zone, incarnation);
             }
-            Proc::Entry(_) => self.start_entry(name, &zone, life),
+            Proc::Entry(_) => self.start_entry(name, &zone, incarnation),
             Proc::Engine(_) => {
                 let engine = self.engine(name).unwrap();
                 engine.restart();
@@ -94,32 +94,32 @@
 
     pub(crate) fn renounce(&mut self, name: &str) {
         self.log(|| format!("renounce {name}"));
-        self.hold(name, Holding::Renounce);
+        self.drive_lessee(name, LeaseInput::Renounce);
     }
 
     pub(crate) fn hand_over(&mut self, name: &str) {
         self.log(|| format!("hand over {name}"));
         if self.nodes.contains_key(name) {
-            self.drive_keeper(name, Input::HandOver);
+            self.drive_control(name, Input::HandOver);
         }
     }
 
     pub(crate) fn leader(&self) -> Option<String> {
         let leads = |name: &String| match &self.nodes[name].proc {
-            Proc::Keeper(keeper) => self.nodes[name].up && keeper.is_leader(self.local(name)),
+            Proc::Control(control_node) => self.nodes[name].up && control_node.is_leader(self.local(name)),
             _ => false,
         };
-        self.keepers.iter().find(|name| leads(name)).cloned()
+        self.control_nodes.iter().find(|name| leads(name)).cloned()
     }
 
     /// Sends a change of the text that any control instance has, based on a version that is
     /// `back` versions older.
     pub(crate) fn operate(&mut self, id: &str, back: u64) {
-        let keepers = self.names(|p| matches!(p, Proc::Keeper(_)));
-        let Some(any) = self.pick(&keepers) else {
+        let control_nodes = self.names(|p| matches!(p, Proc::Control(_)));
+        let Some(any) = self.pick(&control_nodes) else {
             return;
         };
-        let current = self.keeper(&any).unwrap().control.text();
+        let current = self.control_node(&any).unwrap().control.text();
         let base = TextVersion(current.version.get().saturating_sub(back));
         let apply = Apply {
             change: change(id),
@@ -131,16 +131,16 @@
     }
 
     pub(crate) fn send_change(&mut self, apply: Apply) {
-        let keepers = self.keepers.clone();
-        let to = self.pick(&keepers).unwrap();
+        let control_nodes = self.control_nodes.clone();
+        let to = self.pick(&control_nodes).unwrap();
         let pending = Pending::Change(apply.clone());
-        self.ask("op", &to, pending, |id| Msg::Apply(id, apply));
-        let id = self.next_question();
-        self.step("op", 3_000, Step::Resend(id));
+        self.call("op", &to, pending, |id| Msg::Apply(id, apply));
+        let id = self.last_call();
+        self.step("op", 3_000, Step::RetryChange(id));
     }
 
     /// Retries a change that was not answered.
-    pub(crate) fn resend_change(&mut self, id: u64) {
+    pub(crate) fn retry_change(&mut self, id: u64) {
         if let Some((_, _, Pending::Change(apply))) = self.pending.remove(&id) {
             self.send_change(apply);
         }
