--- a/crates/faults/src/cluster.rs
+++ b/crates/faults/src/cluster.rs
@@ -1,4 +1,4 @@
-//! Replicas of one log in virtual time.
+//! A simulated cluster: replicas of one log in virtual time.
 
 mod carry;
 mod check;
@@ -24,27 +24,27 @@
     history::{Digest, command},
 };
 
-/// Lines of the trace that are kept.
+/// Lines of the trace that are kept for a failure report.
 const TRACE_MAX: usize = 400;
 
-/// How far a clock may run off, in parts of a thousand; two clocks together
-/// stay within the drift margin of 50.
+/// The largest clock drift, in parts per thousand; two clocks together stay within the
+/// drift margin of 50 that the leases allow.
 const SKEW: i64 = 20;
 
-/// Size and times of a cluster.
+/// Size, log limits and sync time of a cluster.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// How many instances.
+    /// Number of instances, at most seven.
     pub instances: usize,
     /// Entries between two snapshots.
     pub compact: u64,
     /// Bytes of entries between two snapshots.
     pub compact_bytes: Bytes,
-    /// Entries kept behind a snapshot.
+    /// Entries kept in the log before a snapshot.
     pub keep: u64,
-    /// The most that these take.
+    /// Upper bound on the bytes of the kept entries.
     pub keep_bytes: Bytes,
-    /// The longest a sync takes, in microseconds.
+    /// Longest duration of a sync, in microseconds.
     pub sync: u64,
 }
 
@@ -61,7 +61,7 @@
     }
 }
 
-/// Several instances, their links and disks, and what came of it.
+/// Several instances with their links and disks, and the history of the run.
 #[derive(Debug)]
 pub struct Cluster {
     plan: Plan,
@@ -72,9 +72,9 @@
     sequence: u64,
     next_life: u64,
     next_ticket: u64,
-    /// The links.
+    /// The network between the instances.
     pub net: Net,
-    /// What has happened, checked.
+    /// Outputs of all replicas so far, checked as they come.
     pub history: History,
     trace: VecDeque<String>,
 }
@@ -122,7 +122,7 @@
         names.map(|raw| raw.parse().expect("a name")).collect()
     }
 
-    /// Lets `ms` milliseconds pass.
+    /// Processes the events of the next `ms` milliseconds.
     pub fn run(&mut self, ms: u64) {
         let end = self.now + ms * 1_000;
         while let Some((&(at, sequence), _)) = self.queue.first_key_value()
@@ -136,7 +136,8 @@
         self.now = end;
     }
 
-    /// Starts a process on what its disk holds; after damage, on a new life.
+    /// Starts a process from its disk, or with an empty disk as a new incarnation if the log is
+    /// damaged.
     pub fn start(&mut self, name: &InstanceName) {
         let peers = self.peers();
         let seed = Seed(self.rng.random_range(0..u64::MAX));
@@ -147,7 +148,7 @@
                 restored
             }
             None => {
-                self.note(name, "finds its folder damaged");
+                self.note(name, "finds its log damaged");
                 self.empty(name);
                 Restored::default()
             }
@@ -196,7 +197,7 @@
         ticket
     }
 
-    /// Gives an instance an input of the operators.
+    /// Passes an input to an instance at once.
     pub fn input(&mut self, name: &InstanceName, input: Input) {
         let host = &self.hosts[name];
         let boot = host.running.as_ref().map(|running| running.boot);
@@ -208,13 +209,13 @@
         self.deliver(event);
     }
 
-    /// Asks the leader to remove an instance's replica.
+    /// Proposes the removal of an instance's replica at the leader.
     pub fn remove(&mut self, leader: &InstanceName, name: &InstanceName) {
         let id = replica_id(name, self.hosts[name].life);
         self.input(leader, Input::RemoveReplica { ticket: 0, id });
     }
 
-    /// Returns the instance that may act as leader now, if any.
+    /// Returns the instance that may act as leader now and is not paused, if any.
     #[must_use]
     pub fn leader(&self) -> Option<InstanceName> {
         let leads = |(_, host): &(&InstanceName, &Host)| host.leads(self.now);
@@ -229,26 +230,26 @@
         running.map(|running| &running.replica)
     }
 
-    /// Tells whether an instance may act as leader now.
+    /// Returns whether an instance may act as leader now.
     #[must_use]
     pub fn leads(&self, name: &InstanceName) -> bool {
         self.hosts[name].leads(self.now)
     }
 
-    /// Tells whether a process is frozen.
+    /// Returns whether a process is paused.
     #[must_use]
     pub fn frozen(&self, name: &InstanceName) -> bool {
         self.hosts[name].held.is_some()
     }
 
-    /// Returns the last index that an instance has applied in this run.
+    /// Returns the last index that an instance has applied since its process started.
     #[must_use]
     pub fn applied(&self, name: &InstanceName) -> Index {
         let running = self.hosts[name].running.as_ref();
         running.map_or(Index(0), |running| running.last)
     }
 
-    /// Returns the last lines of what happened.
+    /// Returns the last lines of the trace.
     #[must_use]
     pub fn trace(&self) -> String {
         let lines: Vec<_> = self.trace.iter().cloned().collect();
--- a/crates/faults/src/cluster/carry.rs
+++ b/crates/faults/src/cluster/carry.rs
@@ -1,4 +1,4 @@
-//! Hands inputs to the replicas and carries out what they answer.
+//! Passes inputs to the replicas and carries out their outputs.
 
 use base::{InstanceName, Time};
 use rand::RngExt;
@@ -7,13 +7,13 @@
 use super::{Cluster, host::replica_id};
 use crate::history::Digest;
 
-/// How often a stalled sync is looked at again, in microseconds.
+/// Interval at which a stalled sync is retried, in microseconds.
 const STALL: u64 = 50_000;
 
 #[derive(Clone, Debug)]
 pub(super) struct Event {
     pub(super) to: InstanceName,
-    /// Only this run of the process takes the event; messages reach any.
+    /// The process start that the event is for; messages are for any.
     pub(super) boot: Option<u64>,
     pub(super) input: Input,
 }
--- a/crates/faults/src/cluster/check.rs
+++ b/crates/faults/src/cluster/check.rs
@@ -1,5 +1,5 @@
-//! What must hold in a cluster: one leader, a commit index that never goes
-//! back, and agreement once all faults have ended.
+//! Invariants of a cluster: one leader at a time, a commit index that never decreases, and
+//! agreement once all faults have ended.
 
 use base::InstanceName;
 use replog::ReplicaId;
@@ -7,8 +7,8 @@
 use super::{Cluster, host::Host};
 
 impl Cluster {
-    /// Tells whether every voter of the newest members runs with the folder
-    /// that it voted with, so that one more may be lost.
+    /// Returns whether every voter of the newest membership runs with the disk it has voted
+    /// with, so that one of them may be lost without losing accepted proposals.
     #[must_use]
     pub fn whole(&self) -> bool {
         let Some(leader) = self.leader() else {
@@ -28,12 +28,12 @@
         settled && members.voters.len() == self.plan.instances && members.voters.iter().all(alive)
     }
 
-    /// Ends all faults, waits for `ms` milliseconds at most, and checks that
-    /// everybody agrees and that the log takes proposals again.
+    /// Ends all faults, waits up to `ms` milliseconds, and checks that all instances agree
+    /// and that the log accepts proposals again.
     ///
     /// # Panics
     ///
-    /// Panics when it doesn't.
+    /// Panics if they do not agree by then.
     pub fn settle(&mut self, ms: u64) {
         self.net.heal();
         for name in self.peers() {
@@ -49,8 +49,8 @@
         assert!(self.agreed(), "no agreement after the faults have ended");
     }
 
-    /// Tells whether all instances vote, lead and have applied alike, with a
-    /// proposal made after the last fault.
+    /// Returns whether all voters run, a new proposal is accepted, and all instances have
+    /// applied it.
     fn agreed(&mut self) -> bool {
         if !self.whole() {
             return false;
@@ -69,8 +69,8 @@
         self.history.accepted() > before && self.hosts.values().all(same)
     }
 
-    /// At no moment may two instances act as leader. A frozen process counts
-    /// too: it may go on at any moment.
+    /// Checks that at most one instance may act as leader. A paused process counts too, as it
+    /// may resume at any moment.
     pub(super) fn check_leases(&self) {
         let leaders = self.hosts.iter().filter(|(_, host)| host.leads(self.now));
         let leaders: Vec<_> = leaders.map(|(name, _)| name).collect();
@@ -80,7 +80,7 @@
     pub(super) fn check_commit(&mut self, name: &InstanceName) {
         if let Some(running) = &mut self.host(name).running {
             let commit = running.replica.commit();
-            assert!(running.commit <= commit, "the commit index went back");
+            assert!(running.commit <= commit, "the commit index decreased");
             running.commit = commit;
         }
     }
--- a/crates/faults/src/cluster/fault.rs
+++ b/crates/faults/src/cluster/fault.rs
@@ -1,4 +1,4 @@
-//! The faults that befall a cluster, and how they end.
+//! Injects faults into a cluster, and ends them.
 
 use base::InstanceName;
 use replog::{HaltReason, Input, Replica};
@@ -7,7 +7,7 @@
 use crate::FakeDisk;
 
 impl Cluster {
-    /// Cuts all links of an instance.
+    /// Partitions an instance from all others.
     pub fn isolate(&mut self, name: &InstanceName) {
         for other in self.peers() {
             self.net.cut(name, &other);
@@ -15,26 +15,26 @@
         }
     }
 
-    /// Kills a process; of the oldest unsynced write, `torn` bytes stay.
+    /// Crashes a process; the first `torn` bytes of the oldest unsynced write stay on disk.
     pub fn kill(&mut self, name: &InstanceName, torn: usize) {
         let host = self.host(name);
         host.running = None;
         host.held = None;
         host.disk.crash(torn);
-        self.note(name, "killed");
+        self.note(name, "crashed");
     }
 
-    /// Empties the folder of a stopped process.
+    /// Empties the disk of a stopped process, which starts as a new incarnation.
     pub fn empty(&mut self, name: &InstanceName) {
         let life = self.new_life();
         let host = self.host(name);
         host.life = life;
         host.disk = FakeDisk::new(replica_id(name, life));
-        self.note(name, "folder emptied");
+        self.note(name, "disk emptied");
     }
 
-    /// Changes a byte of a stopped process's log, but not in the last record,
-    /// where damage can't be told from an interrupted write.
+    /// Changes a byte of the log of a stopped process, before the last frame: damage there
+    /// can't be told from a torn write.
     pub fn damage_middle(&mut self, name: &InstanceName, at: usize) {
         self.host(name).disk.flip_middle(at);
         self.note(name, "log damaged");
@@ -45,27 +45,27 @@
         self.host(name).disk.failing = true;
     }
 
-    /// Makes syncs take for ever, or end again.
+    /// Stalls all syncs, or lets them finish again.
     pub fn stall(&mut self, name: &InstanceName, stalled: bool) {
         self.host(name).stalled = stalled;
     }
 
-    /// Fills the disk, or frees it.
+    /// Makes the disk full, or frees space on it.
     pub fn fill(&mut self, name: &InstanceName, full: bool) {
         self.host(name).full = full;
         self.input(name, Input::Space { full });
     }
 
-    /// Stops a process without ending it.
+    /// Pauses a process without ending it.
     pub fn freeze(&mut self, name: &InstanceName) {
         self.host(name).held.get_or_insert_default();
-        self.note(name, "frozen");
+        self.note(name, "paused");
     }
 
-    /// Lets a frozen process go on; what arrived meanwhile comes at once.
+    /// Resumes a paused process; events that arrived meanwhile are delivered at once.
     pub fn thaw(&mut self, name: &InstanceName) {
         let held = self.host(name).held.take().unwrap_or_default();
-        self.note(name, "thawed");
+        self.note(name, "resumed");
         for event in held {
             self.deliver(event);
             self.check_leases();
@@ -73,7 +73,7 @@
         self.input(name, Input::Wake);
     }
 
-    /// Ends the faults of one instance and starts it if it stopped.
+    /// Ends the faults of one instance and starts its process if it is stopped or halted.
     pub fn recover(&mut self, name: &InstanceName) {
         self.host(name).disk.failing = false;
         self.stall(name, false);
--- a/crates/faults/src/cluster/host.rs
+++ b/crates/faults/src/cluster/host.rs
@@ -11,33 +11,39 @@
     pub(super) disk: FakeDisk,
     pub(super) life: Incarnation,
     pub(super) running: Option<Running>,
-    /// Events that wait while the process is frozen.
+    /// Events that arrived while the process is paused; `None` while it is not.
     pub(super) held: Option<Vec<Event>>,
+    /// Whether the disk is full.
     pub(super) full: bool,
-    /// Whether syncs take for ever.
+    /// Whether syncs never finish.
     pub(super) stalled: bool,
+    /// Clock drift, in parts per thousand.
     pub(super) skew: i64,
+    /// Local time at the real time zero, in microseconds.
     pub(super) offset: u64,
 }
 
 #[derive(Debug)]
 pub(super) struct Running {
     pub(super) replica: Replica,
+    /// Number of this process start.
     pub(super) boot: u64,
+    /// Real time of the latest wake-up asked for, in microseconds; earlier ones are ignored.
     pub(super) wake: u64,
+    /// Last applied index.
     pub(super) last: Index,
     pub(super) commit: Index,
     pub(super) state: Digest,
 }
 
 impl Host {
-    /// Returns the process's own clock at the real time `now`.
+    /// Returns the process's clock at the real time `now`, in microseconds.
     pub(super) fn local(&self, now: u64) -> Time {
         let skewed = now * (1_000 + self.skew) as u64 / 1_000;
         Time(skewed + self.offset)
     }
 
-    /// Returns the first real time at which its own clock shows `at`.
+    /// Returns the first real time at which the process's clock shows `at`.
     pub(super) fn global(&self, at: Time) -> u64 {
         let skewed = at.0.saturating_sub(self.offset) * 1_000;
         skewed.div_ceil((1_000 + self.skew) as u64) + 1
--- a/crates/faults/src/disk.rs
+++ b/crates/faults/src/disk.rs
@@ -1,4 +1,4 @@
-//! A disk that keeps what was synced and loses the rest in a crash.
+//! A fake disk that keeps synced writes and loses the others in a crash.
 
 use std::collections::VecDeque;
 
@@ -13,14 +13,15 @@
     Replace { snapshot: Vec<u8>, log: Vec<u8> },
 }
 
-/// The files of one replica, written by the real codec.
+/// The files of one replica, encoded by the production codec.
 #[derive(Clone, Debug)]
 pub struct FakeDisk {
     id: ReplicaId,
     snapshot: Option<Vec<u8>>,
     log: Vec<u8>,
-    /// Where the last synced frame begins.
+    /// Offset of the last synced frame.
     last_frame: usize,
+    /// Number of the next frame.
     seq: u64,
     unsynced: VecDeque<(WriteNo, Op)>,
     /// Whether the next sync fails.
@@ -28,7 +29,7 @@
 }
 
 impl FakeDisk {
-    /// Makes an empty folder for `id`.
+    /// Returns a disk with an empty log for `id`.
     #[must_use]
     pub fn new(id: ReplicaId) -> Self {
         FakeDisk {
@@ -42,14 +43,14 @@
         }
     }
 
-    /// Takes a write without syncing it.
+    /// Appends records to the log without syncing them.
     pub fn write(&mut self, no: WriteNo, records: &[Record]) {
         let frame = encode_frame(self.seq, records);
         self.seq += 1;
         self.unsynced.push_back((no, Op::Append(frame)));
     }
 
-    /// Takes new files without syncing them.
+    /// Replaces snapshot and log without syncing them.
     pub fn rewrite(&mut self, no: WriteNo, snapshot: &Snapshot, records: &[Record]) {
         let log = encode_next_log(&self.id, snapshot.at, records);
         self.seq = 2;
@@ -62,7 +63,7 @@
         while let Some((no, _)) = self.unsynced.front()
             && *no <= upto
         {
-            let (_, op) = self.unsynced.pop_front().expect("looked at just now");
+            let (_, op) = self.unsynced.pop_front().expect("the queue is not empty");
             match op {
                 Op::Append(frame) => {
                     self.last_frame = self.log.len();
@@ -77,8 +78,8 @@
         }
     }
 
-    /// Loses what was not synced, but for the first `torn` bytes of the oldest
-    /// write.
+    /// Drops all unsynced writes but for the first `torn` bytes of the oldest one, if that is
+    /// an append.
     pub fn crash(&mut self, torn: usize) {
         if let Some((_, Op::Append(frame))) = self.unsynced.front() {
             self.log.extend(&frame[..torn.min(frame.len())]);
@@ -94,8 +95,8 @@
         self.log[at] ^= 0x40;
     }
 
-    /// Reads the files after a crash, as a control instance does at its start;
-    /// nothing if something that was durable is lost.
+    /// Recovers the files after a crash, as a control instance does at its start; returns
+    /// `None` if something that was synced is lost.
     pub fn open(&mut self) -> Option<Restored> {
         let found = recover(&self.log);
         if matches!(found.tail, Tail::Damaged | Tail::OtherFormat) {
--- a/crates/faults/src/history.rs
+++ b/crates/faults/src/history.rs
@@ -1,11 +1,11 @@
-//! Checks the whole history of a run against what the log promises.
+//! Checks the history of a run against the invariants of the log.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use base::stable_hash;
 use replog::{Blob, Index, ReplicaId, Term};
 
-/// The state machine of the tests: a digest over all commands.
+/// The state of the tests' state machine: a hash over all applied commands.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Digest(pub u64);
 
@@ -17,9 +17,9 @@
     }
 }
 
-/// What has come out of all replicas so far.
+/// The outputs of all replicas so far.
 ///
-/// Every method panics at the first output that breaks a promise.
+/// Every method that takes an output panics if it violates an invariant.
 #[derive(Debug, Default)]
 pub struct History {
     leaders: BTreeMap<Term, ReplicaId>,
@@ -31,14 +31,22 @@
 }
 
 impl History {
-    /// A replica says that it leads `term`: nobody else has.
+    /// Records that a replica leads `term`.
+    ///
+    /// # Panics
+    ///
+    /// Panics if another replica has led the term.
     pub fn leads(&mut self, term: Term, id: &ReplicaId) {
         let first = self.leaders.entry(term).or_insert_with(|| id.clone());
         assert_eq!(first, id, "two leaders in term {term}");
     }
 
-    /// A replica applies a command after the one at `last`: all replicas apply
-    /// the same ones in the same order, and an index never comes back.
+    /// Records that a replica applies a command after the one at `last`.
+    ///
+    /// # Panics
+    ///
+    /// Panics if the replicas differ in the commands or their order, or an index comes
+    /// twice.
     pub fn applies(&mut self, last: Index, index: Index, term: Term, command: &Blob) {
         assert!(last < index, "index {index} applied after {last}");
         let skipped = self.applied.range(last.next()..index).next();
@@ -67,29 +75,42 @@
         self.digests.insert(index, newest.1.after(command));
     }
 
-    /// A replica that has applied all up to `last` takes a snapshot instead.
+    /// Checks a snapshot that a replica installs after it has applied all up to `last`.
+    ///
+    /// # Panics
+    ///
+    /// Panics if the snapshot is older than that, or its state is not the state of the
+    /// commands applied up to `index`.
     pub fn restores(&self, last: Index, index: Index, digest: Digest) {
         assert!(last <= index, "state went back from {last} to {index}");
         assert_eq!(
             digest,
             self.digest(index),
-            "a snapshot holds another state than was applied"
+            "the state of a snapshot differs from the applied one"
         );
     }
 
-    /// A proposal was accepted at `index`: what is applied there is it.
+    /// Records that a proposal was accepted at `index`.
+    ///
+    /// # Panics
+    ///
+    /// Panics if another command was applied there.
     pub fn accepts(&mut self, ticket: u64, index: Index) {
         if let Some((_, command)) = self.applied.get(&index) {
             assert_eq!(
                 ticket_of(command),
                 ticket,
-                "accepted, but another command is there"
+                "a proposal was accepted at an index that holds another command"
             );
             self.accepted.insert(ticket, index);
         }
     }
 
-    /// A proposal was refused: it must never be applied.
+    /// Records that a proposal was refused, after which it must never be applied.
+    ///
+    /// # Panics
+    ///
+    /// Panics if it was applied.
     pub fn refuses(&mut self, ticket: u64) {
         let applied = self
             .applied
@@ -99,7 +120,7 @@
         self.refused.insert(ticket);
     }
 
-    /// A proposal ended as unknown.
+    /// Records that a proposal has an unknown outcome.
     pub fn leaves_open(&mut self, ticket: u64) {
         self.unknown.insert(ticket);
     }
@@ -130,14 +151,14 @@
         self.refused.len()
     }
 
-    /// Returns how many proposals ended as unknown.
+    /// Returns how many proposals have an unknown outcome.
     #[must_use]
     pub fn unknown(&self) -> usize {
         self.unknown.len()
     }
 }
 
-/// Makes a command that holds its ticket.
+/// Returns a command that consists of its ticket.
 pub(crate) fn command(ticket: u64) -> Blob {
     Blob::from(ticket.to_le_bytes().as_slice())
 }
--- a/crates/faults/src/lib.rs
+++ b/crates/faults/src/lib.rs
@@ -1,9 +1,8 @@
-//! Small fakes of network, disk and clock for failure tests of the log.
+//! Fault injection for tests of the replicated log: fake network, disks and clocks.
 //!
-//! A [`Cluster`] drives real replicas in virtual time from one seed. Its
-//! [`History`] looks at every output and panics at the first one that breaks a
-//! promise. Scenarios are written in Rhai ([`script`]); [`random`] makes up
-//! faults from a seed.
+//! A [`Cluster`] drives the production replicas in virtual time from one seed. Its
+//! [`History`] checks every output and panics at the first violated invariant. Scenarios
+//! are written in Rhai ([`script`]); [`random`] generates faults from a seed.
 
 mod cluster;
 mod disk;
--- a/crates/faults/src/net.rs
+++ b/crates/faults/src/net.rs
@@ -1,4 +1,4 @@
-//! A network that delays, loses, doubles and cuts.
+//! A fake network that delays, loses and duplicates messages and has partitions.
 
 use std::collections::BTreeSet;
 
@@ -6,16 +6,16 @@
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 
-/// What the links between instances do to a message.
+/// Faults of the links between instances.
 #[derive(Clone, Debug)]
 pub struct Net {
-    /// Links that carry nothing, each in one direction.
+    /// Links that lose all messages, each in one direction.
     cuts: BTreeSet<(InstanceName, InstanceName)>,
-    /// The share of messages that get lost, in parts of a thousand.
+    /// Share of messages that are lost, in parts per thousand.
     pub loss: u32,
-    /// The share of messages that arrive twice, in parts of a thousand.
+    /// Share of messages that arrive twice, in parts per thousand.
     pub doubled: u32,
-    /// The longest delay, in microseconds.
+    /// Longest delay of a message, in microseconds.
     pub delay: u64,
 }
 
@@ -36,23 +36,24 @@
         self.cuts.insert((from.clone(), to.clone()));
     }
 
-    /// Mends the link in one direction.
+    /// Restores the link in one direction.
     pub fn mend(&mut self, from: &InstanceName, to: &InstanceName) {
         self.cuts.remove(&(from.clone(), to.clone()));
     }
 
-    /// Mends all links, and ends all loss.
+    /// Restores all links and resets loss, duplication and delay to the defaults.
     pub fn heal(&mut self) {
         *self = Net::default();
     }
 
-    /// Tells whether the link carries messages.
+    /// Returns whether the link carries messages.
     #[must_use]
     pub fn carries(&self, from: &InstanceName, to: &InstanceName) -> bool {
         !self.cuts.contains(&(from.clone(), to.clone()))
     }
 
-    /// Returns the delays of the copies that arrive, in microseconds.
+    /// Returns the delay of each copy of a message that arrives, in microseconds; none if the
+    /// message is lost.
     pub fn delays(&self, from: &InstanceName, to: &InstanceName, rng: &mut ChaCha8Rng) -> Vec<u64> {
         if !self.carries(from, to) || rng.random_range(0..1_000) < self.loss {
             return Vec::new();
--- a/crates/faults/src/random.rs
+++ b/crates/faults/src/random.rs
@@ -1,4 +1,4 @@
-//! Faults made up from a seed.
+//! Random faults, generated from a seed.
 
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
@@ -15,30 +15,33 @@
 /// How long the cluster may take to agree after the faults, in milliseconds.
 const SETTLE_MS: u64 = 60_000;
 
-/// What one run came to.
+/// Proposals of one run by outcome.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Tally {
-    /// Proposals accepted.
+    /// Accepted proposals.
     pub accepted: usize,
-    /// Proposals that ended as unknown.
+    /// Proposals with an unknown outcome.
     pub unknown: usize,
-    /// Proposals refused.
+    /// Refused proposals.
     pub refused: usize,
 }
 
-/// Says which seed broke a promise, and how.
+/// A violated invariant, with the seed that reproduces it.
 #[derive(Clone, Debug)]
 pub struct Broken {
-    /// The seed.
+    /// Seed of the run.
     pub seed: u64,
-    /// The promise.
+    /// Message of the failed check.
     pub reason: String,
-    /// What happened before.
+    /// Last lines of the trace before the failure.
     pub trace: String,
 }
 
-/// Returns a plan whose bytes bind before the entries do, now and then. The
-/// seed alone decides: one more number drawn would change what all seeds do.
+/// Returns a configuration in which, for one seed in seven, the limits on bytes are reached
+/// before those on entries.
+///
+/// The seed itself decides: drawing one more random number would change the runs of all
+/// seeds.
 fn sizes(seed: u64) -> Plan {
     if !seed.is_multiple_of(7) {
         return Plan::default();
@@ -50,11 +53,11 @@
     }
 }
 
-/// Runs random faults from one seed.
+/// Runs a cluster with random faults from one seed.
 ///
 /// # Errors
 ///
-/// Returns the broken promise with the trace that led to it.
+/// Returns the violated invariant with the trace that led to it.
 pub fn run(seed: u64) -> Result<Tally, Box<Broken>> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let plan = Plan {
@@ -83,7 +86,7 @@
 fn reason_of(panic: &(dyn std::any::Any + Send)) -> String {
     let text = panic.downcast_ref::<String>().cloned();
     let text = text.or_else(|| panic.downcast_ref::<&str>().map(|raw| (*raw).to_owned()));
-    text.unwrap_or_else(|| "a panic without a text".to_owned())
+    text.unwrap_or_else(|| "a panic without a message".to_owned())
 }
 
 fn play(cluster: &mut Cluster, rng: &mut ChaCha8Rng) {
@@ -139,8 +142,8 @@
     }
 }
 
-/// Loses a folder, wholly or by damage; the cluster is whole before, so the
-/// promise is that nothing accepted is lost.
+/// Crashes a process and empties or damages its log. All voters run before, so no accepted
+/// proposal may be lost.
 fn lose(cluster: &mut Cluster, rng: &mut ChaCha8Rng, name: &InstanceName) {
     cluster.kill(name, 0);
     if rng.random_range(0..2) == 0 {
@@ -153,7 +156,7 @@
     }
 }
 
-/// Starts a halted or stopped process again.
+/// Ends the faults of an instance and restarts its process, unless it is paused.
 fn revive(cluster: &mut Cluster, name: &InstanceName) {
     if !cluster.frozen(name) {
         cluster.recover(name);
--- a/crates/faults/src/script.rs
+++ b/crates/faults/src/script.rs
@@ -1,18 +1,18 @@
-//! The language of the scenarios: Rhai with a few functions.
+//! The functions that scenario scripts call, in Rhai.
 //!
 //! | function | what it does |
 //! | --- | --- |
 //! | `cluster(n, seed)` | starts `n` instances called `a`, `b`, ... |
-//! | `run(ms)`, `settle()` | lets time pass; ends all faults and checks agreement |
-//! | `leader()`, `follower()`, `leads(x)`, `role(x)` | asks who leads |
-//! | `propose(x)`, `propose(x, n)` | proposes commands at an instance |
-//! | `accepted()`, `refused()`, `unknown()` | counts the answers |
-//! | `applied(x)`, `term(x)`, `halted(x)`, `voters(x)` | asks an instance |
-//! | `kill(x)`, `tear(x, bytes)`, `start(x)`, `freeze(x)`, `thaw(x)` | its process |
-//! | `empty(x)`, `damage(x, at)`, `fail_sync(x)`, `fill(x, full)`, `stall(x)` | its disk |
-//! | `cut(x, y)`, `mend(x, y)`, `isolate(x)`, `heal()`, `loss(permille)` | the links |
-//! | `hand_over(x)`, `remove(leader, x)` | what operators ask for |
-//! | `expect(condition, text)`, `covers(mark)` | checks |
+//! | `run(ms)`, `settle()` | advances the time; ends all faults and checks that all agree |
+//! | `leader()`, `follower()`, `leads(x)`, `role(x)` | returns leader, any follower, whether `x` leads |
+//! | `propose(x)`, `propose(x, n)` | proposes one command or `n` at an instance |
+//! | `accepted()`, `refused()`, `unknown()` | counts the proposals by outcome |
+//! | `applied(x)`, `term(x)`, `halted(x)`, `voters(x)` | returns the state of an instance |
+//! | `kill(x)`, `tear(x, bytes)`, `start(x)`, `freeze(x)`, `thaw(x)` | crash (with a torn write), start, pause and resume |
+//! | `empty(x)`, `damage(x, at)`, `fail_sync(x)`, `fill(x, full)`, `stall(x)` | faults of its disk |
+//! | `cut(x, y)`, `mend(x, y)`, `isolate(x)`, `heal()`, `loss(permille)` | partitions and message loss |
+//! | `hand_over(x)`, `remove(leader, x)` | leadership transfer and removal of a replica |
+//! | `expect(condition, text)`, `covers(mark)` | fails the scenario; requires that a coverage mark is reached |
 
 use std::sync::{Arc, Mutex, MutexGuard};
 
@@ -22,10 +22,10 @@
 
 use crate::{Cluster, Plan};
 
-/// How long a cluster may take to agree after the faults, in milliseconds.
+/// Time within which a cluster must agree after the faults, in milliseconds.
 const SETTLE_MS: u64 = 60_000;
 
-/// Operations that a script may take; it ends an endless loop.
+/// Limit on the operations of a script, which ends an endless loop.
 const OPERATIONS_MAX: u64 = 10_000_000;
 
 type Shared = Arc<Mutex<Stage>>;
@@ -40,11 +40,11 @@
 ///
 /// # Errors
 ///
-/// Returns what the scenario didn't find as expected.
+/// Returns the trace and the text of the failed `expect`, or the script's error.
 ///
 /// # Panics
 ///
-/// Panics when the log breaks a promise, or a guard named by `covers` was not
+/// Panics if the log violates an invariant, or a coverage mark named by `covers` was not
 /// reached.
 pub fn play(text: &str) -> Result<(), String> {
     let stage = Shared::default();
@@ -67,7 +67,7 @@
     stage.lock().expect("no other thread")
 }
 
-/// Calls `act` on the cluster that the script has made.
+/// Calls `act` on the cluster that the script has started.
 fn with<T>(stage: &Shared, act: impl FnOnce(&mut Cluster) -> T) -> T {
     let mut stage = lock(stage);
     act(stage.cluster.as_mut().expect("`cluster` comes first"))
@@ -198,8 +198,8 @@
     );
     let shared = Arc::clone(stage);
     engine.register_fn("covers", move |mark: &str| {
-        // Marks are named by the code; a scenario's text lives as long as the
-        // test, so the leak is bounded by the scenarios' marks.
+        // A mark needs a `'static` name. The leak is bounded by the number of marks in the
+        // scenarios.
         let mark: &'static str = String::leak(mark.to_owned());
         lock(&shared).marks.push(ExpectedMark::new(mark));
     });
