--- a/crates/faults/src/cluster.rs
+++ b/crates/faults/src/cluster.rs
@@ -29,7 +29,7 @@
 
 /// The largest clock drift, in parts per thousand; two clocks together stay within the
 /// drift margin of 50 that the leases allow.
-const SKEW: i64 = 20;
+const DRIFT_MAX: i64 = 20;
 
 /// Size, log limits and sync time of a cluster.
 #[derive(Clone, Debug)]
@@ -70,7 +70,7 @@
     hosts: BTreeMap<InstanceName, Host>,
     queue: BTreeMap<(u64, u64), Event>,
     sequence: u64,
-    next_life: u64,
+    next_incarnation: u64,
     next_ticket: u64,
     /// The network between the instances.
     pub net: Net,
@@ -89,7 +89,7 @@
             hosts: BTreeMap::new(),
             queue: BTreeMap::new(),
             sequence: 0,
-            next_life: 1,
+            next_incarnation: 1,
             next_ticket: 1,
             net: Net::default(),
             history: History::default(),
@@ -97,15 +97,15 @@
             plan,
         };
         for name in cluster.peers() {
-            let life = cluster.new_life();
+            let incarnation = cluster.new_incarnation();
             let host = Host {
-                disk: FakeDisk::new(replica_id(&name, life)),
-                life,
+                disk: FakeDisk::new(replica_id(&name, incarnation)),
+                incarnation,
                 running: None,
-                held: None,
+                paused: None,
                 full: false,
                 stalled: false,
-                skew: cluster.rng.random_range(-SKEW..=SKEW),
+                drift: cluster.rng.random_range(-DRIFT_MAX..=DRIFT_MAX),
                 offset: cluster.rng.random_range(0..1_000_000_000),
             };
             cluster.hosts.insert(name.clone(), host);
@@ -164,7 +164,7 @@
             keep_bytes: self.plan.keep_bytes,
             message: Bytes(64),
             window: Bytes(512),
-            ..RawSettings::usual(replica_id(name, host.life), peers, seed)
+            ..RawSettings::usual(replica_id(name, host.incarnation), peers, seed)
         };
         let settings = Settings::try_from(settings).expect("the plan's settings fit");
         self.sequence += 1;
@@ -211,7 +211,7 @@
 
     /// Proposes the removal of an instance's replica at the leader.
     pub fn remove(&mut self, leader: &InstanceName, name: &InstanceName) {
-        let id = replica_id(name, self.hosts[name].life);
+        let id = replica_id(name, self.hosts[name].incarnation);
         self.input(leader, Input::RemoveReplica { ticket: 0, id });
     }
 
@@ -219,7 +219,7 @@
     #[must_use]
     pub fn leader(&self) -> Option<InstanceName> {
         let leads = |(_, host): &(&InstanceName, &Host)| host.leads(self.now);
-        let found = self.hosts.iter().filter(|(_, host)| host.held.is_none());
+        let found = self.hosts.iter().filter(|(_, host)| host.paused.is_none());
         found.clone().find(leads).map(|(name, _)| name.clone())
     }
 
@@ -239,7 +239,7 @@
     /// Returns whether a process is paused.
     #[must_use]
     pub fn frozen(&self, name: &InstanceName) -> bool {
-        self.hosts[name].held.is_some()
+        self.hosts[name].paused.is_some()
     }
 
     /// Returns the last index that an instance has applied since its process started.
@@ -264,9 +264,9 @@
         self.trace.push_back(format!("{at:?} {name} {what}"));
     }
 
-    fn new_life(&mut self) -> Incarnation {
-        self.next_life += 1;
-        Incarnation(self.next_life)
+    fn new_incarnation(&mut self) -> Incarnation {
+        self.next_incarnation += 1;
+        Incarnation(self.next_incarnation)
     }
 
     fn host(&mut self, name: &InstanceName) -> &mut Host {
--- a/crates/faults/src/cluster/carry.rs
+++ b/crates/faults/src/cluster/carry.rs
@@ -8,7 +8,7 @@
 use crate::history::Digest;
 
 /// Interval at which a stalled sync is retried, in microseconds.
-const STALL: u64 = 50_000;
+const STALL_RETRY_US: u64 = 50_000;
 
 #[derive(Clone, Debug)]
 pub(super) struct Event {
@@ -22,8 +22,8 @@
     pub(super) fn deliver(&mut self, event: Event) {
         let now = self.now;
         let host = self.host(&event.to);
-        if let Some(held) = &mut host.held {
-            held.push(event);
+        if let Some(paused) = &mut host.paused {
+            paused.push(event);
             return;
         }
         let Some(running) = &mut host.running else {
@@ -33,14 +33,14 @@
             return;
         }
         if host.stalled && matches!(event.input, Input::Synced { .. }) {
-            self.push(STALL, event);
+            self.enqueue(STALL_RETRY_US, event);
             return;
         }
         if let Input::Synced { upto } = event.input {
             if host.disk.failing {
                 host.disk.failing = false;
                 let input = Input::WriteFailed { no: upto };
-                self.hand_in(&event.to, input);
+                self.handle_input(&event.to, input);
                 return;
             }
             host.disk.sync(upto);
@@ -48,27 +48,27 @@
         if event.input == Input::Wake && running.wake > now {
             return;
         }
-        self.hand_in(&event.to, event.input);
+        self.handle_input(&event.to, event.input);
     }
 
-    fn hand_in(&mut self, name: &InstanceName, input: Input) {
+    fn handle_input(&mut self, name: &InstanceName, input: Input) {
         if input != Input::Wake {
             self.note(name, &format!("<- {input:?}"));
         }
         let now = self.now;
         let host = self.host(name);
-        let local = host.local(now);
+        let local = host.local_time(now);
         let mut out = Vec::new();
         if let Some(running) = &mut host.running {
             running.replica.handle(local, input, &mut out);
         }
         for output in out {
-            self.carry_out(name, output);
+            self.handle_output(name, output);
         }
         self.check_commit(name);
     }
 
-    fn carry_out(&mut self, name: &InstanceName, output: Output) {
+    fn handle_output(&mut self, name: &InstanceName, output: Output) {
         if !matches!(output, Output::Wake { .. }) {
             self.note(name, &format!("-> {output:?}"));
         }
@@ -105,7 +105,7 @@
                     index: upto,
                     data: Blob::from(data),
                 };
-                self.later(name, 1_000, input);
+                self.schedule(name, 1_000, input);
             }
             Output::Wake { at } => self.wake_later(name, at),
             Output::Role { leading, .. } => {
@@ -138,7 +138,7 @@
     }
 
     fn send(&mut self, from: &InstanceName, to: &InstanceName, message: Message) {
-        let id = replica_id(from, self.hosts[from].life);
+        let id = replica_id(from, self.hosts[from].incarnation);
         let raw = message.encode();
         for delay in self.net.delays(from, to, &mut self.rng) {
             let message = Message::decode(&raw).expect("messages survive the wire");
@@ -151,33 +151,33 @@
                 boot: None,
                 input,
             };
-            self.push(delay, event);
+            self.enqueue(delay, event);
         }
     }
 
     fn sync_later(&mut self, name: &InstanceName, upto: WriteNo) {
         let delay = self.rng.random_range(200..=self.plan.sync);
-        self.later(name, delay, Input::Synced { upto });
+        self.schedule(name, delay, Input::Synced { upto });
     }
 
     fn wake_later(&mut self, name: &InstanceName, at: Time) {
         let now = self.now;
-        let at = self.hosts[name].global(at).max(now + 1);
+        let at = self.hosts[name].real_time(at).max(now + 1);
         self.running(name).wake = at;
-        self.later(name, at - now, Input::Wake);
+        self.schedule(name, at - now, Input::Wake);
     }
 
-    fn later(&mut self, name: &InstanceName, delay: u64, input: Input) {
+    fn schedule(&mut self, name: &InstanceName, delay: u64, input: Input) {
         let boot = Some(self.running(name).boot);
         let event = Event {
             to: name.clone(),
             boot,
             input,
         };
-        self.push(delay, event);
+        self.enqueue(delay, event);
     }
 
-    fn push(&mut self, delay: u64, event: Event) {
+    fn enqueue(&mut self, delay: u64, event: Event) {
         self.sequence += 1;
         self.queue.insert((self.now + delay, self.sequence), event);
     }
--- a/crates/faults/src/cluster/fault.rs
+++ b/crates/faults/src/cluster/fault.rs
@@ -19,17 +19,17 @@
     pub fn kill(&mut self, name: &InstanceName, torn: usize) {
         let host = self.host(name);
         host.running = None;
-        host.held = None;
+        host.paused = None;
         host.disk.crash(torn);
         self.note(name, "crashed");
     }
 
     /// Empties the disk of a stopped process, which starts as a new incarnation.
     pub fn empty(&mut self, name: &InstanceName) {
-        let life = self.new_life();
+        let incarnation = self.new_incarnation();
         let host = self.host(name);
-        host.life = life;
-        host.disk = FakeDisk::new(replica_id(name, life));
+        host.incarnation = incarnation;
+        host.disk = FakeDisk::new(replica_id(name, incarnation));
         self.note(name, "disk emptied");
     }
 
@@ -58,15 +58,15 @@
 
     /// Pauses a process without ending it.
     pub fn freeze(&mut self, name: &InstanceName) {
-        self.host(name).held.get_or_insert_default();
+        self.host(name).paused.get_or_insert_default();
         self.note(name, "paused");
     }
 
     /// Resumes a paused process; events that arrived meanwhile are delivered at once.
     pub fn thaw(&mut self, name: &InstanceName) {
-        let held = self.host(name).held.take().unwrap_or_default();
+        let paused = self.host(name).paused.take().unwrap_or_default();
         self.note(name, "resumed");
-        for event in held {
+        for event in paused {
             self.deliver(event);
             self.check_leases();
         }
@@ -80,7 +80,7 @@
         if self.hosts[name].full {
             self.fill(name, false);
         }
-        if self.hosts[name].held.is_some() {
+        if self.hosts[name].paused.is_some() {
             self.thaw(name);
         }
         let halted = self.replica(name).and_then(Replica::halted);
--- a/crates/faults/src/random.rs
+++ b/crates/faults/src/random.rs
@@ -42,7 +42,7 @@
 ///
 /// The seed itself decides: drawing one more random number would change the runs of all
 /// seeds.
-fn sizes(seed: u64) -> Plan {
+fn byte_limits(seed: u64) -> Plan {
     if !seed.is_multiple_of(7) {
         return Plan::default();
     }
@@ -65,10 +65,10 @@
         compact: rng.random_range(8..60),
         keep: rng.random_range(0..10),
         sync: rng.random_range(1_000..80_000),
-        ..sizes(seed)
+        ..byte_limits(seed)
     };
     let mut cluster = Cluster::new(plan, seed);
-    let result = catch_unwind(AssertUnwindSafe(|| play(&mut cluster, &mut rng)));
+    let result = catch_unwind(AssertUnwindSafe(|| inject_faults(&mut cluster, &mut rng)));
     match result {
         Ok(()) => Ok(Tally {
             accepted: cluster.history.accepted(),
@@ -89,9 +89,9 @@
     text.unwrap_or_else(|| "a panic without a message".to_owned())
 }
 
-fn play(cluster: &mut Cluster, rng: &mut ChaCha8Rng) {
-    let calm = rng.random_range(0..3_000);
-    cluster.run(calm);
+fn inject_faults(cluster: &mut Cluster, rng: &mut ChaCha8Rng) {
+    let warm_up = rng.random_range(0..3_000);
+    cluster.run(warm_up);
     for _ in 0..STEPS {
         step(cluster, rng);
         let pause = rng.random_range(0..400);
@@ -106,7 +106,7 @@
     let other = names[rng.random_range(0..names.len())].clone();
     let running = cluster.replica(&name).is_some();
     match rng.random_range(0..32) {
-        0..=9 => burst(cluster, rng, &name),
+        0..=9 => propose_burst(cluster, rng, &name),
         10 | 11 if running => cluster.kill(&name, rng.random_range(0..200)),
         12..=15 if !running => cluster.start(&name),
         16 => cluster.net.cut(&name, &other),
@@ -125,17 +125,17 @@
             cluster.fill(&name, full);
         }
         26 => cluster.fail_sync(&name),
-        27 | 28 if cluster.whole() => lose(cluster, rng, &name),
+        27 | 28 if cluster.whole() => lose_disk(cluster, rng, &name),
         29 if cluster.whole() => {
             if let Some(leader) = cluster.leader() {
                 cluster.remove(&leader, &other);
             }
         }
-        _ => revive(cluster, &name),
+        _ => restart(cluster, &name),
     }
 }
 
-fn burst(cluster: &mut Cluster, rng: &mut ChaCha8Rng, name: &InstanceName) {
+fn propose_burst(cluster: &mut Cluster, rng: &mut ChaCha8Rng, name: &InstanceName) {
     let to = cluster.leader().unwrap_or_else(|| name.clone());
     for _ in 0..rng.random_range(1..8) {
         cluster.propose(&to);
@@ -144,7 +144,7 @@
 
 /// Crashes a process and empties or damages its log. All voters run before, so no accepted
 /// proposal may be lost.
-fn lose(cluster: &mut Cluster, rng: &mut ChaCha8Rng, name: &InstanceName) {
+fn lose_disk(cluster: &mut Cluster, rng: &mut ChaCha8Rng, name: &InstanceName) {
     cluster.kill(name, 0);
     if rng.random_range(0..2) == 0 {
         cluster.empty(name);
@@ -157,7 +157,7 @@
 }
 
 /// Ends the faults of an instance and restarts its process, unless it is paused.
-fn revive(cluster: &mut Cluster, name: &InstanceName) {
+fn restart(cluster: &mut Cluster, name: &InstanceName) {
     if !cluster.frozen(name) {
         cluster.recover(name);
     }
--- a/crates/faults/src/script.rs
+++ b/crates/faults/src/script.rs
@@ -4,11 +4,12 @@
 //! | --- | --- |
 //! | `cluster(n, seed)` | starts `n` instances called `a`, `b`, ... |
 //! | `run(ms)`, `settle()` | advances the time; ends all faults and checks that all agree |
-//! | `leader()`, `follower()`, `leads(x)`, `role(x)` | returns leader, any follower, whether `x` leads |
+//! | `leader()`, `follower()`, `leads(x)` | returns the leader, any follower, whether `x` leads |
 //! | `propose(x)`, `propose(x, n)` | proposes one command or `n` at an instance |
 //! | `accepted()`, `refused()`, `unknown()` | counts the proposals by outcome |
 //! | `applied(x)`, `term(x)`, `halted(x)`, `voters(x)` | returns the state of an instance |
-//! | `kill(x)`, `tear(x, bytes)`, `start(x)`, `freeze(x)`, `thaw(x)` | crash (with a torn write), start, pause and resume |
+//! | `kill(x)`, `tear(x, bytes)` | crashes a process, with a torn write of `bytes` |
+//! | `start(x)`, `freeze(x)`, `thaw(x)` | starts, pauses, resumes a process |
 //! | `empty(x)`, `damage(x, at)`, `fail_sync(x)`, `fill(x, full)`, `stall(x)` | faults of its disk |
 //! | `cut(x, y)`, `mend(x, y)`, `isolate(x)`, `heal()`, `loss(permille)` | partitions and message loss |
 //! | `hand_over(x)`, `remove(leader, x)` | leadership transfer and removal of a replica |
@@ -28,10 +29,10 @@
 /// Limit on the operations of a script, which ends an endless loop.
 const OPERATIONS_MAX: u64 = 10_000_000;
 
-type Shared = Arc<Mutex<Stage>>;
+type Shared = Arc<Mutex<Scenario>>;
 
 #[derive(Default)]
-struct Stage {
+struct Scenario {
     cluster: Option<Cluster>,
     marks: Vec<ExpectedMark>,
 }
@@ -47,38 +48,38 @@
 /// Panics if the log violates an invariant, or a coverage mark named by `covers` was not
 /// reached.
 pub fn play(text: &str) -> Result<(), String> {
-    let stage = Shared::default();
+    let scenario = Shared::default();
     let mut engine = Engine::new();
     engine.set_max_operations(OPERATIONS_MAX);
-    register_run(&mut engine, &stage);
-    register_questions(&mut engine, &stage);
-    register_faults(&mut engine, &stage);
-    register_checks(&mut engine, &stage);
+    register_run(&mut engine, &scenario);
+    register_queries(&mut engine, &scenario);
+    register_faults(&mut engine, &scenario);
+    register_checks(&mut engine, &scenario);
     let result = engine.run(text);
-    let mut stage = lock(&stage);
-    let trace = stage.cluster.as_ref().map_or(String::new(), Cluster::trace);
-    let marks = std::mem::take(&mut stage.marks);
-    drop(stage);
+    let mut scenario = lock(&scenario);
+    let trace = scenario.cluster.as_ref().map_or(String::new(), Cluster::trace);
+    let marks = std::mem::take(&mut scenario.marks);
+    drop(scenario);
     drop(marks);
     result.map_err(|err| format!("{trace}\n{err}"))
 }
 
-fn lock(stage: &Shared) -> MutexGuard<'_, Stage> {
-    stage.lock().expect("no other thread")
+fn lock(scenario: &Shared) -> MutexGuard<'_, Scenario> {
+    scenario.lock().expect("no other thread")
 }
 
 /// Calls `act` on the cluster that the script has started.
-fn with<T>(stage: &Shared, act: impl FnOnce(&mut Cluster) -> T) -> T {
-    let mut stage = lock(stage);
-    act(stage.cluster.as_mut().expect("`cluster` comes first"))
+fn with_cluster<T>(scenario: &Shared, act: impl FnOnce(&mut Cluster) -> T) -> T {
+    let mut scenario = lock(scenario);
+    act(scenario.cluster.as_mut().expect("`cluster` comes first"))
 }
 
 fn name(raw: &str) -> InstanceName {
     raw.parse().expect("an instance's name")
 }
 
-fn register_run(engine: &mut Engine, stage: &Shared) {
-    let shared = Arc::clone(stage);
+fn register_run(engine: &mut Engine, scenario: &Shared) {
+    let shared = Arc::clone(scenario);
     engine.register_fn("cluster", move |n: i64, seed: i64| {
         let plan = Plan {
             instances: n as usize,
@@ -86,49 +87,49 @@
         };
         lock(&shared).cluster = Some(Cluster::new(plan, seed as u64));
     });
-    let shared = Arc::clone(stage);
-    engine.register_fn("run", move |ms: i64| with(&shared, |c| c.run(ms as u64)));
-    let shared = Arc::clone(stage);
-    engine.register_fn("settle", move || with(&shared, |c| c.settle(SETTLE_MS)));
-    let shared = Arc::clone(stage);
+    let shared = Arc::clone(scenario);
+    engine.register_fn("run", move |ms: i64| with_cluster(&shared, |c| c.run(ms as u64)));
+    let shared = Arc::clone(scenario);
+    engine.register_fn("settle", move || with_cluster(&shared, |c| c.settle(SETTLE_MS)));
+    let shared = Arc::clone(scenario);
     engine.register_fn("propose", move |x: &str| {
-        with(&shared, |c| c.propose(&name(x)));
+        with_cluster(&shared, |c| c.propose(&name(x)));
     });
-    let shared = Arc::clone(stage);
+    let shared = Arc::clone(scenario);
     engine.register_fn("propose", move |x: &str, n: i64| {
-        with(&shared, |c| (0..n).for_each(|_| _ = c.propose(&name(x))));
+        with_cluster(&shared, |c| (0..n).for_each(|_| _ = c.propose(&name(x))));
     });
 }
 
-fn register_questions(engine: &mut Engine, stage: &Shared) {
-    let shared = Arc::clone(stage);
+fn register_queries(engine: &mut Engine, scenario: &Shared) {
+    let shared = Arc::clone(scenario);
     engine.register_fn("leader", move || {
-        let leader = with(&shared, |c| c.leader());
+        let leader = with_cluster(&shared, |c| c.leader());
         leader.map_or(String::new(), |name| name.to_string())
     });
-    let shared = Arc::clone(stage);
+    let shared = Arc::clone(scenario);
     engine.register_fn("follower", move || {
-        let peers = with(&shared, |c| (c.leader(), c.peers()));
+        let peers = with_cluster(&shared, |c| (c.leader(), c.peers()));
         let other = peers.1.into_iter().find(|x| Some(x) != peers.0.as_ref());
         other.expect("more than one instance").to_string()
     });
-    let shared = Arc::clone(stage);
-    engine.register_fn("leads", move |x: &str| with(&shared, |c| c.leads(&name(x))));
+    let shared = Arc::clone(scenario);
+    engine.register_fn("leads", move |x: &str| with_cluster(&shared, |c| c.leads(&name(x))));
     let mut count = |function: &str, ask: fn(&Cluster) -> usize| {
-        let shared = Arc::clone(stage);
-        engine.register_fn(function, move || with(&shared, |c| ask(c) as i64));
+        let shared = Arc::clone(scenario);
+        engine.register_fn(function, move || with_cluster(&shared, |c| ask(c) as i64));
     };
     count("accepted", |c| c.history.accepted());
     count("refused", |c| c.history.refused());
     count("unknown", |c| c.history.unknown());
-    let shared = Arc::clone(stage);
+    let shared = Arc::clone(scenario);
     engine.register_fn("applied", move |x: &str| {
-        with(&shared, |c| c.applied(&name(x)).get() as i64)
+        with_cluster(&shared, |c| c.applied(&name(x)).get() as i64)
     });
     let mut ask = |function: &str, ask: fn(&Replica) -> i64| {
-        let shared = Arc::clone(stage);
+        let shared = Arc::clone(scenario);
         engine.register_fn(function, move |x: &str| {
-            with(&shared, |c| c.replica(&name(x)).map_or(-1, ask))
+            with_cluster(&shared, |c| c.replica(&name(x)).map_or(-1, ask))
         });
     };
     ask("term", |replica| replica.term().get() as i64);
@@ -138,11 +139,11 @@
     });
 }
 
-fn register_faults(engine: &mut Engine, stage: &Shared) {
+fn register_faults(engine: &mut Engine, scenario: &Shared) {
     let mut one = |function: &str, act: fn(&mut Cluster, &InstanceName)| {
-        let shared = Arc::clone(stage);
+        let shared = Arc::clone(scenario);
         engine.register_fn(function, move |x: &str| {
-            with(&shared, |c| act(c, &name(x)));
+            with_cluster(&shared, |c| act(c, &name(x)));
         });
     };
     one("kill", |c, x| c.kill(x, 0));
@@ -154,39 +155,39 @@
     one("isolate", |c, x| c.isolate(x));
     one("hand_over", |c, x| c.input(x, Input::HandOver));
     let mut two = |function: &str, act: fn(&mut Cluster, &InstanceName, &InstanceName)| {
-        let shared = Arc::clone(stage);
+        let shared = Arc::clone(scenario);
         engine.register_fn(function, move |x: &str, y: &str| {
-            with(&shared, |c| act(c, &name(x), &name(y)));
+            with_cluster(&shared, |c| act(c, &name(x), &name(y)));
         });
     };
     two("cut", |c, x, y| c.net.cut(x, y));
     two("mend", |c, x, y| c.net.mend(x, y));
     two("remove", |c, leader, x| c.remove(leader, x));
-    let shared = Arc::clone(stage);
+    let shared = Arc::clone(scenario);
     engine.register_fn("tear", move |x: &str, bytes: i64| {
-        with(&shared, |c| c.kill(&name(x), bytes as usize));
+        with_cluster(&shared, |c| c.kill(&name(x), bytes as usize));
     });
-    let shared = Arc::clone(stage);
+    let shared = Arc::clone(scenario);
     engine.register_fn("damage", move |x: &str, at: i64| {
-        with(&shared, |c| c.damage_middle(&name(x), at as usize));
+        with_cluster(&shared, |c| c.damage_middle(&name(x), at as usize));
     });
-    let shared = Arc::clone(stage);
+    let shared = Arc::clone(scenario);
     engine.register_fn("fill", move |x: &str, full: bool| {
-        with(&shared, |c| c.fill(&name(x), full));
+        with_cluster(&shared, |c| c.fill(&name(x), full));
     });
-    let shared = Arc::clone(stage);
+    let shared = Arc::clone(scenario);
     engine.register_fn("stall", move |x: &str| {
-        with(&shared, |c| c.stall(&name(x), true));
+        with_cluster(&shared, |c| c.stall(&name(x), true));
     });
-    let shared = Arc::clone(stage);
-    engine.register_fn("heal", move || with(&shared, |c| c.net.heal()));
-    let shared = Arc::clone(stage);
+    let shared = Arc::clone(scenario);
+    engine.register_fn("heal", move || with_cluster(&shared, |c| c.net.heal()));
+    let shared = Arc::clone(scenario);
     engine.register_fn("loss", move |permille: i64| {
-        with(&shared, |c| c.net.loss = permille as u32);
+        with_cluster(&shared, |c| c.net.loss = permille as u32);
     });
 }
 
-fn register_checks(engine: &mut Engine, stage: &Shared) {
+fn register_checks(engine: &mut Engine, scenario: &Shared) {
     engine.register_fn(
         "expect",
         |holds: bool, text: &str| -> Result<(), Box<EvalAltResult>> {
@@ -196,7 +197,7 @@
             Err(text.into())
         },
     );
-    let shared = Arc::clone(stage);
+    let shared = Arc::clone(scenario);
     engine.register_fn("covers", move |mark: &str| {
         // A mark needs a `'static` name. The leak is bounded by the number of marks in the
         // scenarios.
