--- a/crates/faults/src/cluster.rs
+++ b/crates/faults/src/cluster.rs
@@ -33,7 +33,7 @@
 
 /// Size, log limits and sync time of a cluster.
 #[derive(Clone, Debug)]
-pub struct Plan {
+pub struct ClusterConfig {
     /// Number of instances, at most seven.
     pub instances: usize,
     /// Entries between two snapshots.
@@ -48,9 +48,9 @@
     pub sync: u64,
 }
 
-impl Default for Plan {
+impl Default for ClusterConfig {
     fn default() -> Self {
-        Plan {
+        ClusterConfig {
             instances: 3,
             compact: 25,
             compact_bytes: Bytes(16 << 20),
@@ -64,7 +64,7 @@
 /// Several instances with their links and disks, and the history of the run.
 #[derive(Debug)]
 pub struct Cluster {
-    plan: Plan,
+    config: ClusterConfig,
     now: u64,
     rng: ChaCha8Rng,
     hosts: BTreeMap<InstanceName, Host>,
@@ -82,7 +82,7 @@
 impl Cluster {
     /// Starts all instances with empty folders.
     #[must_use]
-    pub fn new(plan: Plan, seed: u64) -> Self {
+    pub fn new(config: ClusterConfig, seed: u64) -> Self {
         let mut cluster = Cluster {
             now: 1_000_000,
             rng: ChaCha8Rng::seed_from_u64(seed),
@@ -94,7 +94,7 @@
             net: Net::default(),
             history: History::default(),
             trace: VecDeque::new(),
-            plan,
+            config,
         };
         for name in cluster.peers() {
             let incarnation = cluster.new_incarnation();
@@ -118,7 +118,7 @@
     #[must_use]
     pub fn peers(&self) -> Vec<InstanceName> {
         let names = ["a", "b", "c", "d", "e", "f", "g"];
-        let names = names[..self.plan.instances].iter();
+        let names = names[..self.config.instances].iter();
         names.map(|raw| raw.parse().expect("a name")).collect()
     }
 
@@ -149,7 +149,7 @@
             }
             None => {
                 self.note(name, "finds its log damaged");
-                self.empty(name);
+                self.empty_disk(name);
                 Restored::default()
             }
         };
@@ -158,15 +158,15 @@
             return;
         }
         let settings = RawSettings {
-            compact: self.plan.compact,
-            compact_bytes: self.plan.compact_bytes,
-            keep: self.plan.keep,
-            keep_bytes: self.plan.keep_bytes,
+            compact: self.config.compact,
+            compact_bytes: self.config.compact_bytes,
+            keep: self.config.keep,
+            keep_bytes: self.config.keep_bytes,
             message: Bytes(64),
             window: Bytes(512),
             ..RawSettings::usual(replica_id(name, host.incarnation), peers, seed)
         };
-        let settings = Settings::try_from(settings).expect("the plan's settings fit");
+        let settings = Settings::try_from(settings).expect("the cluster's settings are valid");
         self.sequence += 1;
         let running = Running {
             replica: Replica::new(settings, restored),
@@ -238,7 +238,7 @@
 
     /// Returns whether a process is paused.
     #[must_use]
-    pub fn frozen(&self, name: &InstanceName) -> bool {
+    pub fn is_paused(&self, name: &InstanceName) -> bool {
         self.hosts[name].paused.is_some()
     }
 
--- a/crates/faults/src/cluster/carry.rs
+++ b/crates/faults/src/cluster/carry.rs
@@ -37,8 +37,8 @@
             return;
         }
         if let Input::Synced { upto } = event.input {
-            if host.disk.failing {
-                host.disk.failing = false;
+            if host.disk.fail_next_sync {
+                host.disk.fail_next_sync = false;
                 let input = Input::WriteFailed { no: upto };
                 self.handle_input(&event.to, input);
                 return;
@@ -92,7 +92,7 @@
                 command,
             } => {
                 let last = self.running(name).last;
-                self.history.applies(last, index, term, &command);
+                self.history.record_applied(last, index, term, &command);
                 let running = self.running(name);
                 running.last = index;
                 running.state = running.state.after(&command);
@@ -111,7 +111,7 @@
             Output::Role { leading, .. } => {
                 if leading && let Some(replica) = self.replica(name) {
                     let (term, id) = (replica.term(), replica.id().clone());
-                    self.history.leads(term, &id);
+                    self.history.record_leader(term, &id);
                 }
             }
             Output::Halted { .. } => {}
@@ -122,7 +122,7 @@
         let raw = data[..8].try_into().expect("a snapshot holds a digest");
         let digest = Digest(u64::from_le_bytes(raw));
         let last = self.running(name).last;
-        self.history.restores(last, index, digest);
+        self.history.check_snapshot(last, index, digest);
         let running = self.running(name);
         running.last = index;
         running.state = digest;
@@ -131,9 +131,9 @@
     fn proposed(&mut self, ticket: u64, result: Result<Index, Rejected>) {
         match result {
             _ if ticket == 0 => {}
-            Ok(index) => self.history.accepts(ticket, index),
-            Err(Rejected::NotAccepted { .. }) => self.history.refuses(ticket),
-            Err(Rejected::Unknown { .. }) => self.history.leaves_open(ticket),
+            Ok(index) => self.history.record_accepted(ticket, index),
+            Err(Rejected::NotAccepted { .. }) => self.history.record_refused(ticket),
+            Err(Rejected::Unknown { .. }) => self.history.record_unknown(ticket),
         }
     }
 
@@ -156,7 +156,7 @@
     }
 
     fn sync_later(&mut self, name: &InstanceName, upto: WriteNo) {
-        let delay = self.rng.random_range(200..=self.plan.sync);
+        let delay = self.rng.random_range(200..=self.config.sync);
         self.schedule(name, delay, Input::Synced { upto });
     }
 
--- a/crates/faults/src/cluster/check.rs
+++ b/crates/faults/src/cluster/check.rs
@@ -10,7 +10,7 @@
     /// Returns whether every voter of the newest membership runs with the disk it has voted
     /// with, so that one of them may be lost without losing accepted proposals.
     #[must_use]
-    pub fn whole(&self) -> bool {
+    pub fn all_voters_running(&self) -> bool {
         let Some(leader) = self.leader() else {
             return false;
         };
@@ -25,7 +25,7 @@
             replica.is_some_and(|r| r.id() == id && r.halted().is_none())
         };
         let settled = replica.members_settled();
-        settled && members.voters.len() == self.plan.instances && members.voters.iter().all(alive)
+        settled && members.voters.len() == self.config.instances && members.voters.iter().all(alive)
     }
 
     /// Ends all faults, waits up to `ms` milliseconds, and checks that all instances agree
@@ -52,7 +52,7 @@
     /// Returns whether all voters run, a new proposal is accepted, and all instances have
     /// applied it.
     fn agreed(&mut self) -> bool {
-        if !self.whole() {
+        if !self.all_voters_running() {
             return false;
         }
         let Some(leader) = self.leader() else {
--- a/crates/faults/src/disk.rs
+++ b/crates/faults/src/disk.rs
@@ -25,7 +25,7 @@
     seq: u64,
     unsynced: VecDeque<(WriteNo, Op)>,
     /// Whether the next sync fails.
-    pub failing: bool,
+    pub fail_next_sync: bool,
 }
 
 impl FakeDisk {
@@ -39,7 +39,7 @@
             last_frame: 0,
             seq: 1,
             unsynced: VecDeque::new(),
-            failing: false,
+            fail_next_sync: false,
         }
     }
 
@@ -85,12 +85,12 @@
             self.log.extend(&frame[..torn.min(frame.len())]);
         }
         self.unsynced.clear();
-        self.failing = false;
+        self.fail_next_sync = false;
     }
 
     /// Changes one byte of the log before its last frame; `at` is taken
     /// modulo the length of that part.
-    pub fn flip_middle(&mut self, at: usize) {
+    pub fn corrupt_byte(&mut self, at: usize) {
         let at = at % self.last_frame.max(1);
         self.log[at] ^= 0x40;
     }
--- a/crates/faults/src/history.rs
+++ b/crates/faults/src/history.rs
@@ -36,7 +36,7 @@
     /// # Panics
     ///
     /// Panics if another replica has led the term.
-    pub fn leads(&mut self, term: Term, id: &ReplicaId) {
+    pub fn record_leader(&mut self, term: Term, id: &ReplicaId) {
         let first = self.leaders.entry(term).or_insert_with(|| id.clone());
         assert_eq!(first, id, "two leaders in term {term}");
     }
@@ -47,7 +47,7 @@
     ///
     /// Panics if the replicas differ in the commands or their order, or an index comes
     /// twice.
-    pub fn applies(&mut self, last: Index, index: Index, term: Term, command: &Blob) {
+    pub fn record_applied(&mut self, last: Index, index: Index, term: Term, command: &Blob) {
         assert!(last < index, "index {index} applied after {last}");
         let skipped = self.applied.range(last.next()..index).next();
         assert_eq!(skipped, None, "a command before {index} was skipped");
@@ -81,7 +81,7 @@
     ///
     /// Panics if the snapshot is older than that, or its state is not the state of the
     /// commands applied up to `index`.
-    pub fn restores(&self, last: Index, index: Index, digest: Digest) {
+    pub fn check_snapshot(&self, last: Index, index: Index, digest: Digest) {
         assert!(last <= index, "state went back from {last} to {index}");
         assert_eq!(
             digest,
@@ -95,7 +95,7 @@
     /// # Panics
     ///
     /// Panics if another command was applied there.
-    pub fn accepts(&mut self, ticket: u64, index: Index) {
+    pub fn record_accepted(&mut self, ticket: u64, index: Index) {
         if let Some((_, command)) = self.applied.get(&index) {
             assert_eq!(
                 ticket_of(command),
@@ -111,7 +111,7 @@
     /// # Panics
     ///
     /// Panics if it was applied.
-    pub fn refuses(&mut self, ticket: u64) {
+    pub fn record_refused(&mut self, ticket: u64) {
         let applied = self
             .applied
             .values()
@@ -121,7 +121,7 @@
     }
 
     /// Records that a proposal has an unknown outcome.
-    pub fn leaves_open(&mut self, ticket: u64) {
+    pub fn record_unknown(&mut self, ticket: u64) {
         self.unknown.insert(ticket);
     }
 
--- a/crates/faults/src/lib.rs
+++ b/crates/faults/src/lib.rs
@@ -12,7 +12,7 @@
 pub mod script;
 
 pub use crate::{
-    cluster::{Cluster, Plan},
+    cluster::{Cluster, ClusterConfig},
     disk::FakeDisk,
     history::History,
     net::Net,
--- a/crates/faults/src/net.rs
+++ b/crates/faults/src/net.rs
@@ -14,7 +14,7 @@
     /// Share of messages that are lost, in parts per thousand.
     pub loss: u32,
     /// Share of messages that arrive twice, in parts per thousand.
-    pub doubled: u32,
+    pub duplicated: u32,
     /// Longest delay of a message, in microseconds.
     pub delay: u64,
 }
@@ -24,7 +24,7 @@
         Net {
             cuts: BTreeSet::new(),
             loss: 0,
-            doubled: 0,
+            duplicated: 0,
             delay: 3_000,
         }
     }
@@ -37,7 +37,7 @@
     }
 
     /// Restores the link in one direction.
-    pub fn mend(&mut self, from: &InstanceName, to: &InstanceName) {
+    pub fn restore(&mut self, from: &InstanceName, to: &InstanceName) {
         self.cuts.remove(&(from.clone(), to.clone()));
     }
 
@@ -58,7 +58,7 @@
         if !self.carries(from, to) || rng.random_range(0..1_000) < self.loss {
             return Vec::new();
         }
-        let copies = 1 + usize::from(rng.random_range(0..1_000) < self.doubled);
+        let copies = 1 + usize::from(rng.random_range(0..1_000) < self.duplicated);
         let delay = |_| rng.random_range(200..=self.delay);
         (0..copies).map(delay).collect()
     }
--- a/crates/faults/src/random.rs
+++ b/crates/faults/src/random.rs
@@ -7,7 +7,7 @@
 use rand_chacha::ChaCha8Rng;
 use replog::Input;
 
-use crate::{Cluster, Plan};
+use crate::{Cluster, ClusterConfig};
 
 /// Faults and proposals in one run.
 const STEPS: u32 = 120;
@@ -28,7 +28,7 @@
 
 /// A violated invariant, with the seed that reproduces it.
 #[derive(Clone, Debug)]
-pub struct Broken {
+pub struct Violation {
     /// Seed of the run.
     pub seed: u64,
     /// Message of the failed check.
@@ -42,14 +42,14 @@
 ///
 /// The seed itself decides: drawing one more random number would change the runs of all
 /// seeds.
-fn byte_limits(seed: u64) -> Plan {
+fn byte_limits(seed: u64) -> ClusterConfig {
     if !seed.is_multiple_of(7) {
-        return Plan::default();
+        return ClusterConfig::default();
     }
-    Plan {
+    ClusterConfig {
         compact_bytes: Bytes(560),
         keep_bytes: Bytes(200),
-        ..Plan::default()
+        ..ClusterConfig::default()
     }
 }
 
@@ -58,16 +58,16 @@
 /// # Errors
 ///
 /// Returns the violated invariant with the trace that led to it.
-pub fn run(seed: u64) -> Result<Tally, Box<Broken>> {
+pub fn run(seed: u64) -> Result<Tally, Box<Violation>> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
-    let plan = Plan {
+    let config = ClusterConfig {
         instances: if rng.random_range(0..4) == 0 { 5 } else { 3 },
         compact: rng.random_range(8..60),
         keep: rng.random_range(0..10),
         sync: rng.random_range(1_000..80_000),
         ..byte_limits(seed)
     };
-    let mut cluster = Cluster::new(plan, seed);
+    let mut cluster = Cluster::new(config, seed);
     let result = catch_unwind(AssertUnwindSafe(|| inject_faults(&mut cluster, &mut rng)));
     match result {
         Ok(()) => Ok(Tally {
@@ -75,7 +75,7 @@
             unknown: cluster.history.unknown(),
             refused: cluster.history.refused(),
         }),
-        Err(panic) => Err(Box::new(Broken {
+        Err(panic) => Err(Box::new(Violation {
             seed,
             reason: reason_of(panic.as_ref()),
             trace: cluster.trace(),
@@ -107,26 +107,26 @@
     let running = cluster.replica(&name).is_some();
     match rng.random_range(0..32) {
         0..=9 => propose_burst(cluster, rng, &name),
-        10 | 11 if running => cluster.kill(&name, rng.random_range(0..200)),
+        10 | 11 if running => cluster.crash(&name, rng.random_range(0..200)),
         12..=15 if !running => cluster.start(&name),
         16 => cluster.net.cut(&name, &other),
         17 => cluster.isolate(&name),
         18 | 19 => cluster.net.heal(),
         20 => {
             cluster.net.loss = rng.random_range(0..300);
-            cluster.net.doubled = rng.random_range(0..300);
+            cluster.net.duplicated = rng.random_range(0..300);
             cluster.net.delay = rng.random_range(1_000..400_000);
         }
-        21 if running => cluster.freeze(&name),
-        22 | 23 if cluster.frozen(&name) => cluster.thaw(&name),
+        21 if running => cluster.pause(&name),
+        22 | 23 if cluster.is_paused(&name) => cluster.resume(&name),
         24 => cluster.input(&name, Input::HandOver),
         25 => {
             let full = rng.random_range(0..2) == 0;
-            cluster.fill(&name, full);
+            cluster.set_disk_full(&name, full);
         }
         26 => cluster.fail_sync(&name),
-        27 | 28 if cluster.whole() => lose_disk(cluster, rng, &name),
-        29 if cluster.whole() => {
+        27 | 28 if cluster.all_voters_running() => lose_disk(cluster, rng, &name),
+        29 if cluster.all_voters_running() => {
             if let Some(leader) = cluster.leader() {
                 cluster.remove(&leader, &other);
             }
@@ -145,11 +145,11 @@
 /// Crashes a process and empties or damages its log. All voters run before, so no accepted
 /// proposal may be lost.
 fn lose_disk(cluster: &mut Cluster, rng: &mut ChaCha8Rng, name: &InstanceName) {
-    cluster.kill(name, 0);
+    cluster.crash(name, 0);
     if rng.random_range(0..2) == 0 {
-        cluster.empty(name);
+        cluster.empty_disk(name);
     } else {
-        cluster.damage_middle(name, rng.random_range(0..usize::MAX));
+        cluster.corrupt_log(name, rng.random_range(0..usize::MAX));
     }
     if rng.random_range(0..2) == 0 {
         cluster.start(name);
@@ -158,7 +158,7 @@
 
 /// Ends the faults of an instance and restarts its process, unless it is paused.
 fn restart(cluster: &mut Cluster, name: &InstanceName) {
-    if !cluster.frozen(name) {
+    if !cluster.is_paused(name) {
         cluster.recover(name);
     }
 }
--- a/crates/faults/src/script.rs
+++ b/crates/faults/src/script.rs
@@ -21,7 +21,7 @@
 use replog::{Input, Replica};
 use rhai::{Engine, EvalAltResult};
 
-use crate::{Cluster, Plan};
+use crate::{Cluster, ClusterConfig};
 
 /// Time within which a cluster must agree after the faults, in milliseconds.
 const SETTLE_MS: u64 = 60_000;
@@ -47,7 +47,7 @@
 ///
 /// Panics if the log violates an invariant, or a coverage mark named by `covers` was not
 /// reached.
-pub fn play(text: &str) -> Result<(), String> {
+pub fn run(text: &str) -> Result<(), String> {
     let scenario = Shared::default();
     let mut engine = Engine::new();
     engine.set_max_operations(OPERATIONS_MAX);
@@ -81,11 +81,11 @@
 fn register_run(engine: &mut Engine, scenario: &Shared) {
     let shared = Arc::clone(scenario);
     engine.register_fn("cluster", move |n: i64, seed: i64| {
-        let plan = Plan {
+        let config = ClusterConfig {
             instances: n as usize,
-            ..Plan::default()
+            ..ClusterConfig::default()
         };
-        lock(&shared).cluster = Some(Cluster::new(plan, seed as u64));
+        lock(&shared).cluster = Some(Cluster::new(config, seed as u64));
     });
     let shared = Arc::clone(scenario);
     engine.register_fn("run", move |ms: i64| with_cluster(&shared, |c| c.run(ms as u64)));
@@ -146,11 +146,11 @@
             with_cluster(&shared, |c| act(c, &name(x)));
         });
     };
-    one("kill", |c, x| c.kill(x, 0));
+    one("kill", |c, x| c.crash(x, 0));
     one("start", |c, x| c.start(x));
-    one("freeze", |c, x| c.freeze(x));
-    one("thaw", |c, x| c.thaw(x));
-    one("empty", |c, x| c.empty(x));
+    one("freeze", |c, x| c.pause(x));
+    one("thaw", |c, x| c.resume(x));
+    one("empty", |c, x| c.empty_disk(x));
     one("fail_sync", |c, x| c.fail_sync(x));
     one("isolate", |c, x| c.isolate(x));
     one("hand_over", |c, x| c.input(x, Input::HandOver));
@@ -161,23 +161,23 @@
         });
     };
     two("cut", |c, x, y| c.net.cut(x, y));
-    two("mend", |c, x, y| c.net.mend(x, y));
+    two("mend", |c, x, y| c.net.restore(x, y));
     two("remove", |c, leader, x| c.remove(leader, x));
     let shared = Arc::clone(scenario);
     engine.register_fn("tear", move |x: &str, bytes: i64| {
-        with_cluster(&shared, |c| c.kill(&name(x), bytes as usize));
+        with_cluster(&shared, |c| c.crash(&name(x), bytes as usize));
     });
     let shared = Arc::clone(scenario);
     engine.register_fn("damage", move |x: &str, at: i64| {
-        with_cluster(&shared, |c| c.damage_middle(&name(x), at as usize));
+        with_cluster(&shared, |c| c.corrupt_log(&name(x), at as usize));
     });
     let shared = Arc::clone(scenario);
     engine.register_fn("fill", move |x: &str, full: bool| {
-        with_cluster(&shared, |c| c.fill(&name(x), full));
+        with_cluster(&shared, |c| c.set_disk_full(&name(x), full));
     });
     let shared = Arc::clone(scenario);
     engine.register_fn("stall", move |x: &str| {
-        with_cluster(&shared, |c| c.stall(&name(x), true));
+        with_cluster(&shared, |c| c.stall_syncs(&name(x), true));
     });
     let shared = Arc::clone(scenario);
     engine.register_fn("heal", move || with_cluster(&shared, |c| c.net.heal()));
--- a/crates/replog/tests/explore.rs
+++ b/crates/replog/tests/explore.rs
@@ -249,12 +249,12 @@
     fn check(&self) {
         let mut history = History::default();
         for (term, id) in &self.leading {
-            history.leads(*term, id);
+            history.record_leader(*term, id);
         }
         let mut applied = self.applied.clone();
         applied.sort();
         for (index, term, command) in applied {
-            history.applies(index.prev(), index, term, &command);
+            history.record_applied(index.prev(), index, term, &command);
         }
     }
 
--- a/crates/replog/tests/scenarios.rs
+++ b/crates/replog/tests/scenarios.rs
@@ -3,7 +3,7 @@
 use faults::script;
 
 fn check(text: &str) {
-    if let Err(reason) = script::play(text) {
+    if let Err(reason) = script::run(text) {
         panic!("{reason}");
     }
 }
--- a/xtask/src/soak.rs
+++ b/xtask/src/soak.rs
@@ -12,7 +12,7 @@
 
 use anyhow::{Result, bail};
 use clap::{Arg, ArgMatches, Command, value_parser};
-use faults::random::{self, Broken, Tally};
+use faults::random::{self, Violation, Tally};
 
 /// Threads that run seeds; the chore shares its machine with other work.
 const THREADS: usize = 4;
@@ -52,9 +52,9 @@
     Ok(())
 }
 
-fn run_all(first: u64, end: u64) -> (Tally, Option<Broken>) {
+fn run_all(first: u64, end: u64) -> (Tally, Option<Violation>) {
     let next = AtomicU64::new(first);
-    let found = Mutex::new((Tally::default(), None::<Broken>));
+    let found = Mutex::new((Tally::default(), None::<Violation>));
     thread::scope(|scope| {
         for _ in 0..THREADS {
             scope.spawn(|| work(&next, end, &found));
@@ -64,7 +64,7 @@
 }
 
 /// Takes seeds until none is left or one has failed.
-fn work(next: &AtomicU64, end: u64, found: &Mutex<(Tally, Option<Broken>)>) {
+fn work(next: &AtomicU64, end: u64, found: &Mutex<(Tally, Option<Violation>)>) {
     loop {
         let seed = next.fetch_add(1, Ordering::Relaxed);
         if seed >= end {
