--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -1,8 +1,8 @@
-//! A model engine: few adapter slots, a bounded batch with priorities, tokens
-//! one by one, orders to load and unload, and a report that lags.
+//! A stand-in for a model engine: adapter slots, a bounded batch with priorities, streamed
+//! tokens, orders to load and unload adapters, and reports that may be delayed.
 //!
-//! Token `i` of an answer is a function of adapter, version, prompt and `i`,
-//! so a test can tell a wrong, repeated or missing token.
+//! Token `i` of an answer is a function of adapter, version, prompt and `i`, so that a test
+//! detects wrong, repeated and missing tokens.
 
 mod admin;
 mod batch;
@@ -28,34 +28,34 @@
     site::{self, Running},
 };
 
-/// How an engine behaves.
+/// The settings of an engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Config {
-    /// Adapters that fit.
+    /// Adapters that can be loaded at the same time.
     pub slots: usize,
-    /// Requests that run at once.
+    /// Requests that run concurrently.
     pub batch: usize,
-    /// Requests that may wait inside the engine.
+    /// Requests that may be queued inside the engine.
     pub waiting: usize,
-    /// Time for one token.
+    /// Time per token.
     pub token_time: Duration,
-    /// Time before the first token; a cached prompt head needs none.
+    /// Time before the first token, unless the head of the prompt is cached.
     pub prefill: Duration,
-    /// Time of a load when there is no store.
+    /// Duration of a load without a weight store.
     pub load_time: Duration,
-    /// The weight store, where there is one.
+    /// Address of the weight store, if there is one.
     pub store: Option<SocketAddr>,
-    /// Whether orders with an old fencing number are refused.
+    /// Whether orders with an outdated fencing number are refused.
     pub check_fence: bool,
-    /// How old the report's figures are.
+    /// Age of the data in a report.
     pub report_lag: Duration,
-    /// Every how many reports one is lost; zero for none.
+    /// Every n-th report is dropped; none if zero.
     pub report_drop: u64,
     /// Prompt heads that the prefix cache holds.
     pub cache: usize,
-    /// Whether `POST /admin/freeze-connections` works; costs one more hop.
+    /// Whether `POST /admin/freeze-connections` works, for which all connections pass a gate.
     pub freezable: bool,
-    /// `adapter@version` loaded at the start.
+    /// Adapters loaded at the start, as `adapter@version`.
     pub resident: Vec<String>,
 }
 
@@ -83,7 +83,8 @@
 ///
 /// # Errors
 ///
-/// Fails when `config` names no adapter properly, or without a listener.
+/// Returns an error if a name in `config.resident` is not `adapter@version`, or a listener
+/// can't be opened.
 pub async fn start(listener: TcpListener, config: Config) -> Result<Running> {
     let freezable = config.freezable;
     let engine = Arc::new(Engine::new(config)?);
--- a/crates/standin/src/engine/admin.rs
+++ b/crates/standin/src/engine/admin.rs
@@ -1,4 +1,4 @@
-//! Faults on demand.
+//! Injects faults on `POST /admin/...`.
 
 use std::{sync::Arc, time::Duration};
 
@@ -9,28 +9,28 @@
 use super::state::Engine;
 use crate::site::{self, Refused};
 
-/// How many times a fault happens.
+/// Number of times that a fault happens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Count {
-    /// Times; one when left out.
+    /// Number of times; one by default.
     #[serde(default = "once")]
     pub count: u32,
 }
 
-/// For how long a fault lasts.
+/// Duration of a fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Millis {
-    /// Milliseconds.
+    /// Duration in milliseconds.
     pub ms: u64,
 }
 
-/// Which streams are cut, and where.
+/// Number of streams to cut, and where.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Cut {
-    /// Streams; one when left out.
+    /// Number of streams; one by default.
     #[serde(default = "once")]
     pub count: u32,
-    /// After how many tokens of its own; the last may be lost with the
+    /// Number of tokens after which a stream is cut; the last one may be lost with the
     /// connection.
     pub after: usize,
 }
@@ -73,11 +73,11 @@
         }
         "/admin/freeze-connections" => {
             if !engine.freeze() {
-                let why = "the engine was not started freezable";
+                let why = "the engine was started without --freezable";
                 return Err(Refused::new(StatusCode::CONFLICT, why));
             }
         }
-        _ => return Err(Refused::new(StatusCode::NOT_FOUND, "no such fault")),
+        _ => return Err(Refused::new(StatusCode::NOT_FOUND, "unknown fault")),
     }
     Ok(())
 }
--- a/crates/standin/src/engine/batch.rs
+++ b/crates/standin/src/engine/batch.rs
@@ -1,4 +1,4 @@
-//! The batch: a bounded number of requests run, the most urgent first.
+//! The batch of an engine: a bounded number of requests run, those of highest priority first.
 
 use std::{
     collections::BTreeMap,
@@ -7,7 +7,7 @@
 
 use tokio::sync::watch;
 
-/// Urgency first (smaller is sooner), then arrival.
+/// Priority (the smallest runs first), then number of arrival.
 type Rank = (i64, u64);
 
 #[derive(Debug)]
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Joins; the place runs whenever it is among the most urgent.
+    /// Adds a request, which runs while it is among the `size` requests of lowest rank.
     pub(crate) fn join(self: &Arc<Self>, priority: i64) -> Place {
         let (tx, turn) = watch::channel(false);
         let mut state = self.lock();
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Returns how many are present, and how many of them run.
+    /// Returns how many requests are present, and how many of them run.
     pub(crate) fn counts(&self) -> (u64, u64) {
         let present = self.lock().entries.len();
         (present as u64, present.min(self.size) as u64)
@@ -72,7 +72,7 @@
     }
 }
 
-/// A place in the batch; dropping it frees it.
+/// A request in the batch; dropping it removes the request.
 #[derive(Debug)]
 pub(crate) struct Place {
     batch: Arc<Batch>,
@@ -81,9 +81,9 @@
 }
 
 impl Place {
-    /// Waits until the place runs.
+    /// Waits until the request runs.
     pub(crate) async fn turn(&mut self) {
-        // The sender lives as long as the place.
+        // The sender is dropped only with this entry, so the wait can't fail.
         let _ = self.turn.wait_for(|runs| *runs).await;
     }
 }
--- a/crates/standin/src/engine/chat.rs
+++ b/crates/standin/src/engine/chat.rs
@@ -1,4 +1,4 @@
-//! `POST /v1/chat/completions`, streamed and whole.
+//! `POST /v1/chat/completions`, with and without streaming.
 
 use std::{str::FromStr, sync::Arc, time::Duration};
 
@@ -17,13 +17,13 @@
 use super::{batch::Place, state::Engine};
 use crate::site::{self, Refused};
 
-/// Pieces that wait for a slow reader before the engine waits.
+/// Chunks buffered for a slow reader before generation waits.
 const DEPTH: usize = 4;
 
-/// Tokens of an answer when the request names no number.
+/// Tokens of an answer if the request names no `max_tokens`.
 const TOKENS: usize = 16;
 
-/// Bytes of a prompt that count as its head.
+/// Bytes of a prompt that are its head, the key of the prefix cache.
 const HEAD: usize = 256;
 
 #[derive(Deserialize)]
@@ -44,7 +44,7 @@
     content: String,
 }
 
-/// Returns the prompt that an engine sees in `messages`, given by content.
+/// Returns the prompt that an engine derives from the contents of the messages.
 #[must_use]
 pub fn prompt_of(contents: &[&str]) -> String {
     contents.join("\n")
@@ -58,13 +58,13 @@
     format!("{:04x} ", hash & 0xffff)
 }
 
-/// Returns the whole answer of `n` tokens to `prompt` by `model`.
+/// Returns the full answer of `n` tokens to `prompt` by `model`.
 #[must_use]
 pub fn tokens(model: &str, prompt: &str, n: usize) -> String {
     (0..n).map(|i| token(model, prompt, i)).collect()
 }
 
-/// One completion under way; dropping it unfinished counts it as cancelled.
+/// A completion in progress; it counts as cancelled if it is dropped before its end.
 struct Run {
     engine: Arc<Engine>,
     resident: Resident,
@@ -112,7 +112,7 @@
     let refuse = |status, why: &str| Err(Refused::new(status, why));
     let text = |name| headers.get(name).and_then(|v| v.to_str().ok());
     let Ok(resident) = Resident::from_str(&chat.model) else {
-        return refuse(StatusCode::BAD_REQUEST, "the model is no adapter@version");
+        return refuse(StatusCode::BAD_REQUEST, "the model must have the form adapter@version");
     };
     let contents: Vec<&str> = chat.messages.iter().map(|m| m.content.as_str()).collect();
     let prompt = prompt_of(&contents);
@@ -122,7 +122,7 @@
         return refuse(StatusCode::NOT_FOUND, "the adapter is not loaded");
     };
     if present as usize >= engine.config.batch + engine.config.waiting {
-        return refuse(StatusCode::SERVICE_UNAVAILABLE, "too many are waiting");
+        return refuse(StatusCode::SERVICE_UNAVAILABLE, "the queue of waiting requests is full");
     }
     held.running += 1;
     let gone = held.gone.clone();
@@ -184,7 +184,7 @@
             () = ends[0].cancelled() => return,
             () = ends[1].cancelled() => return,
         }
-        // The caller may have left with the last piece on its way.
+        // The caller may have disconnected before the last chunk arrived.
         let _ = writer.end().await;
     });
     let mut resp = Response::new(body);
@@ -193,7 +193,7 @@
     resp
 }
 
-/// Writes the stream and returns whether it is whole.
+/// Writes the stream; returns whether it is complete.
 async fn write(mut run: Run, writer: &Writer) -> bool {
     let first = json!({"role": "assistant", "content": ""});
     if writer.piece(run.chunk(&first, None)).await.is_err() {
@@ -244,12 +244,13 @@
 }
 
 fn broken() -> Response<Body> {
-    let body = json!({"error": {"message": "the engine broke off", "type": "broken"}});
+    let body = json!({"error": {"message": "the engine aborted the completion", "type": "broken"}});
     reply::json(StatusCode::INTERNAL_SERVER_ERROR, &body)
 }
 
 impl Engine {
-    /// Returns what the answer says it ran on: the truth, unless told to lie.
+    /// Returns the adapter version that the answer names: the one that it ran on, or the next
+    /// one if the fault `wrong-adapter` is set.
     fn named(&self, truth: &Resident) -> Resident {
         let mut named = truth.clone();
         let mut state = self.state();
--- a/crates/standin/src/engine/orders.rs
+++ b/crates/standin/src/engine/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to load and unload, in the shapes that vLLM publishes.
+//! Orders to load and unload adapters, with the requests and answers that vLLM has.
 
 use std::{str::FromStr, sync::Arc};
 
@@ -18,7 +18,7 @@
 use super::state::{Engine, Order, Use};
 use crate::site::{self, Refused};
 
-/// Largest answer of the store that is read, in bytes.
+/// Upper limit on an answer of the weight store, in bytes.
 const WEIGHTS_MAX: usize = 1 << 20;
 
 pub(crate) async fn load(engine: Arc<Engine>, req: Request<Incoming>) -> Response<Body> {
@@ -44,14 +44,14 @@
     state.loading -= 1;
     place.1 = false;
     if life.is_cancelled() {
-        return refused(StatusCode::INTERNAL_SERVER_ERROR, "the engine restarted");
+        return refused(StatusCode::INTERNAL_SERVER_ERROR, "the engine restarted during the load");
     }
     if state.faults.fail_loads > 0 {
         state.faults.fail_loads -= 1;
-        return refused(StatusCode::INTERNAL_SERVER_ERROR, "the load failed");
+        return refused(StatusCode::INTERNAL_SERVER_ERROR, "the load failed by an injected fault");
     }
     if !fetched {
-        return refused(StatusCode::INTERNAL_SERVER_ERROR, "the store failed");
+        return refused(StatusCode::INTERNAL_SERVER_ERROR, "fetching the weights from the store failed");
     }
     state.resident.insert(resident, Use::default());
     let text = format!(
@@ -72,7 +72,7 @@
     resp
 }
 
-/// Gives the place of a load back when its caller leaves amid it.
+/// Releases the slot that a load reserved if the caller disconnects during the load.
 struct Loading<'a>(&'a Engine, bool);
 
 impl Drop for Loading<'_> {
@@ -87,7 +87,7 @@
     fn admit_load(&self, order: &Load, fence: Option<Fence>) -> Result<Resident, Refused> {
         self.check_fence(fence)?;
         let Ok(resident) = Resident::from_str(&order.lora_name) else {
-            return Err(Refused::new(StatusCode::BAD_REQUEST, "no adapter@version"));
+            return Err(Refused::new(StatusCode::BAD_REQUEST, "lora_name must have the form adapter@version"));
         };
         let mut state = self.state();
         if state.resident.contains_key(&resident) {
@@ -109,7 +109,7 @@
             return refused.answer();
         }
         let Ok(resident) = Resident::from_str(&order.lora_name) else {
-            return refused(StatusCode::BAD_REQUEST, "no adapter@version");
+            return refused(StatusCode::BAD_REQUEST, "lora_name must have the form adapter@version");
         };
         let mut state = self.state();
         let Some(held) = state.resident.remove(&resident) else {
@@ -132,7 +132,7 @@
         }
         let mut state = self.state();
         if fence < state.fence {
-            let why = "the fencing number is old";
+            let why = "the fencing number is outdated";
             return Err(Refused::new(StatusCode::PRECONDITION_FAILED, why));
         }
         state.fence = fence;
--- a/crates/standin/src/engine/report.rs
+++ b/crates/standin/src/engine/report.rs
@@ -1,4 +1,4 @@
-//! The engine's account of itself, with its lag and gaps.
+//! Reports of the engine's state, which may be delayed and dropped.
 
 use std::{
     collections::VecDeque,
@@ -13,10 +13,10 @@
 use super::state::Engine;
 use crate::site;
 
-/// How often a lagging report takes its figures.
+/// Interval at which reports are taken if they are delayed.
 const EVERY: Duration = Duration::from_millis(20);
 
-/// Reports taken and not yet old enough to be shown.
+/// The report that is shown, and newer ones that are not old enough yet.
 #[derive(Debug, Default)]
 pub(crate) struct Reports {
     serial: u64,
@@ -24,7 +24,7 @@
     shown: Option<(Instant, Report)>,
 }
 
-/// Takes reports for as long as the engine lives, where they lag.
+/// Spawns a task that takes reports until the engine is dropped, if reports are delayed.
 pub(crate) fn keep(engine: &Arc<Engine>) {
     if engine.config.report_lag.is_zero() {
         return;
@@ -55,7 +55,7 @@
         reports.shown = Some((at, report));
     }
     let Some((at, report)) = &reports.shown else {
-        return site::refuse(web::StatusCode::SERVICE_UNAVAILABLE, "no report yet");
+        return site::refuse(web::StatusCode::SERVICE_UNAVAILABLE, "no report is available yet");
     };
     let mut report = report.clone();
     report.age_ms = u64::try_from(at.elapsed().as_millis()).unwrap_or(u64::MAX);
--- a/crates/standin/src/engine/state.rs
+++ b/crates/standin/src/engine/state.rs
@@ -1,4 +1,4 @@
-//! What an engine holds, and what it counts.
+//! State and statistics of an engine.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -29,18 +29,21 @@
 #[derive(Debug, Default)]
 pub(crate) struct State {
     pub(crate) incarnation: Incarnation,
-    /// Cancelled when this life of the engine ends.
+    /// Cancelled when this incarnation of the engine ends.
     pub(crate) life: CancellationToken,
-    /// Loaded adapters and how many requests use each.
+    /// Loaded adapters and their use.
     pub(crate) resident: BTreeMap<Resident, Use>,
+    /// Loads in progress, each of which reserves a slot.
     pub(crate) loading: usize,
+    /// Highest fencing number seen in this incarnation.
     pub(crate) fence: Option<Fence>,
+    /// Hashes of the prompt heads in the prefix cache, oldest first.
     pub(crate) cached: VecDeque<u64>,
     pub(crate) faults: Faults,
     pub(crate) stats: Stats,
 }
 
-/// A loaded adapter's use.
+/// The requests that use a loaded adapter.
 #[derive(Debug, Default)]
 pub(crate) struct Use {
     pub(crate) running: u32,
@@ -48,54 +51,61 @@
     pub(crate) gone: CancellationToken,
 }
 
-/// What the engine was told to do wrong.
+/// Faults requested by `POST /admin/...`.
 #[derive(Debug, Default)]
 pub(crate) struct Faults {
+    /// Loads that are still to fail.
     pub(crate) fail_loads: u32,
+    /// No token is generated until then.
     pub(crate) stall: Option<Instant>,
+    /// Delay before a completion starts.
     pub(crate) late: Duration,
+    /// Streams that are still to be cut.
     pub(crate) cuts: u32,
+    /// Number of tokens after which a stream is cut.
     pub(crate) cut_after: usize,
+    /// Answers that are still to name a wrong adapter version.
     pub(crate) wrong: u32,
 }
 
-/// What an engine counted. `GET /admin/stats`.
+/// Statistics of an engine, as `GET /admin/stats` returns them.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Stats {
     /// Completions started.
     pub started: u64,
     /// Completions that ran to their end.
     pub finished: u64,
-    /// Completions whose caller left.
+    /// Completions that ended early: the caller disconnected, the stream was cut, or the
+    /// adapter or the incarnation was gone.
     pub cancelled: u64,
     /// Completions refused before they started.
     pub refused: u64,
-    /// Completions that hold or await a place now.
+    /// Completions that run or are queued now.
     pub present: u64,
     /// Completions that run now.
     pub running: u64,
-    /// Times a running completion gave its place to a more urgent one.
+    /// Times a running completion was preempted by one of higher priority.
     pub preempted: u64,
     /// Unloads of an adapter that a request was using; must stay 0.
     pub unloads_in_use: u64,
     /// Executions by idempotency key.
     pub executions: BTreeMap<String, u64>,
-    /// Orders as they came.
+    /// Orders in the order of their answers.
     pub orders: Vec<Order>,
-    /// The `traceparent` of completions as they came.
+    /// The `traceparent` headers of completions in the order of arrival.
     pub traces: Vec<String>,
 }
 
-/// One order to load or unload.
+/// An order to load or unload an adapter.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Order {
     /// `load` or `unload`.
     pub kind: String,
     /// `adapter@version`.
     pub adapter: String,
-    /// The fencing number, where it had one.
+    /// Fencing number of the order, if it had one.
     pub fence: Option<u64>,
-    /// The HTTP status that it got.
+    /// HTTP status of the answer.
     pub status: u16,
 }
 
@@ -131,7 +141,7 @@
         stats
     }
 
-    /// Keeps the gate before the engine, and stands in for both.
+    /// Keeps the gate in front of the engine, and returns a handle that stops both.
     pub(crate) fn guard(&self, gate: Gate, inner: Running) -> Running {
         let addr = gate.addr;
         let stop = gate.stop_token();
@@ -139,13 +149,13 @@
         Running::new(addr, stop)
     }
 
-    /// Makes the connections of now silent soon; false when there is no gate.
+    /// Makes the present connections silent shortly after; returns false if there is no gate.
     pub(crate) fn freeze(&self) -> bool {
         let gate = self.gate.lock().unwrap_or_else(PoisonError::into_inner);
         gate.as_ref().map(|(gate, _)| gate.silence_soon()).is_some()
     }
 
-    /// Starts a new, empty life.
+    /// Starts a new incarnation without adapters.
     pub(crate) fn restart_empty(&self) {
         let mut state = self.state();
         state.life.cancel();
--- a/crates/standin/src/gate.rs
+++ b/crates/standin/src/gate.rs
@@ -1,5 +1,5 @@
-//! A gate between two ends that forgets connections: those of now go silent
-//! without being closed, while new ones pass.
+//! A TCP proxy that loses connections as a stateful middlebox does: present connections go
+//! silent without being closed, while new ones pass.
 
 use std::{
     net::SocketAddr,
@@ -25,25 +25,26 @@
 
 use crate::site::{self, Running};
 
-/// Bytes read at once.
+/// Size of the read buffer, in bytes.
 const CHUNK: usize = 16 << 10;
 
-/// Time for the answer to an order that came through the gate itself.
+/// Delay before connections go silent, so that the answer to a request that came through
+/// the gate itself can pass.
 const ANSWER_TIME: Duration = Duration::from_millis(50);
 
-/// What a gate counted. `GET /admin/stats`.
+/// Statistics of a gate, as `GET /admin/stats` returns them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Stats {
-    /// Connections that came.
+    /// Accepted connections.
     pub connections: u64,
-    /// Connections that are open now, silent ones included.
+    /// Connections open now, including silent ones.
     pub open: u64,
 }
 
-/// An open gate; dropping it cuts all its connections.
+/// A running gate; dropping it closes all its connections.
 #[derive(Debug)]
 pub struct Gate {
-    /// Where it listens.
+    /// Address that the gate listens on.
     pub addr: SocketAddr,
     core: Arc<Core>,
 }
@@ -51,20 +52,20 @@
 #[derive(Debug)]
 struct Core {
     target: SocketAddr,
-    /// Connections up to this number are silent.
+    /// Connections up to this number are silent; they are numbered from one.
     silent: watch::Sender<u64>,
-    /// Replaced when all are cut.
+    /// Connections up to this number are closed.
     cut: watch::Sender<u64>,
     connections: AtomicU64,
     open: AtomicU64,
     stop: CancellationToken,
 }
 
-/// Opens a gate from `listener` to `target`.
+/// Starts a gate that forwards connections from `listener` to `target`.
 ///
 /// # Errors
 ///
-/// Fails when the listener has no address.
+/// Returns an error if the listener has no address.
 pub fn open(listener: TcpListener, target: SocketAddr) -> Result<Gate> {
     let addr = listener.local_addr()?;
     let core = Arc::new(Core {
@@ -83,11 +84,11 @@
     Ok(Gate { addr, core })
 }
 
-/// Starts a listener by which a gate is told what to do.
+/// Serves the admin interface of a gate on `listener`.
 ///
 /// # Errors
 ///
-/// Fails when the listener has no address.
+/// Returns an error if the listener has no address.
 pub fn control(listener: TcpListener, gate: &Gate) -> Result<Running> {
     let core = Arc::clone(&gate.core);
     site::run(listener, move |req| order(Arc::clone(&core), req))
@@ -104,13 +105,13 @@
 }
 
 impl Gate {
-    /// Makes the connections of now silent for good; new ones pass.
+    /// Makes the present connections silent permanently; new ones pass.
     pub fn silence(&self) {
         self.core.silence();
     }
 
-    /// Makes the connections of now silent a moment later, so that an order to
-    /// do so can be answered on one of them.
+    /// Makes the present connections silent after [`ANSWER_TIME`], so that the request to do
+    /// so can be answered on one of them.
     pub(crate) fn silence_soon(&self) {
         let core = Arc::clone(&self.core);
         let all = core.connections.load(Ordering::SeqCst);
@@ -120,12 +121,12 @@
         });
     }
 
-    /// Closes the connections of now, silent ones included.
+    /// Closes the present connections, including silent ones.
     pub fn cut(&self) {
         self.core.cut();
     }
 
-    /// Returns what it counted.
+    /// Returns the statistics.
     #[must_use]
     pub fn stats(&self) -> Stats {
         self.core.stats()
@@ -200,7 +201,7 @@
                 n = from.read(&mut chunk) => Some(n?),
             };
             let Some(n) = n else {
-                // Both sockets stay open, and nothing passes any more.
+                // Both sockets stay open, but no data is forwarded any more.
                 return std::future::pending().await;
             };
             if n == 0 {
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,9 +1,9 @@
-//! Stand-ins of the outside systems, for demos and tests; no part of what
-//! ships.
+//! Stand-ins for outside systems, used by demos and tests and not shipped.
 //!
-//! Each is a process of its own by the binary `standin`, and a function here,
-//! so that a test may start it on its own runtime. All answer
-//! `GET /admin/stats` and take faults by `POST /admin/...`.
+//! Each stand-in can run as a process of the program `standin`, or on the runtime of a
+//! test by a function of this crate. Engine, service, store and gate answer
+//! `GET /admin/stats`; engine, service and gate take faults by `POST /admin/...`, and the
+//! platform takes changes by `POST /admin`.
 
 pub mod engine;
 pub mod gate;
--- a/crates/standin/src/main.rs
+++ b/crates/standin/src/main.rs
@@ -1,6 +1,7 @@
 //! Starts one stand-in as a process: `standin engine --listen 127.0.0.1:0`.
 //!
-//! The first line printed is the address it listens on.
+//! The first line printed is the address that the stand-in listens on. The gate prints the
+//! address of its admin listener as the second line.
 
 use std::{net::SocketAddr, path::PathBuf, str::FromStr, time::Duration};
 
@@ -24,18 +25,18 @@
 
 fn command() -> Command {
     Command::new("standin")
-        .about("Stands in for an outside system, on the loopback interface")
+        .about("Runs a stand-in for an outside system on the loopback interface")
         .subcommand_required(true)
         .subcommand(engine_command())
         .subcommand(with_listen(
             "service",
-            "A plain service that counts executions",
+            "A plain HTTP service that counts executions",
         ))
         .subcommand(
             with_listen("store", "The weight store")
                 .arg(number("rate", "5", "Loads that may start each second"))
-                .arg(number("parallel", "2", "Loads at once at full speed"))
-                .arg(number("load-ms", "200", "Time of a load at full speed")),
+                .arg(number("parallel", "2", "Concurrent loads at full speed"))
+                .arg(number("load-ms", "200", "Duration of a load at full speed, in milliseconds")),
         )
         .subcommand(
             with_listen("platform", "The platform's list")
@@ -44,10 +45,10 @@
                         .long("list")
                         .value_parser(value_parser!(PathBuf)),
                 )
-                .arg(number("lag-ms", "0", "How late changes show")),
+                .arg(number("lag-ms", "0", "Delay in milliseconds until a change is shown")),
         )
         .subcommand(
-            with_listen("gate", "A gate that forgets connections when told to")
+            with_listen("gate", "A TCP proxy that can make its connections silent or close them")
                 .arg(address("target").required(true))
                 .arg(address("admin").default_value("127.0.0.1:0")),
         )
@@ -56,22 +57,22 @@
 fn engine_command() -> Command {
     let flag = |name: &'static str| Arg::new(name).long(name).action(ArgAction::SetTrue);
     with_listen("engine", "A model engine")
-        .arg(number("slots", "4", "Adapters that fit"))
-        .arg(number("batch", "8", "Requests that run at once"))
-        .arg(number("waiting", "256", "Requests that may wait"))
-        .arg(number("token-ms", "5", "Time for one token"))
-        .arg(number("prefill-ms", "0", "Time before the first token"))
-        .arg(number("load-ms", "50", "Time of a load without a store"))
-        .arg(number("report-lag-ms", "0", "How old reports are"))
+        .arg(number("slots", "4", "Adapter slots"))
+        .arg(number("batch", "8", "Requests that run concurrently"))
+        .arg(number("waiting", "256", "Requests that may be queued"))
+        .arg(number("token-ms", "5", "Time per token, in milliseconds"))
+        .arg(number("prefill-ms", "0", "Time before the first token, in milliseconds"))
+        .arg(number("load-ms", "50", "Duration of a load without a store, in milliseconds"))
+        .arg(number("report-lag-ms", "0", "Age of reports, in milliseconds"))
         .arg(number(
             "report-drop",
             "0",
-            "Every how many reports one is lost",
+            "Drops every n-th report; 0 drops none",
         ))
-        .arg(number("cache", "64", "Prompt heads that the cache holds"))
+        .arg(number("cache", "64", "Prompt heads that the prefix cache holds"))
         .arg(address("store"))
-        .arg(flag("ignore-fence").help("Takes orders with an old fencing number"))
-        .arg(flag("freezable").help("Lets connections be frozen; costs a hop"))
+        .arg(flag("ignore-fence").help("Accepts orders with an outdated fencing number"))
+        .arg(flag("freezable").help("Puts a gate before the engine, so that its connections can be frozen"))
         .arg(
             Arg::new("resident")
                 .long("resident")
@@ -98,7 +99,7 @@
 }
 
 async fn start(name: &str, args: &ArgMatches) -> Result<(Running, Option<gate::Gate>)> {
-    let listen_at = at(args, "listen").context("no address")?;
+    let listen_at = at(args, "listen").context("no listen address")?;
     ensure!(
         listen_at.ip().is_loopback(),
         "a stand-in listens on the loopback interface only"
@@ -117,7 +118,7 @@
             let gate = held.insert(gate::open(listener, target)?);
             gate::control(admin, gate)?
         }
-        _ => bail!("no such stand-in"),
+        _ => bail!("unknown stand-in"),
     };
     println!("{addr}");
     if held.is_some() {
@@ -162,8 +163,8 @@
         });
     };
     let text = std::fs::read_to_string(path);
-    let text = text.with_context(|| format!("can't read {}", path.display()))?;
-    serde_json::from_str(&text).with_context(|| format!("{} is no list", path.display()))
+    let text = text.with_context(|| format!("can't read the list {}", path.display()))?;
+    serde_json::from_str(&text).with_context(|| format!("{} is not a platform list", path.display()))
 }
 
 fn count(args: &ArgMatches, name: &str) -> u32 {
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's list of instances and targets, which lags.
+//! A stand-in for the platform: its list of instances and targets, shown with a delay.
 
 use std::{
     collections::VecDeque,
@@ -14,15 +14,15 @@
 
 use crate::site::{self, Running};
 
-/// A change of the list. `POST /admin` takes it as JSON.
+/// A change of the list, the JSON body of `POST /admin`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Change {
-    /// Replaces all but the serial.
+    /// Replaces the list except for its serial number.
     List(List),
-    /// Adds or replaces an instance by name.
+    /// Adds an instance, or replaces the one of its name.
     Instance(Instance),
-    /// Adds or replaces a target by name.
+    /// Adds a target, or replaces the one of its name.
     Target(Target),
     /// Removes the instance or target of this name.
     Remove(String),
@@ -30,23 +30,26 @@
 
 #[derive(Debug)]
 struct Platform {
+    /// Delay until a change is shown.
     lag: Duration,
-    /// The list of now, and those not yet old enough to be shown.
     state: Mutex<State>,
 }
 
 #[derive(Debug)]
 struct State {
+    /// The list with all changes.
     newest: List,
+    /// Lists that are not old enough to be shown, with the time of their change.
     coming: VecDeque<(Instant, List)>,
+    /// The list as it is shown.
     shown: List,
 }
 
-/// Starts the platform. `GET /v1/list` shows changes after `lag`.
+/// Starts the platform, whose `GET /v1/list` shows a change after `lag`.
 ///
 /// # Errors
 ///
-/// Fails when the listener has no address.
+/// Returns an error if the listener has no address.
 pub fn start(listener: TcpListener, list: List, lag: Duration) -> Result<Running> {
     let state = State {
         newest: list.clone(),
--- a/crates/standin/src/service.rs
+++ b/crates/standin/src/service.rs
@@ -1,4 +1,5 @@
-//! A plain service by path, which counts what it executes.
+//! A stand-in for a plain HTTP service, which counts executions by path and by idempotency
+//! key.
 
 use std::{
     collections::BTreeMap,
@@ -16,7 +17,7 @@
 
 use crate::site::{self, Running};
 
-/// What a service counted. `GET /admin/stats`.
+/// Statistics of a service, as `GET /admin/stats` returns them.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Stats {
     /// Requests executed.
@@ -29,17 +30,17 @@
     pub paths: BTreeMap<String, u64>,
 }
 
-/// What a service does wrong. `POST /admin/faults` replaces them all.
+/// Faults of a service; `POST /admin/faults` replaces all of them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Faults {
-    /// Milliseconds before each execution.
+    /// Delay before each execution, in milliseconds.
     pub slow_ms: u64,
-    /// Requests to refuse before they start.
+    /// Number of requests to refuse before their execution.
     pub refuse: u32,
-    /// Requests to execute and then cut amid the answer.
+    /// Number of requests to execute, closing the connection within the answer.
     pub cut: u32,
-    /// Requests to execute and never answer.
+    /// Number of requests to execute and never answer.
     pub mute: u32,
 }
 
@@ -52,7 +53,7 @@
 ///
 /// # Errors
 ///
-/// Fails when the listener has no address.
+/// Returns an error if the listener has no address.
 pub fn start(listener: TcpListener) -> Result<Running> {
     let service = Arc::new(Service::default());
     site::run(listener, move |req| handle(Arc::clone(&service), req))
@@ -78,11 +79,11 @@
     let key = req.headers().get(header::IDEMPOTENCY_KEY).cloned();
     let limits = web::body::ReadLimits::default();
     let Ok(body) = web::body::read(req.into_body(), limits).await else {
-        return site::refuse(StatusCode::BAD_REQUEST, "the body is not whole");
+        return site::refuse(StatusCode::BAD_REQUEST, "the request body is incomplete");
     };
     if take(&mut service.lock().0.refuse) {
         service.lock().1.refused += 1;
-        return site::refuse(StatusCode::SERVICE_UNAVAILABLE, "not now");
+        return site::refuse(StatusCode::SERVICE_UNAVAILABLE, "refused by an injected fault");
     }
     let slow = service.lock().0.slow_ms;
     if slow > 0 {
@@ -102,11 +103,11 @@
     resp
 }
 
-/// Announces the whole answer and breaks off after half of it.
+/// Announces the length of the full answer and ends the connection after half of it.
 async fn cut(answer: &str) -> Response<Body> {
     let (writer, body) = web::body::channel(1);
     let half = Bytes::copy_from_slice(&answer.as_bytes()[..answer.len() / 2]);
-    // The reader may leave first.
+    // The caller may have disconnected already.
     let _ = writer.piece(half).await;
     let mut resp = Response::new(body);
     let len = header_value(&answer.len().to_string());
@@ -114,6 +115,7 @@
     resp
 }
 
+/// Decrements the count of a fault; returns whether the fault happens.
 fn take(left: &mut u32) -> bool {
     let some = *left > 0;
     *left -= u32::from(some);
@@ -125,7 +127,8 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Counts one execution and returns its number among those of its key.
+    /// Counts an execution; returns its number among those with the same key, or 0 without a
+    /// key.
     fn count(&self, path: &str, key: Option<&str>) -> u64 {
         let stats = &mut self.lock().1;
         stats.executed += 1;
--- a/crates/standin/src/site.rs
+++ b/crates/standin/src/site.rs
@@ -1,4 +1,4 @@
-//! What all stand-ins share: a listener, a way to stop, small answers.
+//! The HTTP server that all stand-ins share: listening, stopping, and short answers.
 
 use std::{future::Future, net::SocketAddr, time::Duration};
 
@@ -13,11 +13,10 @@
     server::{self, Limits},
 };
 
-/// A stand-in that runs on this runtime; dropping it stops it and cuts its
-/// connections.
+/// A running stand-in; dropping it stops the stand-in and closes its connections.
 #[derive(Debug)]
 pub struct Running {
-    /// Where it listens.
+    /// Address that the stand-in listens on.
     pub addr: SocketAddr,
     stop: CancellationToken,
 }
@@ -27,7 +26,7 @@
         Running { addr, stop }
     }
 
-    /// Waits until it was stopped.
+    /// Waits until the stand-in is stopped.
     pub async fn stopped(&self) {
         self.stop.cancelled().await;
     }
@@ -39,11 +38,11 @@
     }
 }
 
-/// Listens on an address of the loopback interface.
+/// Listens on `addr`, which callers take from the loopback interface.
 ///
 /// # Errors
 ///
-/// Fails when the address is taken.
+/// Returns an error if the address can't be bound.
 pub async fn listen(addr: SocketAddr) -> Result<TcpListener> {
     let listener = TcpListener::bind(addr).await;
     listener.with_context(|| format!("can't listen on {addr}"))
@@ -67,11 +66,11 @@
     Ok(Running::new(addr, stop))
 }
 
-/// Reads a JSON body; an empty one counts as `{}`.
+/// Reads a JSON body; an empty body is read as `{}`.
 ///
 /// # Errors
 ///
-/// Fails when the body is not whole or no such JSON.
+/// Returns a refusal if the body is incomplete or not JSON of type `T`.
 pub(crate) async fn body<T: DeserializeOwned>(req: Request<Incoming>) -> Result<T, Refused> {
     let limits = ReadLimits {
         bytes: 16 << 20,
@@ -83,7 +82,7 @@
     serde_json::from_slice(bytes).map_err(|err| Refused::bad(err.to_string()))
 }
 
-/// A refusal before anything was started.
+/// A request that is refused before its execution started.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Refused {
     status: StatusCode,
@@ -105,7 +104,7 @@
     }
 }
 
-/// Refuses before anything was started, and says so.
+/// Returns a refusal whose header tells that the execution was not started.
 pub(crate) fn refuse(status: StatusCode, why: &str) -> Response<Body> {
     let body = serde_json::json!({"error": {"message": why, "type": "refused"}});
     let mut resp = reply::json(status, &body);
@@ -114,12 +113,12 @@
     resp
 }
 
-/// Answers an order that was carried out.
+/// Returns the answer to an admin request that was carried out.
 pub(crate) fn done() -> Response<Body> {
     reply::json(StatusCode::OK, &serde_json::json!({"done": true}))
 }
 
-/// Answers with statistics or another value.
+/// Returns an answer with `value` as JSON.
 pub(crate) fn show<T: serde::Serialize>(value: &T) -> Response<Body> {
     reply::json(StatusCode::OK, value)
 }
--- a/crates/standin/src/store.rs
+++ b/crates/standin/src/store.rs
@@ -1,4 +1,5 @@
-//! The weight store: so many loads a second, and only a few at full speed.
+//! A stand-in for the weight store: limits the starts of loads per second, and slows loads
+//! down when too many run concurrently.
 
 use std::{
     sync::{Arc, Mutex, MutexGuard, PoisonError},
@@ -16,17 +17,17 @@
 
 use crate::site::{self, Running};
 
-/// How often a load's progress is reckoned.
+/// Interval at which the progress of a load is updated.
 const STEP: Duration = Duration::from_millis(5);
 
-/// How a store behaves.
+/// The settings of a store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Config {
     /// Loads that may start each second.
     pub rate: PerSecond,
-    /// Loads at once at full speed; more share the same speed.
+    /// Concurrent loads at full speed; more loads share the bandwidth of these.
     pub parallel: usize,
-    /// Time of a load at full speed.
+    /// Duration of a load at full speed.
     pub load_time: Duration,
 }
 
@@ -40,24 +41,25 @@
     }
 }
 
-/// What a store counted. `GET /admin/stats`.
+/// Statistics of a store, as `GET /admin/stats` returns them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Stats {
     /// Loads started.
     pub started: u64,
     /// Loads finished.
     pub finished: u64,
-    /// Loads under way.
+    /// Loads in progress.
     pub active: usize,
-    /// Most loads under way at once.
+    /// Highest number of loads in progress at the same time.
     pub peak: usize,
-    /// Loads that had to wait for the rate.
+    /// Loads whose start was delayed by the rate limit.
     pub delayed: u64,
 }
 
 #[derive(Debug)]
 struct Store {
     config: Config,
+    /// Time at which the next load may start, and the statistics.
     state: Mutex<(Instant, Stats)>,
 }
 
@@ -65,7 +67,7 @@
 ///
 /// # Errors
 ///
-/// Fails when the listener has no address.
+/// Returns an error if the listener has no address.
 pub fn start(listener: TcpListener, config: Config) -> Result<Running> {
     let store = Arc::new(Store {
         config,
@@ -103,7 +105,7 @@
         drop(active);
     }
 
-    /// Returns when the next load may start.
+    /// Reserves the next start under the rate limit and returns its time.
     fn reserve(&self) -> Instant {
         let gap = Duration::from_secs(1) / self.config.rate.get().max(1);
         let mut state = self.lock();
@@ -114,6 +116,7 @@
         start
     }
 
+    /// Returns the progress of a load in one [`STEP`], as time at full speed.
     fn progress(&self) -> Duration {
         let active = self.lock().1.active;
         if active <= self.config.parallel {
@@ -123,7 +126,8 @@
     }
 }
 
-/// A load under way; dropping it frees its share, also when its caller left.
+/// A load in progress; dropping it frees its share of the bandwidth, also if the caller has
+/// disconnected.
 struct Active<'a>(&'a Store);
 
 impl<'a> Active<'a> {
--- a/crates/standin/tests/engine.rs
+++ b/crates/standin/tests/engine.rs
@@ -55,7 +55,7 @@
         "messages": [{"role": "user", "content": "hello"}]})
 }
 
-/// Reads a stream to its end; the text, and whether it was whole.
+/// Reads a stream to its end; returns the text and whether the stream was complete.
 async fn read(mut answer: Answer) -> (String, bool) {
     let (mut parser, mut events) = (sse::Parser::default(), Vec::new());
     let mut whole = true;
@@ -107,7 +107,7 @@
     let first = post(engine.addr, "/v1/chat/completions", chat.clone(), &[]).await;
     let (head, whole) = read(first).await;
     expect_that!(whole, eq(false));
-    // The piece before the cut may be lost with the connection.
+    // The last token before the cut may be lost with the connection.
     let got = head.split_whitespace().count();
     expect_that!(got, le(3));
     let got = got.to_string();
@@ -134,7 +134,7 @@
     assert_that!(stats(engine.addr).await.started, eq(0));
 }
 
-/// Orders in turn: what each asks, its fencing number, and the status.
+/// Sends orders one after another: kind, adapter, fencing number, expected status.
 #[gtest]
 #[tokio::test]
 async fn orders_obey_slots_and_fencing_numbers() {
@@ -163,8 +163,8 @@
     assert_that!(stats(engine.addr).await.unloads_in_use, eq(0));
 }
 
-/// A caller closes its stream halfway. Its place must come free at once, or
-/// the engine goes on generating for nobody while others wait.
+/// A caller disconnects in the middle of its stream. Its place in the batch must be freed
+/// at once, or the engine generates tokens for a closed connection while others wait.
 #[gtest]
 #[tokio::test]
 async fn leaving_frees_the_place() {
--- a/crates/standin/tests/others.rs
+++ b/crates/standin/tests/others.rs
@@ -1,4 +1,4 @@
-//! Store, service, platform and gate; and the binary that starts them.
+//! The stand-ins for store, service and platform, the gate, and the program `standin`.
 
 use std::{net::SocketAddr, process::Stdio, time::Duration};
 
@@ -53,8 +53,8 @@
     Client::default().send(send).await?.whole(BODY_MAX).await
 }
 
-/// Ten loads at once: they start at the store's rate, and two at most are at
-/// full speed, so they can't be done before the rate has let the last start.
+/// Ten concurrent loads start at the rate of the store, and at most two of them run at full
+/// speed, so they can't finish before the rate limit has let the last one start.
 #[gtest]
 #[tokio::test]
 async fn the_store_keeps_its_rate() {
@@ -79,8 +79,8 @@
     assert_that!(stats.delayed, ge(8));
 }
 
-/// A service executes, then its answer is cut or never comes, or it refuses
-/// before it starts: what it counted is the truth behind the verdict.
+/// A service executes and answers, fully, partly or never, or refuses before the execution.
+/// Its counts must agree with the verdict that the client derives.
 #[gtest]
 #[tokio::test]
 async fn the_service_counts_what_ran() {
@@ -133,9 +133,9 @@
     assert_that!(bad.status.as_u16(), eq(400));
 }
 
-/// Something between the two ends forgets a stream's connection. It stays
-/// open at both ends, and only the reader's own limit finds it out; a new
-/// connection passes at once. The engine's place is freed by the cut.
+/// A middlebox drops the state of a stream's connection, which stays open at both ends. Only
+/// the idle limit of the reader detects it; a new connection passes at once. The place in
+/// the engine's batch is freed when the connection is closed.
 #[gtest]
 #[tokio::test]
 async fn a_stream_gone_silent_is_found_out() {
@@ -156,7 +156,7 @@
     expect_that!(answer.next().await.unwrap().is_ok(), eq(true));
     gate.silence();
     let broken = loop {
-        if let Err(broken) = answer.next().await.expect("a cut stream never ends whole") {
+        if let Err(broken) = answer.next().await.expect("a cut stream is never complete") {
             break broken;
         }
     };
@@ -173,7 +173,8 @@
     }
 }
 
-/// Each stand-in as a process: it prints its address and answers there.
+/// Each stand-in, started as a process, prints its address and answers there. An address
+/// outside the loopback interface is refused.
 #[gtest]
 #[tokio::test]
 async fn each_runs_as_a_process() {
