--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -88,7 +88,7 @@
 pub async fn start(listener: TcpListener, config: Config) -> Result<Running> {
     let freezable = config.freezable;
     let engine = Arc::new(Engine::new(config)?);
-    report::keep(&engine);
+    report::spawn_sampler(&engine);
     let handler = {
         let engine = Arc::clone(&engine);
         move |req| handle(Arc::clone(&engine), req)
@@ -99,7 +99,7 @@
     let inner = site::listen(SocketAddr::from(([127, 0, 0, 1], 0))).await?;
     let inner = site::run(inner, handler)?;
     let gate = gate::open(listener, inner.addr)?;
-    Ok(engine.guard(gate, inner))
+    Ok(engine.attach_gate(gate, inner))
 }
 
 async fn handle(engine: Arc<Engine>, req: Request<Incoming>) -> Response<Body> {
--- a/crates/standin/src/engine/admin.rs
+++ b/crates/standin/src/engine/admin.rs
@@ -41,13 +41,13 @@
 
 pub(crate) async fn answer(engine: Arc<Engine>, req: Request<Incoming>) -> Response<Body> {
     let path = req.uri().path().to_owned();
-    match set(&engine, &path, req).await {
+    match inject(&engine, &path, req).await {
         Ok(()) => site::done(),
         Err(refused) => refused.answer(),
     }
 }
 
-async fn set(engine: &Engine, path: &str, req: Request<Incoming>) -> Result<(), Refused> {
+async fn inject(engine: &Engine, path: &str, req: Request<Incoming>) -> Result<(), Refused> {
     match path {
         "/admin/restart-empty" => engine.restart_empty(),
         "/admin/fail-loads" => {
@@ -56,11 +56,11 @@
         }
         "/admin/stall" => {
             let Millis { ms } = site::body(req).await?;
-            engine.state().faults.stall = Some(Instant::now() + Duration::from_millis(ms));
+            engine.state().faults.stalled_until = Some(Instant::now() + Duration::from_millis(ms));
         }
         "/admin/late" => {
             let Millis { ms } = site::body(req).await?;
-            engine.state().faults.late = Duration::from_millis(ms);
+            engine.state().faults.delay = Duration::from_millis(ms);
         }
         "/admin/cut-stream" => {
             let Cut { count, after } = site::body(req).await?;
@@ -69,10 +69,10 @@
         }
         "/admin/wrong-adapter" => {
             let Count { count } = site::body(req).await?;
-            engine.state().faults.wrong = count;
+            engine.state().faults.wrong_adapter = count;
         }
         "/admin/freeze-connections" => {
-            if !engine.freeze() {
+            if !engine.freeze_connections() {
                 let why = "the engine was started without --freezable";
                 return Err(Refused::new(StatusCode::CONFLICT, why));
             }
--- a/crates/standin/src/engine/batch.rs
+++ b/crates/standin/src/engine/batch.rs
@@ -32,15 +32,15 @@
     }
 
     /// Adds a request, which runs while it is among the `size` requests of lowest rank.
-    pub(crate) fn join(self: &Arc<Self>, priority: i64) -> Place {
+    pub(crate) fn join(self: &Arc<Self>, priority: i64) -> BatchEntry {
         let (tx, turn) = watch::channel(false);
         let mut state = self.lock();
         state.arrivals += 1;
         let rank = (priority, state.arrivals);
         state.entries.insert(rank, tx);
-        state.share(self.size);
+        state.assign_slots(self.size);
         drop(state);
-        Place {
+        BatchEntry {
             batch: Arc::clone(self),
             rank,
             turn,
@@ -63,7 +63,7 @@
 }
 
 impl State {
-    fn share(&mut self, size: usize) {
+    fn assign_slots(&mut self, size: usize) {
         for (i, turn) in self.entries.values().enumerate() {
             let runs = i < size;
             let ran = turn.send_replace(runs);
@@ -74,13 +74,13 @@
 
 /// A request in the batch; dropping it removes the request.
 #[derive(Debug)]
-pub(crate) struct Place {
+pub(crate) struct BatchEntry {
     batch: Arc<Batch>,
     rank: Rank,
     turn: watch::Receiver<bool>,
 }
 
-impl Place {
+impl BatchEntry {
     /// Waits until the request runs.
     pub(crate) async fn turn(&mut self) {
         // The sender is dropped only with this entry, so the wait can't fail.
@@ -88,10 +88,10 @@
     }
 }
 
-impl Drop for Place {
+impl Drop for BatchEntry {
     fn drop(&mut self) {
         let mut state = self.batch.lock();
         state.entries.remove(&self.rank);
-        state.share(self.batch.size);
+        state.assign_slots(self.batch.size);
     }
 }
--- a/crates/standin/src/engine/chat.rs
+++ b/crates/standin/src/engine/chat.rs
@@ -14,17 +14,17 @@
 };
 use wire::{engine::Resident, header};
 
-use super::{batch::Place, state::Engine};
+use super::{batch::BatchEntry, state::Engine};
 use crate::site::{self, Refused};
 
 /// Chunks buffered for a slow reader before generation waits.
-const DEPTH: usize = 4;
+const STREAM_BUFFER: usize = 4;
 
 /// Tokens of an answer if the request names no `max_tokens`.
-const TOKENS: usize = 16;
+const DEFAULT_TOKENS: usize = 16;
 
 /// Bytes of a prompt that are its head, the key of the prefix cache.
-const HEAD: usize = 256;
+const HEAD_BYTES: usize = 256;
 
 #[derive(Deserialize)]
 struct Chat {
@@ -65,16 +65,16 @@
 }
 
 /// A completion in progress; it counts as cancelled if it is dropped before its end.
-struct Run {
+struct Completion {
     engine: Arc<Engine>,
     resident: Resident,
-    place: Place,
+    place: BatchEntry,
     model: String,
     prompt: String,
     tokens: std::ops::Range<usize>,
     cut: Option<usize>,
     prefill: Duration,
-    ends: [CancellationToken; 2],
+    end_signals: [CancellationToken; 2],
     finished: bool,
 }
 
@@ -84,9 +84,9 @@
         Ok(chat) => chat,
         Err(refused) => return refused.answer(),
     };
-    let late = engine.state().faults.late;
-    if !late.is_zero() {
-        sleep(late).await;
+    let delay = engine.state().faults.delay;
+    if !delay.is_zero() {
+        sleep(delay).await;
     }
     let run = match start(&engine, &chat, &headers) {
         Ok(run) => run,
@@ -95,11 +95,11 @@
             return refused.answer();
         }
     };
-    let named = engine.named(&run.resident);
+    let named = engine.named_resident(&run.resident);
     let from = run.tokens.start.to_string();
     let mut resp = match chat.stream {
         true => stream(run),
-        false => whole(run).await,
+        false => full_answer(run).await,
     };
     let out = resp.headers_mut();
     out.insert(header::ADAPTER, header_value(named.adapter.as_str()));
@@ -108,7 +108,7 @@
     resp
 }
 
-fn start(engine: &Arc<Engine>, chat: &Chat, headers: &HeaderMap) -> Result<Run, Refused> {
+fn start(engine: &Arc<Engine>, chat: &Chat, headers: &HeaderMap) -> Result<Completion, Refused> {
     let refuse = |status, why: &str| Err(Refused::new(status, why));
     let text = |name| headers.get(name).and_then(|v| v.to_str().ok());
     let Ok(resident) = Resident::from_str(&chat.model) else {
@@ -125,7 +125,7 @@
         return refuse(StatusCode::SERVICE_UNAVAILABLE, "the queue of waiting requests is full");
     }
     held.running += 1;
-    let gone = held.gone.clone();
+    let unloaded = held.unloaded.clone();
     state.stats.started += 1;
     if let Some(key) = text(header::IDEMPOTENCY_KEY) {
         *state.stats.executions.entry(key.to_owned()).or_default() += 1;
@@ -144,12 +144,12 @@
     if state.cached.len() > engine.config.cache {
         state.cached.pop_front();
     }
-    let life = state.life.clone();
+    let ending = state.ending.clone();
     drop(state);
     let urgent = text(header::PRIORITY).and_then(|raw| raw.parse().ok());
     let from = text(header::RESUME_FROM).and_then(|raw| raw.parse().ok());
-    let n = chat.max_tokens.unwrap_or(TOKENS);
-    Ok(Run {
+    let n = chat.max_tokens.unwrap_or(DEFAULT_TOKENS);
+    Ok(Completion {
         engine: Arc::clone(engine),
         place: engine
             .batch
@@ -164,25 +164,25 @@
         } else {
             engine.config.prefill
         },
-        ends: [gone, life],
+        end_signals: [unloaded, ending],
         finished: false,
     })
 }
 
 fn hash_head(prompt: &str) -> u64 {
     let bytes = prompt.as_bytes();
-    stable_hash(&[&bytes[..bytes.len().min(HEAD)]])
+    stable_hash(&[&bytes[..bytes.len().min(HEAD_BYTES)]])
 }
 
-fn stream(run: Run) -> Response<Body> {
-    let (writer, body) = channel(DEPTH);
+fn stream(run: Completion) -> Response<Body> {
+    let (writer, body) = channel(STREAM_BUFFER);
     tokio::spawn(async move {
-        let ends = run.ends.clone();
+        let end_signals = run.end_signals.clone();
         tokio::select! {
-            whole = write(run, &writer) => if !whole { return },
+            complete = write(run, &writer) => if !complete { return },
             () = writer.gone() => return,
-            () = ends[0].cancelled() => return,
-            () = ends[1].cancelled() => return,
+            () = end_signals[0].cancelled() => return,
+            () = end_signals[1].cancelled() => return,
         }
         // The caller may have disconnected before the last chunk arrived.
         let _ = writer.end().await;
@@ -194,7 +194,7 @@
 }
 
 /// Writes the stream; returns whether it is complete.
-async fn write(mut run: Run, writer: &Writer) -> bool {
+async fn write(mut run: Completion, writer: &Writer) -> bool {
     let first = json!({"role": "assistant", "content": ""});
     if writer.piece(run.chunk(&first, None)).await.is_err() {
         return false;
@@ -212,13 +212,13 @@
     }
     let last = run.chunk(&json!({}), Some("stop"));
     let done = bytes::Bytes::from_static(sse::DONE_EVENT);
-    let whole = writer.piece(last).await.is_ok() && writer.piece(done).await.is_ok();
-    run.finished = whole;
-    whole
+    let complete = writer.piece(last).await.is_ok() && writer.piece(done).await.is_ok();
+    run.finished = complete;
+    complete
 }
 
-async fn whole(mut run: Run) -> Response<Body> {
-    let ends = run.ends.clone();
+async fn full_answer(mut run: Completion) -> Response<Body> {
+    let end_signals = run.end_signals.clone();
     let generated = async {
         run.prefill().await;
         for _ in run.tokens.clone() {
@@ -237,13 +237,13 @@
     };
     let body: Value = tokio::select! {
         body = generated => body,
-        () = ends[0].cancelled() => return broken(),
-        () = ends[1].cancelled() => return broken(),
+        () = end_signals[0].cancelled() => return aborted(),
+        () = end_signals[1].cancelled() => return aborted(),
     };
     reply::json(StatusCode::OK, &body)
 }
 
-fn broken() -> Response<Body> {
+fn aborted() -> Response<Body> {
     let body = json!({"error": {"message": "the engine aborted the completion", "type": "broken"}});
     reply::json(StatusCode::INTERNAL_SERVER_ERROR, &body)
 }
@@ -251,18 +251,18 @@
 impl Engine {
     /// Returns the adapter version that the answer names: the one that it ran on, or the next
     /// one if the fault `wrong-adapter` is set.
-    fn named(&self, truth: &Resident) -> Resident {
+    fn named_resident(&self, truth: &Resident) -> Resident {
         let mut named = truth.clone();
         let mut state = self.state();
-        if state.faults.wrong > 0 {
-            state.faults.wrong -= 1;
+        if state.faults.wrong_adapter > 0 {
+            state.faults.wrong_adapter -= 1;
             named.version = named.version.next();
         }
         named
     }
 }
 
-impl Run {
+impl Completion {
     fn chunk(&self, delta: &Value, finish: Option<&str>) -> bytes::Bytes {
         let choice = json!({"index": 0, "delta": delta, "finish_reason": finish});
         let chunk = json!({"object": "chat.completion.chunk", "model": self.model,
@@ -279,15 +279,15 @@
 
     async fn wait_token(&mut self) {
         self.place.turn().await;
-        let stall = self.engine.state().faults.stall;
-        if let Some(until) = stall.filter(|&until| until > Instant::now()) {
+        let stalled_until = self.engine.state().faults.stalled_until;
+        if let Some(until) = stalled_until.filter(|&until| until > Instant::now()) {
             sleep_until(until).await;
         }
         sleep(self.engine.config.token_time).await;
     }
 }
 
-impl Drop for Run {
+impl Drop for Completion {
     fn drop(&mut self) {
         let mut state = self.engine.state();
         if let Some(held) = state.resident.get_mut(&self.resident) {
--- a/crates/standin/src/engine/orders.rs
+++ b/crates/standin/src/engine/orders.rs
@@ -15,7 +15,7 @@
     header,
 };
 
-use super::state::{Engine, Order, Use};
+use super::state::{Engine, Order, AdapterUse};
 use crate::site::{self, Refused};
 
 /// Upper limit on an answer of the weight store, in bytes.
@@ -28,7 +28,7 @@
         Err(refused) => return refused.answer(),
     };
     let resp = load_checked(&engine, &order, fence).await;
-    engine.note("load", order.lora_name, fence, &resp);
+    engine.record_order("load", order.lora_name, fence, &resp);
     resp
 }
 
@@ -37,13 +37,13 @@
         Ok(resident) => resident,
         Err(refused) => return refused.answer(),
     };
-    let life = engine.state().life.clone();
-    let mut place = Loading(engine, true);
+    let ending = engine.state().ending.clone();
+    let mut reservation = SlotReservation(engine, true);
     let fetched = fetch(engine, &order.lora_path).await;
     let mut state = engine.state();
     state.loading -= 1;
-    place.1 = false;
-    if life.is_cancelled() {
+    reservation.1 = false;
+    if ending.is_cancelled() {
         return refused(StatusCode::INTERNAL_SERVER_ERROR, "the engine restarted during the load");
     }
     if state.faults.fail_loads > 0 {
@@ -53,7 +53,7 @@
     if !fetched {
         return refused(StatusCode::INTERNAL_SERVER_ERROR, "fetching the weights from the store failed");
     }
-    state.resident.insert(resident, Use::default());
+    state.resident.insert(resident, AdapterUse::default());
     let text = format!(
         "Success: LoRA adapter '{}' added successfully.",
         order.lora_name
@@ -68,14 +68,14 @@
         Err(refused) => return refused.answer(),
     };
     let resp = engine.unload_checked(&order, fence);
-    engine.note("unload", order.lora_name, fence, &resp);
+    engine.record_order("unload", order.lora_name, fence, &resp);
     resp
 }
 
 /// Releases the slot that a load reserved if the caller disconnects during the load.
-struct Loading<'a>(&'a Engine, bool);
+struct SlotReservation<'a>(&'a Engine, bool);
 
-impl Drop for Loading<'_> {
+impl Drop for SlotReservation<'_> {
     fn drop(&mut self) {
         if self.1 {
             self.0.state().loading -= 1;
@@ -117,7 +117,7 @@
         };
         if held.running > 0 {
             state.stats.unloads_in_use += 1;
-            held.gone.cancel();
+            held.unloaded.cancel();
         }
         let text = format!(
             "Success: LoRA adapter '{}' removed successfully.",
@@ -139,7 +139,7 @@
         Ok(())
     }
 
-    fn note(&self, kind: &str, adapter: String, fence: Option<Fence>, resp: &Response<Body>) {
+    fn record_order(&self, kind: &str, adapter: String, fence: Option<Fence>, resp: &Response<Body>) {
         self.state().stats.orders.push(Order {
             kind: kind.to_owned(),
             adapter,
--- a/crates/standin/src/engine/report.rs
+++ b/crates/standin/src/engine/report.rs
@@ -14,7 +14,7 @@
 use crate::site;
 
 /// Interval at which reports are taken if they are delayed.
-const EVERY: Duration = Duration::from_millis(20);
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(20);
 
 /// The report that is shown, and newer ones that are not old enough yet.
 #[derive(Debug, Default)]
@@ -25,7 +25,7 @@
 }
 
 /// Spawns a task that takes reports until the engine is dropped, if reports are delayed.
-pub(crate) fn keep(engine: &Arc<Engine>) {
+pub(crate) fn spawn_sampler(engine: &Arc<Engine>) {
     if engine.config.report_lag.is_zero() {
         return;
     }
@@ -34,7 +34,7 @@
         while let Some(engine) = engine.upgrade() {
             engine.take_report();
             drop(engine);
-            sleep(EVERY).await;
+            sleep(SAMPLE_INTERVAL).await;
         }
     });
 }
--- a/crates/standin/src/engine/state.rs
+++ b/crates/standin/src/engine/state.rs
@@ -30,9 +30,9 @@
 pub(crate) struct State {
     pub(crate) incarnation: Incarnation,
     /// Cancelled when this incarnation of the engine ends.
-    pub(crate) life: CancellationToken,
+    pub(crate) ending: CancellationToken,
     /// Loaded adapters and their use.
-    pub(crate) resident: BTreeMap<Resident, Use>,
+    pub(crate) resident: BTreeMap<Resident, AdapterUse>,
     /// Loads in progress, each of which reserves a slot.
     pub(crate) loading: usize,
     /// Highest fencing number seen in this incarnation.
@@ -45,10 +45,10 @@
 
 /// The requests that use a loaded adapter.
 #[derive(Debug, Default)]
-pub(crate) struct Use {
+pub(crate) struct AdapterUse {
     pub(crate) running: u32,
     /// Cancelled when the adapter is unloaded.
-    pub(crate) gone: CancellationToken,
+    pub(crate) unloaded: CancellationToken,
 }
 
 /// Faults requested by `POST /admin/...`.
@@ -57,15 +57,15 @@
     /// Loads that are still to fail.
     pub(crate) fail_loads: u32,
     /// No token is generated until then.
-    pub(crate) stall: Option<Instant>,
+    pub(crate) stalled_until: Option<Instant>,
     /// Delay before a completion starts.
-    pub(crate) late: Duration,
+    pub(crate) delay: Duration,
     /// Streams that are still to be cut.
     pub(crate) cuts: u32,
     /// Number of tokens after which a stream is cut.
     pub(crate) cut_after: usize,
     /// Answers that are still to name a wrong adapter version.
-    pub(crate) wrong: u32,
+    pub(crate) wrong_adapter: u32,
 }
 
 /// Statistics of an engine, as `GET /admin/stats` returns them.
@@ -118,7 +118,7 @@
         for name in &config.resident {
             state
                 .resident
-                .insert(Resident::from_str(name)?, Use::default());
+                .insert(Resident::from_str(name)?, AdapterUse::default());
         }
         Ok(Engine {
             batch: Arc::new(Batch::new(config.batch)),
@@ -142,7 +142,7 @@
     }
 
     /// Keeps the gate in front of the engine, and returns a handle that stops both.
-    pub(crate) fn guard(&self, gate: Gate, inner: Running) -> Running {
+    pub(crate) fn attach_gate(&self, gate: Gate, inner: Running) -> Running {
         let addr = gate.addr;
         let stop = gate.stop_token();
         *self.gate.lock().unwrap_or_else(PoisonError::into_inner) = Some((gate, inner));
@@ -150,7 +150,7 @@
     }
 
     /// Makes the present connections silent shortly after; returns false if there is no gate.
-    pub(crate) fn freeze(&self) -> bool {
+    pub(crate) fn freeze_connections(&self) -> bool {
         let gate = self.gate.lock().unwrap_or_else(PoisonError::into_inner);
         gate.as_ref().map(|(gate, _)| gate.silence_soon()).is_some()
     }
@@ -158,8 +158,8 @@
     /// Starts a new incarnation without adapters.
     pub(crate) fn restart_empty(&self) {
         let mut state = self.state();
-        state.life.cancel();
-        state.life = CancellationToken::new();
+        state.ending.cancel();
+        state.ending = CancellationToken::new();
         state.incarnation = state.incarnation.next();
         state.resident.clear();
         state.cached.clear();
--- a/crates/standin/src/gate.rs
+++ b/crates/standin/src/gate.rs
@@ -30,7 +30,7 @@
 
 /// Delay before connections go silent, so that the answer to a request that came through
 /// the gate itself can pass.
-const ANSWER_TIME: Duration = Duration::from_millis(50);
+const SILENCE_DELAY: Duration = Duration::from_millis(50);
 
 /// Statistics of a gate, as `GET /admin/stats` returns them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -110,13 +110,13 @@
         self.core.silence();
     }
 
-    /// Makes the present connections silent after [`ANSWER_TIME`], so that the request to do
+    /// Makes the present connections silent after [`SILENCE_DELAY`], so that the request to do
     /// so can be answered on one of them.
     pub(crate) fn silence_soon(&self) {
         let core = Arc::clone(&self.core);
         let all = core.connections.load(Ordering::SeqCst);
         tokio::spawn(async move {
-            tokio::time::sleep(ANSWER_TIME).await;
+            tokio::time::sleep(SILENCE_DELAY).await;
             core.silent.send_replace(all);
         });
     }
@@ -169,7 +169,7 @@
                 core.open.fetch_add(1, Ordering::SeqCst);
                 let mut cut = core.cut.subscribe();
                 tokio::select! {
-                    _ = core.pass(near, id) => {}
+                    _ = core.forward(near, id) => {}
                     _ = cut.wait_for(|&cut| cut >= id) => {}
                     () = core.stop.cancelled() => {}
                 }
@@ -178,20 +178,20 @@
         }
     }
 
-    async fn pass(&self, near: TcpStream, id: u64) -> Result<()> {
+    async fn forward(&self, near: TcpStream, id: u64) -> Result<()> {
         let far = TcpStream::connect(self.target).await?;
         near.set_nodelay(true)?;
         far.set_nodelay(true)?;
         let (near_read, near_write) = near.into_split();
         let (far_read, far_write) = far.into_split();
         tokio::try_join!(
-            self.pump(near_read, far_write, id),
-            self.pump(far_read, near_write, id),
+            self.copy(near_read, far_write, id),
+            self.copy(far_read, near_write, id),
         )?;
         Ok(())
     }
 
-    async fn pump(&self, mut from: OwnedReadHalf, mut to: OwnedWriteHalf, id: u64) -> Result<()> {
+    async fn copy(&self, mut from: OwnedReadHalf, mut to: OwnedWriteHalf, id: u64) -> Result<()> {
         let mut silent = self.silent.subscribe();
         let mut chunk = vec![0; CHUNK];
         loop {
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -40,7 +40,7 @@
     /// The list with all changes.
     newest: List,
     /// Lists that are not old enough to be shown, with the time of their change.
-    coming: VecDeque<(Instant, List)>,
+    pending: VecDeque<(Instant, List)>,
     /// The list as it is shown.
     shown: List,
 }
@@ -53,7 +53,7 @@
 pub fn start(listener: TcpListener, list: List, lag: Duration) -> Result<Running> {
     let state = State {
         newest: list.clone(),
-        coming: VecDeque::new(),
+        pending: VecDeque::new(),
         shown: list,
     };
     let platform = Arc::new(Platform {
@@ -84,9 +84,9 @@
 
     fn shown(&self) -> List {
         let mut state = self.lock();
-        let ripe = |at: &Instant| at.elapsed() >= self.lag;
-        while state.coming.front().is_some_and(|(at, _)| ripe(at)) {
-            if let Some((_, list)) = state.coming.pop_front() {
+        let due = |at: &Instant| at.elapsed() >= self.lag;
+        while state.pending.front().is_some_and(|(at, _)| due(at)) {
+            if let Some((_, list)) = state.pending.pop_front() {
                 state.shown = list;
             }
         }
@@ -98,7 +98,7 @@
         let serial = state.newest.serial + 1;
         let list = &mut state.newest;
         match change {
-            Change::List(whole) => *list = whole,
+            Change::List(new) => *list = new,
             Change::Instance(new) => {
                 list.instances.retain(|old| old.name != new.name);
                 list.instances.push(new);
@@ -114,6 +114,6 @@
         }
         list.serial = serial;
         let entry = (Instant::now(), list.clone());
-        state.coming.push_back(entry);
+        state.pending.push_back(entry);
     }
 }
--- a/crates/standin/src/service.rs
+++ b/crates/standin/src/service.rs
@@ -81,7 +81,7 @@
     let Ok(body) = web::body::read(req.into_body(), limits).await else {
         return site::refuse(StatusCode::BAD_REQUEST, "the request body is incomplete");
     };
-    if take(&mut service.lock().0.refuse) {
+    if take_fault(&mut service.lock().0.refuse) {
         service.lock().1.refused += 1;
         return site::refuse(StatusCode::SERVICE_UNAVAILABLE, "refused by an injected fault");
     }
@@ -91,10 +91,10 @@
     }
     let nth = service.count(&path, key.as_ref().and_then(|k| k.to_str().ok()));
     let answer = json!({"path": path, "bytes": body.len(), "execution": nth}).to_string();
-    if take(&mut service.lock().0.mute) {
+    if take_fault(&mut service.lock().0.mute) {
         return std::future::pending().await;
     }
-    if take(&mut service.lock().0.cut) {
+    if take_fault(&mut service.lock().0.cut) {
         return cut(&answer).await;
     }
     let mut resp = Response::new(web::body::full(answer));
@@ -116,7 +116,7 @@
 }
 
 /// Decrements the count of a fault; returns whether the fault happens.
-fn take(left: &mut u32) -> bool {
+fn take_fault(left: &mut u32) -> bool {
     let some = *left > 0;
     *left -= u32::from(some);
     some
--- a/crates/standin/src/store.rs
+++ b/crates/standin/src/store.rs
@@ -18,7 +18,7 @@
 use crate::site::{self, Running};
 
 /// Interval at which the progress of a load is updated.
-const STEP: Duration = Duration::from_millis(5);
+const PROGRESS_STEP: Duration = Duration::from_millis(5);
 
 /// The settings of a store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -98,7 +98,7 @@
         let active = Active::new(self);
         let mut done = Duration::ZERO;
         while done < self.config.load_time {
-            sleep(STEP).await;
+            sleep(PROGRESS_STEP).await;
             done += self.progress();
         }
         self.lock().1.finished += 1;
@@ -116,13 +116,13 @@
         start
     }
 
-    /// Returns the progress of a load in one [`STEP`], as time at full speed.
+    /// Returns the progress of a load in one [`PROGRESS_STEP`], as time at full speed.
     fn progress(&self) -> Duration {
         let active = self.lock().1.active;
         if active <= self.config.parallel {
-            return STEP;
+            return PROGRESS_STEP;
         }
-        STEP.mul_f64(self.config.parallel as f64 / active as f64)
+        PROGRESS_STEP.mul_f64(self.config.parallel as f64 / active as f64)
     }
 }
 
--- a/crates/standin/tests/engine.rs
+++ b/crates/standin/tests/engine.rs
@@ -58,19 +58,19 @@
 /// Reads a stream to its end; returns the text and whether the stream was complete.
 async fn read(mut answer: Answer) -> (String, bool) {
     let (mut parser, mut events) = (sse::Parser::default(), Vec::new());
-    let mut whole = true;
+    let mut complete = true;
     while let Some(piece) = answer.next().await {
         match piece {
             Ok(piece) => parser.push(&piece, &mut events).unwrap(),
-            Err(_) => whole = false,
+            Err(_) => complete = false,
         }
     }
-    (events.iter().filter_map(sse::Event::token).collect(), whole)
+    (events.iter().filter_map(sse::Event::token).collect(), complete)
 }
 
 #[gtest]
 #[tokio::test]
-async fn streams_and_whole_answers_carry_the_same_tokens() {
+async fn streamed_and_full_answers_carry_the_same_tokens() {
     let engine = start(config()).await;
     let text = engine::tokens(MODEL, "hello", 7);
     let answer = post(
@@ -105,16 +105,16 @@
     post(engine.addr, "/admin/cut-stream", json!({"after": 3}), &[]).await;
     let chat = chat(MODEL, 8, true);
     let first = post(engine.addr, "/v1/chat/completions", chat.clone(), &[]).await;
-    let (head, whole) = read(first).await;
-    expect_that!(whole, eq(false));
+    let (head, complete) = read(first).await;
+    expect_that!(complete, eq(false));
     // The last token before the cut may be lost with the connection.
     let got = head.split_whitespace().count();
     expect_that!(got, le(3));
     let got = got.to_string();
     let from = [(wire::header::RESUME_FROM, got.as_str())];
     let rest = post(engine.addr, "/v1/chat/completions", chat, &from).await;
-    let (tail, whole) = read(rest).await;
-    assert_that!(whole, eq(true));
+    let (tail, complete) = read(rest).await;
+    assert_that!(complete, eq(true));
     assert_that!(head + &tail, eq(&engine::tokens(MODEL, "hello", 8)));
 }
 
--- a/crates/standin/tests/others.rs
+++ b/crates/standin/tests/others.rs
@@ -106,7 +106,7 @@
 
 #[gtest]
 #[tokio::test]
-async fn the_platform_lags() {
+async fn the_platform_shows_changes_with_a_delay() {
     let lag = Duration::from_millis(300);
     let empty = List {
         serial: 7,
@@ -177,7 +177,7 @@
 /// outside the loopback interface is refused.
 #[gtest]
 #[tokio::test]
-async fn each_runs_as_a_process() {
+async fn each_stand_in_runs_as_a_process() {
     for name in ["engine", "service", "store", "platform"] {
         let mut child = Command::new(env!("CARGO_BIN_EXE_standin"))
             .args([name, "--listen", "127.0.0.1:0"])
