--- a/crates/standin/src/gate.rs
+++ b/crates/standin/src/gate.rs
@@ -89,7 +89,7 @@
 /// # Errors
 ///
 /// Returns an error if the listener has no address.
-pub fn control(listener: TcpListener, gate: &Gate) -> Result<Running> {
+pub fn serve_admin(listener: TcpListener, gate: &Gate) -> Result<Running> {
     let core = Arc::clone(&gate.core);
     site::run(listener, move |req| order(Arc::clone(&core), req))
 }
--- a/crates/standin/src/main.rs
+++ b/crates/standin/src/main.rs
@@ -116,7 +116,7 @@
             let target = at(args, "target").context("no target")?;
             let admin = listen(at(args, "admin").context("no admin address")?).await?;
             let gate = held.insert(gate::open(listener, target)?);
-            gate::control(admin, gate)?
+            gate::serve_admin(admin, gate)?
         }
         _ => bail!("unknown stand-in"),
     };
