--- a/crates/faults/src/script.rs
+++ b/crates/faults/src/script.rs
@@ -57,7 +57,10 @@
     register_checks(&mut engine, &scenario);
     let result = engine.run(text);
     let mut scenario = lock(&scenario);
-    let trace = scenario.cluster.as_ref().map_or(String::new(), Cluster::trace);
+    let trace = scenario
+        .cluster
+        .as_ref()
+        .map_or(String::new(), Cluster::trace);
     let marks = std::mem::take(&mut scenario.marks);
     drop(scenario);
     drop(marks);
@@ -88,9 +91,13 @@
         lock(&shared).cluster = Some(Cluster::new(config, seed as u64));
     });
     let shared = Arc::clone(scenario);
-    engine.register_fn("run", move |ms: i64| with_cluster(&shared, |c| c.run(ms as u64)));
+    engine.register_fn("run", move |ms: i64| {
+        with_cluster(&shared, |c| c.run(ms as u64))
+    });
     let shared = Arc::clone(scenario);
-    engine.register_fn("settle", move || with_cluster(&shared, |c| c.settle(SETTLE_MS)));
+    engine.register_fn("settle", move || {
+        with_cluster(&shared, |c| c.settle(SETTLE_MS))
+    });
     let shared = Arc::clone(scenario);
     engine.register_fn("propose", move |x: &str| {
         with_cluster(&shared, |c| c.propose(&name(x)));
@@ -114,7 +121,9 @@
         other.expect("more than one instance").to_string()
     });
     let shared = Arc::clone(scenario);
-    engine.register_fn("leads", move |x: &str| with_cluster(&shared, |c| c.leads(&name(x))));
+    engine.register_fn("leads", move |x: &str| {
+        with_cluster(&shared, |c| c.leads(&name(x)))
+    });
     let mut count = |function: &str, ask: fn(&Cluster) -> usize| {
         let shared = Arc::clone(scenario);
         engine.register_fn(function, move || with_cluster(&shared, |c| ask(c) as i64));
--- a/crates/scenarios/src/check.rs
+++ b/crates/scenarios/src/check.rs
@@ -68,7 +68,10 @@
             let fence = sender.fence;
             self.fail(
                 now,
-                format!("{target}: fencing number {fence} used by {first:?} and {:?}", sender.incarnation),
+                format!(
+                    "{target}: fencing number {fence} used by {first:?} and {:?}",
+                    sender.incarnation
+                ),
             );
         }
         let Some(evicted) = evicted else {
@@ -89,7 +92,10 @@
     /// Checks that at most one instance has full ownership of a target.
     pub(crate) fn owners(&mut self, now: Time, target: &str, owners: &[String]) {
         if owners.len() > 1 {
-            self.fail(now, format!("{target}: several owners at the same time: {owners:?}"));
+            self.fail(
+                now,
+                format!("{target}: several owners at the same time: {owners:?}"),
+            );
         }
     }
 
@@ -98,7 +104,10 @@
         let last = self.texts.entry(incarnation.clone()).or_default();
         if version < *last {
             let last = *last;
-            self.fail(now, format!("{incarnation:?}: text went from {last} to {version}"));
+            self.fail(
+                now,
+                format!("{incarnation:?}: text went from {last} to {version}"),
+            );
             return;
         }
         *last = version;
@@ -145,7 +154,10 @@
         let fresh = || change.to_owned();
         let winner = self.winners.entry(base).or_insert_with(fresh).clone();
         if winner != change {
-            self.fail(now, format!("base {base}: both {winner} and {change} were accepted"));
+            self.fail(
+                now,
+                format!("base {base}: both {winner} and {change} were accepted"),
+            );
         }
         let value = (version, text.to_owned());
         let fresh = || value.clone();
@@ -163,7 +175,10 @@
     pub(crate) fn history(&mut self, now: Time, found: &BTreeMap<TextVersion, String>) {
         for (change, (version, ..)) in std::mem::take(&mut self.accepted) {
             if found.get(&version) != Some(&change) {
-                self.fail(now, format!("{change}: accepted as version {version}, then lost"));
+                self.fail(
+                    now,
+                    format!("{change}: accepted as version {version}, then lost"),
+                );
             }
         }
     }
--- a/crates/scenarios/src/engine.rs
+++ b/crates/scenarios/src/engine.rs
@@ -72,7 +72,11 @@
                     return (Answer::Refused, None);
                 }
                 let fresh = self.resident.insert(adapter.clone());
-                let answer = if fresh { Answer::Done } else { Answer::AlreadyLoaded };
+                let answer = if fresh {
+                    Answer::Done
+                } else {
+                    Answer::AlreadyLoaded
+                };
                 (answer, None)
             }
             Order::Unload(adapter) => {
--- a/crates/scenarios/src/world.rs
+++ b/crates/scenarios/src/world.rs
@@ -22,8 +22,8 @@
 use crate::{
     check::Checker,
     engine::{Answer, Engine, Order, Sender},
-    entry::{Permit, Entry},
-    keeper::{Disk, ControlNode, Write},
+    entry::{Entry, Permit},
+    keeper::{ControlNode, Disk, Write},
 };
 
 /// A message between two nodes.
@@ -47,7 +47,9 @@
 #[derive(Clone, Debug)]
 pub(crate) enum Step {
     Wake(u64),
-    Heartbeat { again: bool },
+    Heartbeat {
+        again: bool,
+    },
     Work,
     BeginMarked,
     RetryClaim(u64),
@@ -236,7 +238,12 @@
         let disk = self.disks.get(name).cloned().unwrap_or_default();
         let seed = self.random(0..u64::MAX);
         let control_node = ControlNode::new(name, &self.control_nodes, disk, seed);
-        self.add(name, zone, Proc::Control(Box::new(control_node)), incarnation);
+        self.add(
+            name,
+            zone,
+            Proc::Control(Box::new(control_node)),
+            incarnation,
+        );
         self.step(name, 1, Step::PlatformInput);
         self.wake(name, Duration::from_millis(1));
     }
@@ -335,7 +342,8 @@
         self.next += 1;
         let id = self.next;
         let incarnation = self.nodes[from].incarnation;
-        self.pending.insert(id, (from.to_owned(), incarnation, pending));
+        self.pending
+            .insert(id, (from.to_owned(), incarnation, pending));
         self.send(from, to, msg(id));
     }
 
@@ -418,7 +426,9 @@
     }
 
     fn answer(&mut self, name: &str, ticket: Ticket, msg: impl FnOnce(u64) -> Msg) {
-        let caller = self.control_node(name).and_then(|k| k.callers.remove(&ticket));
+        let caller = self
+            .control_node(name)
+            .and_then(|k| k.callers.remove(&ticket));
         if let Some((to, id)) = caller {
             self.send(name, &to, msg(id));
         }
--- a/crates/scenarios/src/world/act.rs
+++ b/crates/scenarios/src/world/act.rs
@@ -8,7 +8,7 @@
 use super::{Msg, Pending, Proc, Step, World};
 use crate::{
     engine::{Order, Sender},
-    entry::{Permit, Marked, resident},
+    entry::{Marked, Permit, resident},
 };
 
 /// Time after which an entry instance gives up a request and closes its connection.
@@ -39,7 +39,9 @@
             Step::SendMarked(id) => self.send_marked(name, id),
             Step::MarkedTimedOut(id) => self.settle(name, id, Fate::MayHaveRun),
             Step::Sync => {
-                let upto = self.control_node(name).and_then(crate::keeper::ControlNode::sync);
+                let upto = self
+                    .control_node(name)
+                    .and_then(crate::keeper::ControlNode::sync);
                 if let Some(upto) = upto {
                     self.drive_control(name, Input::Synced { upto });
                 }
@@ -232,13 +234,16 @@
         let fence = match &order {
             Order::Load(adapter) => {
                 entry.view(target).loading.insert(adapter.clone(), now);
-                entry.lessee.may_order(now, target, LeaseOrder::Load, fencing)
+                entry
+                    .lessee
+                    .may_order(now, target, LeaseOrder::Load, fencing)
             }
             Order::Unload(adapter) => {
                 let wanted = resident(adapter);
-                let fence = entry
-                    .lessee
-                    .may_order(now, target, LeaseOrder::Unload(&wanted), fencing);
+                let fence =
+                    entry
+                        .lessee
+                        .may_order(now, target, LeaseOrder::Unload(&wanted), fencing);
                 if fence.is_some() {
                     let (target, resident) = (target.clone(), wanted);
                     let input = LeaseInput::Unloading { target, resident };
--- a/crates/scenarios/src/world/audit.rs
+++ b/crates/scenarios/src/world/audit.rs
@@ -72,7 +72,10 @@
         let mut histories = Vec::new();
         for name in &control_nodes {
             let control_node = self.control_node(name).unwrap();
-            let history = control_node.control.history(base::TextVersion(0)).into_iter();
+            let history = control_node
+                .control
+                .history(base::TextVersion(0))
+                .into_iter();
             let history: BTreeMap<_, _> =
                 history.map(|e| (e.version, e.change.to_string())).collect();
             histories.push((control_node.control.state().texts().version(), history));
--- a/crates/scenarios/src/world/deliver.rs
+++ b/crates/scenarios/src/world/deliver.rs
@@ -125,7 +125,9 @@
             return;
         }
         match (pending, msg) {
-            (Pending::Heartbeat, Msg::Reply(_, Reply::Beat(reply))) => self.on_heartbeat(name, id, reply),
+            (Pending::Heartbeat, Msg::Reply(_, Reply::Beat(reply))) => {
+                self.on_heartbeat(name, id, reply)
+            }
             (Pending::Heartbeat, Msg::Reply(_, Reply::Elsewhere { leader })) => {
                 if let (Some(leader), Some(entry)) = (leader, self.entry(name)) {
                     entry.leader = Some(leader.to_string());
@@ -158,7 +160,9 @@
             (Pending::Execute(marked), Msg::Executed(_)) => {
                 self.settle(name, marked, Fate::Ran(None));
             }
-            (Pending::Forward(ticket), Msg::Reply(_, reply)) => self.on_forwarded(name, ticket, reply),
+            (Pending::Forward(ticket), Msg::Reply(_, reply)) => {
+                self.on_forwarded(name, ticket, reply)
+            }
             (Pending::Change(apply), Msg::Applied(_, applied)) => {
                 let now = self.now;
                 let (change, base) = (apply.change.to_string(), apply.base.get());
@@ -254,7 +258,10 @@
                 entry.view(&target).running.remove(&request);
                 self.report_in_use(name, &target);
             }
-            (Pending::Report(target, observation, began), Msg::Reported(_, incarnation, resident)) => {
+            (
+                Pending::Report(target, observation, began),
+                Msg::Reported(_, incarnation, resident),
+            ) => {
                 self.on_report(name, target, observation, began, incarnation, resident);
             }
             _ => {}
@@ -323,7 +330,9 @@
         let Some(entry) = self.entry(name) else {
             return;
         };
-        let observed = entry.targets.finish(&target, observation, began, Some(incarnation));
+        let observed = entry
+            .targets
+            .finish(&target, observation, began, Some(incarnation));
         let full = matches!(entry.lessee.ownership(now, &target), Ownership::Full { .. });
         if observed.is_err() || !full {
             return;
--- a/crates/scenarios/src/world/faults.rs
+++ b/crates/scenarios/src/world/faults.rs
@@ -52,7 +52,9 @@
 
     pub(crate) fn kill(&mut self, name: &str) {
         self.log(|| format!("kill {name}"));
-        let disk = self.control_node(name).map(|control_node| control_node.disk.clone());
+        let disk = self
+            .control_node(name)
+            .map(|control_node| control_node.disk.clone());
         if let Some(disk) = disk {
             self.disks.insert(name.to_owned(), disk);
         }
@@ -106,7 +108,9 @@
 
     pub(crate) fn leader(&self) -> Option<String> {
         let leads = |name: &String| match &self.nodes[name].proc {
-            Proc::Control(control_node) => self.nodes[name].up && control_node.is_leader(self.local(name)),
+            Proc::Control(control_node) => {
+                self.nodes[name].up && control_node.is_leader(self.local(name))
+            }
             _ => false,
         };
         self.control_nodes.iter().find(|name| leads(name)).cloned()
--- a/crates/standin/src/engine/chat.rs
+++ b/crates/standin/src/engine/chat.rs
@@ -112,7 +112,10 @@
     let refuse = |status, why: &str| Err(Refused::new(status, why));
     let text = |name| headers.get(name).and_then(|v| v.to_str().ok());
     let Ok(resident) = Resident::from_str(&chat.model) else {
-        return refuse(StatusCode::BAD_REQUEST, "the model must have the form adapter@version");
+        return refuse(
+            StatusCode::BAD_REQUEST,
+            "the model must have the form adapter@version",
+        );
     };
     let contents: Vec<&str> = chat.messages.iter().map(|m| m.content.as_str()).collect();
     let prompt = prompt_of(&contents);
@@ -122,7 +125,10 @@
         return refuse(StatusCode::NOT_FOUND, "the adapter is not loaded");
     };
     if present as usize >= engine.config.batch + engine.config.waiting {
-        return refuse(StatusCode::SERVICE_UNAVAILABLE, "the queue of waiting requests is full");
+        return refuse(
+            StatusCode::SERVICE_UNAVAILABLE,
+            "the queue of waiting requests is full",
+        );
     }
     held.running += 1;
     let unloaded = held.unloaded.clone();
--- a/crates/standin/src/engine/orders.rs
+++ b/crates/standin/src/engine/orders.rs
@@ -15,7 +15,7 @@
     header,
 };
 
-use super::state::{Engine, Order, AdapterUse};
+use super::state::{AdapterUse, Engine, Order};
 use crate::site::{self, Refused};
 
 /// Upper limit on an answer of the weight store, in bytes.
@@ -44,14 +44,23 @@
     state.loading -= 1;
     reservation.1 = false;
     if ending.is_cancelled() {
-        return refused(StatusCode::INTERNAL_SERVER_ERROR, "the engine restarted during the load");
+        return refused(
+            StatusCode::INTERNAL_SERVER_ERROR,
+            "the engine restarted during the load",
+        );
     }
     if state.faults.fail_loads > 0 {
         state.faults.fail_loads -= 1;
-        return refused(StatusCode::INTERNAL_SERVER_ERROR, "the load failed by an injected fault");
+        return refused(
+            StatusCode::INTERNAL_SERVER_ERROR,
+            "the load failed by an injected fault",
+        );
     }
     if !fetched {
-        return refused(StatusCode::INTERNAL_SERVER_ERROR, "fetching the weights from the store failed");
+        return refused(
+            StatusCode::INTERNAL_SERVER_ERROR,
+            "fetching the weights from the store failed",
+        );
     }
     state.resident.insert(resident, AdapterUse::default());
     let text = format!(
@@ -87,7 +96,10 @@
     fn admit_load(&self, order: &Load, fence: Option<Fence>) -> Result<Resident, Refused> {
         self.check_fence(fence)?;
         let Ok(resident) = Resident::from_str(&order.lora_name) else {
-            return Err(Refused::new(StatusCode::BAD_REQUEST, "lora_name must have the form adapter@version"));
+            return Err(Refused::new(
+                StatusCode::BAD_REQUEST,
+                "lora_name must have the form adapter@version",
+            ));
         };
         let mut state = self.state();
         if state.resident.contains_key(&resident) {
@@ -109,7 +121,10 @@
             return refused.answer();
         }
         let Ok(resident) = Resident::from_str(&order.lora_name) else {
-            return refused(StatusCode::BAD_REQUEST, "lora_name must have the form adapter@version");
+            return refused(
+                StatusCode::BAD_REQUEST,
+                "lora_name must have the form adapter@version",
+            );
         };
         let mut state = self.state();
         let Some(held) = state.resident.remove(&resident) else {
@@ -139,7 +154,13 @@
         Ok(())
     }
 
-    fn record_order(&self, kind: &str, adapter: String, fence: Option<Fence>, resp: &Response<Body>) {
+    fn record_order(
+        &self,
+        kind: &str,
+        adapter: String,
+        fence: Option<Fence>,
+        resp: &Response<Body>,
+    ) {
         self.state().stats.orders.push(Order {
             kind: kind.to_owned(),
             adapter,
--- a/crates/standin/src/engine/report.rs
+++ b/crates/standin/src/engine/report.rs
@@ -55,7 +55,10 @@
         reports.shown = Some((at, report));
     }
     let Some((at, report)) = &reports.shown else {
-        return site::refuse(web::StatusCode::SERVICE_UNAVAILABLE, "no report is available yet");
+        return site::refuse(
+            web::StatusCode::SERVICE_UNAVAILABLE,
+            "no report is available yet",
+        );
     };
     let mut report = report.clone();
     report.age_ms = u64::try_from(at.elapsed().as_millis()).unwrap_or(u64::MAX);
--- a/crates/standin/src/main.rs
+++ b/crates/standin/src/main.rs
@@ -36,7 +36,11 @@
             with_listen("store", "The weight store")
                 .arg(number("rate", "5", "Loads that may start each second"))
                 .arg(number("parallel", "2", "Concurrent loads at full speed"))
-                .arg(number("load-ms", "200", "Duration of a load at full speed, in milliseconds")),
+                .arg(number(
+                    "load-ms",
+                    "200",
+                    "Duration of a load at full speed, in milliseconds",
+                )),
         )
         .subcommand(
             with_listen("platform", "The platform's list")
@@ -45,12 +49,19 @@
                         .long("list")
                         .value_parser(value_parser!(PathBuf)),
                 )
-                .arg(number("lag-ms", "0", "Delay in milliseconds until a change is shown")),
+                .arg(number(
+                    "lag-ms",
+                    "0",
+                    "Delay in milliseconds until a change is shown",
+                )),
         )
         .subcommand(
-            with_listen("gate", "A TCP proxy that can make its connections silent or close them")
-                .arg(address("target").required(true))
-                .arg(address("admin").default_value("127.0.0.1:0")),
+            with_listen(
+                "gate",
+                "A TCP proxy that can make its connections silent or close them",
+            )
+            .arg(address("target").required(true))
+            .arg(address("admin").default_value("127.0.0.1:0")),
         )
 }
 
@@ -61,18 +72,37 @@
         .arg(number("batch", "8", "Requests that run concurrently"))
         .arg(number("waiting", "256", "Requests that may be queued"))
         .arg(number("token-ms", "5", "Time per token, in milliseconds"))
-        .arg(number("prefill-ms", "0", "Time before the first token, in milliseconds"))
-        .arg(number("load-ms", "50", "Duration of a load without a store, in milliseconds"))
-        .arg(number("report-lag-ms", "0", "Age of reports, in milliseconds"))
+        .arg(number(
+            "prefill-ms",
+            "0",
+            "Time before the first token, in milliseconds",
+        ))
+        .arg(number(
+            "load-ms",
+            "50",
+            "Duration of a load without a store, in milliseconds",
+        ))
+        .arg(number(
+            "report-lag-ms",
+            "0",
+            "Age of reports, in milliseconds",
+        ))
         .arg(number(
             "report-drop",
             "0",
             "Drops every n-th report; 0 drops none",
         ))
-        .arg(number("cache", "64", "Prompt heads that the prefix cache holds"))
+        .arg(number(
+            "cache",
+            "64",
+            "Prompt heads that the prefix cache holds",
+        ))
         .arg(address("store"))
         .arg(flag("ignore-fence").help("Accepts orders with an outdated fencing number"))
-        .arg(flag("freezable").help("Puts a gate before the engine, so that its connections can be frozen"))
+        .arg(
+            flag("freezable")
+                .help("Puts a gate before the engine, so that its connections can be frozen"),
+        )
         .arg(
             Arg::new("resident")
                 .long("resident")
@@ -164,7 +194,8 @@
     };
     let text = std::fs::read_to_string(path);
     let text = text.with_context(|| format!("can't read the list {}", path.display()))?;
-    serde_json::from_str(&text).with_context(|| format!("{} is not a platform list", path.display()))
+    serde_json::from_str(&text)
+        .with_context(|| format!("{} is not a platform list", path.display()))
 }
 
 fn count(args: &ArgMatches, name: &str) -> u32 {
--- a/crates/standin/src/service.rs
+++ b/crates/standin/src/service.rs
@@ -83,7 +83,10 @@
     };
     if take_fault(&mut service.lock().0.refuse) {
         service.lock().1.refused += 1;
-        return site::refuse(StatusCode::SERVICE_UNAVAILABLE, "refused by an injected fault");
+        return site::refuse(
+            StatusCode::SERVICE_UNAVAILABLE,
+            "refused by an injected fault",
+        );
     }
     let slow = service.lock().0.slow_ms;
     if slow > 0 {
--- a/crates/standin/tests/engine.rs
+++ b/crates/standin/tests/engine.rs
@@ -65,7 +65,10 @@
             Err(_) => complete = false,
         }
     }
-    (events.iter().filter_map(sse::Event::token).collect(), complete)
+    (
+        events.iter().filter_map(sse::Event::token).collect(),
+        complete,
+    )
 }
 
 #[gtest]
--- a/xtask/src/soak.rs
+++ b/xtask/src/soak.rs
@@ -12,7 +12,7 @@
 
 use anyhow::{Result, bail};
 use clap::{Arg, ArgMatches, Command, value_parser};
-use faults::random::{self, Violation, Tally};
+use faults::random::{self, Tally, Violation};
 
 /// Threads that run seeds; the chore shares its machine with other work.
 const THREADS: usize = 4;
