--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -53,7 +53,8 @@
     pub report_drop: u64,
     /// Prompt heads that the prefix cache holds.
     pub cache: usize,
-    /// Whether `POST /admin/freeze-connections` works, for which all connections pass a gate.
+    /// Whether `POST /admin/freeze-connections` works; adds a hop, as all connections
+    /// pass a gate then.
     pub freezable: bool,
     /// Adapters loaded at the start, as `adapter@version`.
     pub resident: Vec<String>,
--- a/crates/standin/src/main.rs
+++ b/crates/standin/src/main.rs
@@ -101,7 +101,7 @@
         .arg(flag("ignore-fence").help("Accepts orders with an outdated fencing number"))
         .arg(
             flag("freezable")
-                .help("Puts a gate before the engine, so that its connections can be frozen"),
+                .help("Lets connections be frozen, by a gate that adds a hop"),
         )
         .arg(
             Arg::new("resident")
