--- a/crates/faults/src/cluster.rs
+++ b/crates/faults/src/cluster.rs
@@ -1,7 +1,7 @@
 //! A simulated cluster: replicas of one log in virtual time.
 
-mod carry;
 mod check;
+mod drive;
 mod fault;
 mod host;
 
@@ -16,7 +16,7 @@
 use replog::{Index, Input, RawSettings, Replica, Restored, Settings};
 
 use self::{
-    carry::Event,
+    drive::Event,
     host::{Host, Running, replica_id},
 };
 use crate::{
--- a/crates/faults/src/cluster/host.rs
+++ b/crates/faults/src/cluster/host.rs
@@ -3,7 +3,7 @@
 use base::{Incarnation, InstanceName, Time};
 use replog::{Index, Replica, ReplicaId};
 
-use super::carry::Event;
+use super::drive::Event;
 use crate::{FakeDisk, history::Digest};
 
 #[derive(Debug)]
--- a/crates/scenarios/src/lib.rs
+++ b/crates/scenarios/src/lib.rs
@@ -6,9 +6,9 @@
 //! scripting language brings loops, functions and random choices with it.
 
 mod check;
+mod control_node;
 mod engine;
 mod entry;
-mod keeper;
 mod script;
 mod world;
 
--- a/crates/scenarios/src/world.rs
+++ b/crates/scenarios/src/world.rs
@@ -21,9 +21,9 @@
 
 use crate::{
     check::Checker,
+    control_node::{ControlNode, Disk, Write},
     engine::{Answer, Engine, Order, Sender},
     entry::{Entry, Permit},
-    keeper::{ControlNode, Disk, Write},
 };
 
 /// A message between two nodes.
--- a/crates/scenarios/src/world/act.rs
+++ b/crates/scenarios/src/world/act.rs
@@ -41,7 +41,7 @@
             Step::Sync => {
                 let upto = self
                     .control_node(name)
-                    .and_then(crate::keeper::ControlNode::sync);
+                    .and_then(crate::control_node::ControlNode::sync);
                 if let Some(upto) = upto {
                     self.drive_control(name, Input::Synced { upto });
                 }
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -25,7 +25,7 @@
 };
 use crate::{
     gate,
-    site::{self, Running},
+    server::{self, Running},
 };
 
 /// The settings of an engine.
@@ -95,10 +95,10 @@
         move |req| handle(Arc::clone(&engine), req)
     };
     if !freezable {
-        return site::run(listener, handler);
+        return server::run(listener, handler);
     }
-    let inner = site::listen(SocketAddr::from(([127, 0, 0, 1], 0))).await?;
-    let inner = site::run(inner, handler)?;
+    let inner = server::listen(SocketAddr::from(([127, 0, 0, 1], 0))).await?;
+    let inner = server::run(inner, handler)?;
     let gate = gate::open(listener, inner.addr)?;
     Ok(engine.attach_gate(gate, inner))
 }
@@ -109,11 +109,11 @@
     match (get, path.as_str()) {
         (true, "/health") => reply::plain(StatusCode::OK, ""),
         (true, "/v1/report") => report::answer(&engine),
-        (true, "/admin/stats") => site::show(&engine.stats()),
+        (true, "/admin/stats") => server::show(&engine.stats()),
         (false, "/v1/chat/completions") => chat::answer(engine, req).await,
         (false, "/v1/load_lora_adapter") => orders::load(engine, req).await,
         (false, "/v1/unload_lora_adapter") => orders::unload(engine, req).await,
         (false, path) if path.starts_with("/admin/") => admin::answer(engine, req).await,
-        _ => site::refuse(StatusCode::NOT_FOUND, "no such path"),
+        _ => server::refuse(StatusCode::NOT_FOUND, "no such path"),
     }
 }
--- a/crates/standin/src/engine/admin.rs
+++ b/crates/standin/src/engine/admin.rs
@@ -7,7 +7,7 @@
 use web::{Incoming, Request, Response, StatusCode, body::Body};
 
 use super::state::Engine;
-use crate::site::{self, Refused};
+use crate::server::{self, Refused};
 
 /// Number of times that a fault happens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -42,7 +42,7 @@
 pub(crate) async fn answer(engine: Arc<Engine>, req: Request<Incoming>) -> Response<Body> {
     let path = req.uri().path().to_owned();
     match inject(&engine, &path, req).await {
-        Ok(()) => site::done(),
+        Ok(()) => server::done(),
         Err(refused) => refused.answer(),
     }
 }
@@ -51,24 +51,24 @@
     match path {
         "/admin/restart-empty" => engine.restart_empty(),
         "/admin/fail-loads" => {
-            let Count { count } = site::body(req).await?;
+            let Count { count } = server::body(req).await?;
             engine.state().faults.fail_loads = count;
         }
         "/admin/stall" => {
-            let Millis { ms } = site::body(req).await?;
+            let Millis { ms } = server::body(req).await?;
             engine.state().faults.stalled_until = Some(Instant::now() + Duration::from_millis(ms));
         }
         "/admin/late" => {
-            let Millis { ms } = site::body(req).await?;
+            let Millis { ms } = server::body(req).await?;
             engine.state().faults.delay = Duration::from_millis(ms);
         }
         "/admin/cut-stream" => {
-            let Cut { count, after } = site::body(req).await?;
+            let Cut { count, after } = server::body(req).await?;
             let mut state = engine.state();
             (state.faults.cuts, state.faults.cut_after) = (count, after);
         }
         "/admin/wrong-adapter" => {
-            let Count { count } = site::body(req).await?;
+            let Count { count } = server::body(req).await?;
             engine.state().faults.wrong_adapter = count;
         }
         "/admin/freeze-connections" => {
--- a/crates/standin/src/engine/chat.rs
+++ b/crates/standin/src/engine/chat.rs
@@ -15,7 +15,7 @@
 use wire::{engine::Resident, header};
 
 use super::{batch::BatchEntry, state::Engine};
-use crate::site::{self, Refused};
+use crate::server::{self, Refused};
 
 /// Chunks buffered for a slow reader before generation waits.
 const STREAM_BUFFER: usize = 4;
@@ -80,7 +80,7 @@
 
 pub(crate) async fn answer(engine: Arc<Engine>, req: Request<Incoming>) -> Response<Body> {
     let headers = req.headers().clone();
-    let chat: Chat = match site::body(req).await {
+    let chat: Chat = match server::body(req).await {
         Ok(chat) => chat,
         Err(refused) => return refused.answer(),
     };
--- a/crates/standin/src/engine/orders.rs
+++ b/crates/standin/src/engine/orders.rs
@@ -16,14 +16,14 @@
 };
 
 use super::state::{AdapterUse, Engine, Order};
-use crate::site::{self, Refused};
+use crate::server::{self, Refused};
 
 /// Upper limit on an answer of the weight store, in bytes.
 const WEIGHTS_MAX: usize = 1 << 20;
 
 pub(crate) async fn load(engine: Arc<Engine>, req: Request<Incoming>) -> Response<Body> {
     let fence = fence_of(req.headers());
-    let order: Load = match site::body(req).await {
+    let order: Load = match server::body(req).await {
         Ok(order) => order,
         Err(refused) => return refused.answer(),
     };
@@ -72,7 +72,7 @@
 
 pub(crate) async fn unload(engine: Arc<Engine>, req: Request<Incoming>) -> Response<Body> {
     let fence = fence_of(req.headers());
-    let order: Unload = match site::body(req).await {
+    let order: Unload = match server::body(req).await {
         Ok(order) => order,
         Err(refused) => return refused.answer(),
     };
@@ -175,7 +175,7 @@
 }
 
 fn refused(status: StatusCode, why: &str) -> Response<Body> {
-    site::refuse(status, why)
+    server::refuse(status, why)
 }
 
 async fn fetch(engine: &Engine, path: &str) -> bool {
--- a/crates/standin/src/engine/report.rs
+++ b/crates/standin/src/engine/report.rs
@@ -11,7 +11,7 @@
 use wire::engine::{Held, Report};
 
 use super::state::Engine;
-use crate::site;
+use crate::server;
 
 /// Interval at which reports are taken if they are delayed.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(20);
@@ -55,14 +55,14 @@
         reports.shown = Some((at, report));
     }
     let Some((at, report)) = &reports.shown else {
-        return site::refuse(
+        return server::refuse(
             web::StatusCode::SERVICE_UNAVAILABLE,
             "no report is available yet",
         );
     };
     let mut report = report.clone();
     report.age_ms = u64::try_from(at.elapsed().as_millis()).unwrap_or(u64::MAX);
-    site::show(&report)
+    server::show(&report)
 }
 
 impl Engine {
--- a/crates/standin/src/engine/state.rs
+++ b/crates/standin/src/engine/state.rs
@@ -15,7 +15,7 @@
 use wire::engine::Resident;
 
 use super::{Config, batch::Batch, report::Reports};
-use crate::{gate::Gate, site::Running};
+use crate::{gate::Gate, server::Running};
 
 pub(crate) struct Engine {
     pub(crate) config: Config,
--- a/crates/standin/src/gate.rs
+++ b/crates/standin/src/gate.rs
@@ -23,7 +23,7 @@
 use tokio_util::sync::CancellationToken;
 use web::{Incoming, Method, Request, Response, StatusCode, body::Body};
 
-use crate::site::{self, Running};
+use crate::server::{self, Running};
 
 /// Size of the read buffer, in bytes.
 const CHUNK: usize = 16 << 10;
@@ -91,17 +91,17 @@
 /// Returns an error if the listener has no address.
 pub fn serve_admin(listener: TcpListener, gate: &Gate) -> Result<Running> {
     let core = Arc::clone(&gate.core);
-    site::run(listener, move |req| order(Arc::clone(&core), req))
+    server::run(listener, move |req| order(Arc::clone(&core), req))
 }
 
 async fn order(core: Arc<Core>, req: Request<Incoming>) -> Response<Body> {
     match (req.method() == Method::GET, req.uri().path()) {
-        (true, "/admin/stats") => return site::show(&core.stats()),
+        (true, "/admin/stats") => return server::show(&core.stats()),
         (false, "/admin/silence") => core.silence(),
         (false, "/admin/cut") => core.cut(),
-        _ => return site::refuse(StatusCode::NOT_FOUND, "no such path"),
+        _ => return server::refuse(StatusCode::NOT_FOUND, "no such path"),
     }
-    site::done()
+    server::done()
 }
 
 impl Gate {
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -8,8 +8,8 @@
 pub mod engine;
 pub mod gate;
 pub mod platform;
+mod server;
 pub mod service;
-mod site;
 pub mod store;
 
-pub use site::{Running, listen};
+pub use server::{Running, listen};
--- a/crates/standin/src/main.rs
+++ b/crates/standin/src/main.rs
@@ -99,10 +99,7 @@
         ))
         .arg(address("store"))
         .arg(flag("ignore-fence").help("Accepts orders with an outdated fencing number"))
-        .arg(
-            flag("freezable")
-                .help("Lets connections be frozen, by a gate that adds a hop"),
-        )
+        .arg(flag("freezable").help("Lets connections be frozen, by a gate that adds a hop"))
         .arg(
             Arg::new("resident")
                 .long("resident")
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -12,7 +12,7 @@
 use web::{Incoming, Request, Response, StatusCode, body::Body};
 use wire::platform::{Instance, List, Target};
 
-use crate::site::{self, Running};
+use crate::server::{self, Running};
 
 /// A change of the list, the JSON body of `POST /admin`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -60,20 +60,20 @@
         lag,
         state: Mutex::new(state),
     });
-    site::run(listener, move |req| handle(Arc::clone(&platform), req))
+    server::run(listener, move |req| handle(Arc::clone(&platform), req))
 }
 
 async fn handle(platform: Arc<Platform>, req: Request<Incoming>) -> Response<Body> {
     match req.uri().path() {
-        "/v1/list" => site::show(&platform.shown()),
-        "/admin" => match site::body(req).await {
+        "/v1/list" => server::show(&platform.shown()),
+        "/admin" => match server::body(req).await {
             Ok(change) => {
                 platform.change(change);
-                site::done()
+                server::done()
             }
             Err(refused) => refused.answer(),
         },
-        _ => site::refuse(StatusCode::NOT_FOUND, "no such path"),
+        _ => server::refuse(StatusCode::NOT_FOUND, "no such path"),
     }
 }
 
--- a/crates/standin/src/service.rs
+++ b/crates/standin/src/service.rs
@@ -15,7 +15,7 @@
 use web::{Incoming, Request, Response, StatusCode, body::Body, header_value};
 use wire::header;
 
-use crate::site::{self, Running};
+use crate::server::{self, Running};
 
 /// Statistics of a service, as `GET /admin/stats` returns them.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -56,17 +56,17 @@
 /// Returns an error if the listener has no address.
 pub fn start(listener: TcpListener) -> Result<Running> {
     let service = Arc::new(Service::default());
-    site::run(listener, move |req| handle(Arc::clone(&service), req))
+    server::run(listener, move |req| handle(Arc::clone(&service), req))
 }
 
 async fn handle(service: Arc<Service>, req: Request<Incoming>) -> Response<Body> {
     match req.uri().path() {
-        "/health" => site::done(),
-        "/admin/stats" => site::show(&service.lock().1),
-        "/admin/faults" => match site::body(req).await {
+        "/health" => server::done(),
+        "/admin/stats" => server::show(&service.lock().1),
+        "/admin/faults" => match server::body(req).await {
             Ok(faults) => {
                 service.lock().0 = faults;
-                site::done()
+                server::done()
             }
             Err(refused) => refused.answer(),
         },
@@ -79,11 +79,11 @@
     let key = req.headers().get(header::IDEMPOTENCY_KEY).cloned();
     let limits = web::body::ReadLimits::default();
     let Ok(body) = web::body::read(req.into_body(), limits).await else {
-        return site::refuse(StatusCode::BAD_REQUEST, "the request body is incomplete");
+        return server::refuse(StatusCode::BAD_REQUEST, "the request body is incomplete");
     };
     if take_fault(&mut service.lock().0.refuse) {
         service.lock().1.refused += 1;
-        return site::refuse(
+        return server::refuse(
             StatusCode::SERVICE_UNAVAILABLE,
             "refused by an injected fault",
         );
--- a/crates/standin/src/store.rs
+++ b/crates/standin/src/store.rs
@@ -15,7 +15,7 @@
 };
 use web::{Incoming, Request, Response, StatusCode, body::Body};
 
-use crate::site::{self, Running};
+use crate::server::{self, Running};
 
 /// Interval at which the progress of a load is updated.
 const PROGRESS_STEP: Duration = Duration::from_millis(5);
@@ -73,17 +73,17 @@
         config,
         state: Mutex::new((Instant::now(), Stats::default())),
     });
-    site::run(listener, move |req| handle(Arc::clone(&store), req))
+    server::run(listener, move |req| handle(Arc::clone(&store), req))
 }
 
 async fn handle(store: Arc<Store>, req: Request<Incoming>) -> Response<Body> {
     match req.uri().path() {
-        "/admin/stats" => site::show(&store.lock().1),
+        "/admin/stats" => server::show(&store.lock().1),
         path if path.starts_with("/weights/") => {
             store.load().await;
             web::reply::plain(StatusCode::OK, path)
         }
-        _ => site::refuse(StatusCode::NOT_FOUND, "no such path"),
+        _ => server::refuse(StatusCode::NOT_FOUND, "no such path"),
     }
 }
 
