--- a/crates/faults/src/cluster.rs
+++ b/crates/faults/src/cluster.rs
@@ -1,7 +1,7 @@
-//! Replicas of one log in virtual time.
+//! A simulated cluster: replicas of one log in virtual time.
 
-mod carry;
 mod check;
+mod drive;
 mod fault;
 mod host;
 
@@ -16,7 +16,7 @@
 use replog::{Index, Input, RawSettings, Replica, Restored, Settings};
 
 use self::{
-    carry::Event,
+    drive::Event,
     host::{Host, Running, replica_id},
 };
 use crate::{
@@ -24,33 +24,33 @@
     history::{Digest, command},
 };
 
-/// Lines of the trace that are kept.
+/// Lines of the trace that are kept for a failure report.
 const TRACE_MAX: usize = 400;
 
-/// How far a clock may run off, in parts of a thousand; two clocks together
-/// stay within the drift margin of 50.
-const SKEW: i64 = 20;
+/// The largest clock drift, in parts per thousand; two clocks together stay within the
+/// drift margin of 50 that the leases allow.
+const DRIFT_MAX: i64 = 20;
 
-/// Size and times of a cluster.
+/// Size, log limits and sync time of a cluster.
 #[derive(Clone, Debug)]
-pub struct Plan {
-    /// How many instances.
+pub struct ClusterConfig {
+    /// Number of instances, at most seven.
     pub instances: usize,
     /// Entries between two snapshots.
     pub compact: u64,
     /// Bytes of entries between two snapshots.
     pub compact_bytes: Bytes,
-    /// Entries kept behind a snapshot.
+    /// Entries kept in the log before a snapshot.
     pub keep: u64,
-    /// The most that these take.
+    /// Upper bound on the bytes of the kept entries.
     pub keep_bytes: Bytes,
-    /// The longest a sync takes, in microseconds.
+    /// Longest duration of a sync, in microseconds.
     pub sync: u64,
 }
 
-impl Default for Plan {
+impl Default for ClusterConfig {
     fn default() -> Self {
-        Plan {
+        ClusterConfig {
             instances: 3,
             compact: 25,
             compact_bytes: Bytes(16 << 20),
@@ -61,20 +61,20 @@
     }
 }
 
-/// Several instances, their links and disks, and what came of it.
+/// Several instances with their links and disks, and the history of the run.
 #[derive(Debug)]
 pub struct Cluster {
-    plan: Plan,
+    config: ClusterConfig,
     now: u64,
     rng: ChaCha8Rng,
     hosts: BTreeMap<InstanceName, Host>,
     queue: BTreeMap<(u64, u64), Event>,
     sequence: u64,
-    next_life: u64,
+    next_incarnation: u64,
     next_ticket: u64,
-    /// The links.
+    /// The network between the instances.
     pub net: Net,
-    /// What has happened, checked.
+    /// Outputs of all replicas so far, checked as they come.
     pub history: History,
     trace: VecDeque<String>,
 }
@@ -82,30 +82,30 @@
 impl Cluster {
     /// Starts all instances with empty folders.
     #[must_use]
-    pub fn new(plan: Plan, seed: u64) -> Self {
+    pub fn new(config: ClusterConfig, seed: u64) -> Self {
         let mut cluster = Cluster {
             now: 1_000_000,
             rng: ChaCha8Rng::seed_from_u64(seed),
             hosts: BTreeMap::new(),
             queue: BTreeMap::new(),
             sequence: 0,
-            next_life: 1,
+            next_incarnation: 1,
             next_ticket: 1,
             net: Net::default(),
             history: History::default(),
             trace: VecDeque::new(),
-            plan,
+            config,
         };
         for name in cluster.peers() {
-            let life = cluster.new_life();
+            let incarnation = cluster.new_incarnation();
             let host = Host {
-                disk: FakeDisk::new(replica_id(&name, life)),
-                life,
+                disk: FakeDisk::new(replica_id(&name, incarnation)),
+                incarnation,
                 running: None,
-                held: None,
+                paused: None,
                 full: false,
                 stalled: false,
-                skew: cluster.rng.random_range(-SKEW..=SKEW),
+                drift: cluster.rng.random_range(-DRIFT_MAX..=DRIFT_MAX),
                 offset: cluster.rng.random_range(0..1_000_000_000),
             };
             cluster.hosts.insert(name.clone(), host);
@@ -118,11 +118,11 @@
     #[must_use]
     pub fn peers(&self) -> Vec<InstanceName> {
         let names = ["a", "b", "c", "d", "e", "f", "g"];
-        let names = names[..self.plan.instances].iter();
+        let names = names[..self.config.instances].iter();
         names.map(|raw| raw.parse().expect("a name")).collect()
     }
 
-    /// Lets `ms` milliseconds pass.
+    /// Processes the events of the next `ms` milliseconds.
     pub fn run(&mut self, ms: u64) {
         let end = self.now + ms * 1_000;
         while let Some((&(at, sequence), _)) = self.queue.first_key_value()
@@ -136,7 +136,8 @@
         self.now = end;
     }
 
-    /// Starts a process on what its disk holds; after damage, on a new life.
+    /// Starts a process from its disk, or with an empty disk as a new incarnation if the log is
+    /// damaged.
     pub fn start(&mut self, name: &InstanceName) {
         let peers = self.peers();
         let seed = Seed(self.rng.random_range(0..u64::MAX));
@@ -147,8 +148,8 @@
                 restored
             }
             None => {
-                self.note(name, "finds its folder damaged");
-                self.empty(name);
+                self.note(name, "finds its log damaged");
+                self.empty_disk(name);
                 Restored::default()
             }
         };
@@ -157,15 +158,15 @@
             return;
         }
         let settings = RawSettings {
-            compact: self.plan.compact,
-            compact_bytes: self.plan.compact_bytes,
-            keep: self.plan.keep,
-            keep_bytes: self.plan.keep_bytes,
+            compact: self.config.compact,
+            compact_bytes: self.config.compact_bytes,
+            keep: self.config.keep,
+            keep_bytes: self.config.keep_bytes,
             message: Bytes(64),
             window: Bytes(512),
-            ..RawSettings::with_defaults(replica_id(name, host.life), peers, seed)
+            ..RawSettings::with_defaults(replica_id(name, host.incarnation), peers, seed)
         };
-        let settings = Settings::try_from(settings).expect("the plan's settings fit");
+        let settings = Settings::try_from(settings).expect("the cluster's settings are valid");
         self.sequence += 1;
         let running = Running {
             replica: Replica::new(settings, restored),
@@ -196,7 +197,7 @@
         ticket
     }
 
-    /// Gives an instance an input of the operators.
+    /// Passes an input to an instance at once.
     pub fn input(&mut self, name: &InstanceName, input: Input) {
         let host = &self.hosts[name];
         let boot = host.running.as_ref().map(|running| running.boot);
@@ -208,17 +209,17 @@
         self.deliver(event);
     }
 
-    /// Asks the leader to remove an instance's replica.
+    /// Proposes the removal of an instance's replica at the leader.
     pub fn remove(&mut self, leader: &InstanceName, name: &InstanceName) {
-        let id = replica_id(name, self.hosts[name].life);
+        let id = replica_id(name, self.hosts[name].incarnation);
         self.input(leader, Input::RemoveReplica { ticket: 0, id });
     }
 
-    /// Returns the instance that may act as leader now, if any.
+    /// Returns the instance that may act as leader now and is not paused, if any.
     #[must_use]
     pub fn leader(&self) -> Option<InstanceName> {
         let leads = |(_, host): &(&InstanceName, &Host)| host.leads(self.now);
-        let found = self.hosts.iter().filter(|(_, host)| host.held.is_none());
+        let found = self.hosts.iter().filter(|(_, host)| host.paused.is_none());
         found.clone().find(leads).map(|(name, _)| name.clone())
     }
 
@@ -229,26 +230,26 @@
         running.map(|running| &running.replica)
     }
 
-    /// Tells whether an instance may act as leader now.
+    /// Returns whether an instance may act as leader now.
     #[must_use]
     pub fn leads(&self, name: &InstanceName) -> bool {
         self.hosts[name].leads(self.now)
     }
 
-    /// Tells whether a process is frozen.
+    /// Returns whether a process is paused.
     #[must_use]
-    pub fn frozen(&self, name: &InstanceName) -> bool {
-        self.hosts[name].held.is_some()
+    pub fn is_paused(&self, name: &InstanceName) -> bool {
+        self.hosts[name].paused.is_some()
     }
 
-    /// Returns the last index that an instance has applied in this run.
+    /// Returns the last index that an instance has applied since its process started.
     #[must_use]
     pub fn applied(&self, name: &InstanceName) -> Index {
         let running = self.hosts[name].running.as_ref();
         running.map_or(Index(0), |running| running.last)
     }
 
-    /// Returns the last lines of what happened.
+    /// Returns the last lines of the trace.
     #[must_use]
     pub fn trace(&self) -> String {
         let lines: Vec<_> = self.trace.iter().cloned().collect();
@@ -263,9 +264,9 @@
         self.trace.push_back(format!("{at:?} {name} {what}"));
     }
 
-    fn new_life(&mut self) -> Incarnation {
-        self.next_life += 1;
-        Incarnation(self.next_life)
+    fn new_incarnation(&mut self) -> Incarnation {
+        self.next_incarnation += 1;
+        Incarnation(self.next_incarnation)
     }
 
     fn host(&mut self, name: &InstanceName) -> &mut Host {
--- a/crates/faults/src/cluster/fault.rs
+++ b/crates/faults/src/cluster/fault.rs
@@ -1,4 +1,4 @@
-//! The faults that befall a cluster, and how they end.
+//! Injects faults into a cluster, and ends them.
 
 use base::InstanceName;
 use replog::{HaltReason, Input, Replica};
@@ -7,7 +7,7 @@
 use crate::FakeDisk;
 
 impl Cluster {
-    /// Cuts all links of an instance.
+    /// Partitions an instance from all others.
     pub fn isolate(&mut self, name: &InstanceName) {
         for other in self.peers() {
             self.net.cut(name, &other);
@@ -15,80 +15,80 @@
         }
     }
 
-    /// Kills a process; of the oldest unsynced write, `torn` bytes stay.
-    pub fn kill(&mut self, name: &InstanceName, torn: usize) {
+    /// Crashes a process; the first `torn` bytes of the oldest unsynced write stay on disk.
+    pub fn crash(&mut self, name: &InstanceName, torn: usize) {
         let host = self.host(name);
         host.running = None;
-        host.held = None;
+        host.paused = None;
         host.disk.crash(torn);
-        self.note(name, "killed");
+        self.note(name, "crashed");
     }
 
-    /// Empties the folder of a stopped process.
-    pub fn empty(&mut self, name: &InstanceName) {
-        let life = self.new_life();
+    /// Empties the disk of a stopped process, which starts as a new incarnation.
+    pub fn empty_disk(&mut self, name: &InstanceName) {
+        let incarnation = self.new_incarnation();
         let host = self.host(name);
-        host.life = life;
-        host.disk = FakeDisk::new(replica_id(name, life));
-        self.note(name, "folder emptied");
+        host.incarnation = incarnation;
+        host.disk = FakeDisk::new(replica_id(name, incarnation));
+        self.note(name, "disk emptied");
     }
 
-    /// Changes a byte of a stopped process's log, but not in the last record,
-    /// where damage can't be told from an interrupted write.
-    pub fn damage_middle(&mut self, name: &InstanceName, at: usize) {
-        self.host(name).disk.flip_middle(at);
+    /// Changes a byte of the log of a stopped process, before the last frame: damage there
+    /// can't be told from a torn write.
+    pub fn corrupt_log(&mut self, name: &InstanceName, at: usize) {
+        self.host(name).disk.corrupt_byte(at);
         self.note(name, "log damaged");
     }
 
     /// Makes the next sync fail.
     pub fn fail_sync(&mut self, name: &InstanceName) {
-        self.host(name).disk.failing = true;
+        self.host(name).disk.fail_next_sync = true;
     }
 
-    /// Makes syncs take for ever, or end again.
-    pub fn stall(&mut self, name: &InstanceName, stalled: bool) {
+    /// Stalls all syncs, or lets them finish again.
+    pub fn stall_syncs(&mut self, name: &InstanceName, stalled: bool) {
         self.host(name).stalled = stalled;
     }
 
-    /// Fills the disk, or frees it.
-    pub fn fill(&mut self, name: &InstanceName, full: bool) {
+    /// Makes the disk full, or frees space on it.
+    pub fn set_disk_full(&mut self, name: &InstanceName, full: bool) {
         self.host(name).full = full;
         self.input(name, Input::Space { full });
     }
 
-    /// Stops a process without ending it.
-    pub fn freeze(&mut self, name: &InstanceName) {
-        self.host(name).held.get_or_insert_default();
-        self.note(name, "frozen");
+    /// Pauses a process without ending it.
+    pub fn pause(&mut self, name: &InstanceName) {
+        self.host(name).paused.get_or_insert_default();
+        self.note(name, "paused");
     }
 
-    /// Lets a frozen process go on; what arrived meanwhile comes at once.
-    pub fn thaw(&mut self, name: &InstanceName) {
-        let held = self.host(name).held.take().unwrap_or_default();
-        self.note(name, "thawed");
-        for event in held {
+    /// Resumes a paused process; events that arrived meanwhile are delivered at once.
+    pub fn resume(&mut self, name: &InstanceName) {
+        let paused = self.host(name).paused.take().unwrap_or_default();
+        self.note(name, "resumed");
+        for event in paused {
             self.deliver(event);
             self.check_leases();
         }
         self.input(name, Input::Wake);
     }
 
-    /// Ends the faults of one instance and starts it if it stopped.
+    /// Ends the faults of one instance and starts its process if it is stopped or halted.
     pub fn recover(&mut self, name: &InstanceName) {
-        self.host(name).disk.failing = false;
-        self.stall(name, false);
+        self.host(name).disk.fail_next_sync = false;
+        self.stall_syncs(name, false);
         if self.hosts[name].full {
-            self.fill(name, false);
+            self.set_disk_full(name, false);
         }
-        if self.hosts[name].held.is_some() {
-            self.thaw(name);
+        if self.hosts[name].paused.is_some() {
+            self.resume(name);
         }
         let halted = self.replica(name).and_then(Replica::halted);
         match halted {
-            Some(HaltReason::WriteFailed) => self.kill(name, 0),
+            Some(HaltReason::WriteFailed) => self.crash(name, 0),
             Some(HaltReason::Removed) => {
-                self.kill(name, 0);
-                self.empty(name);
+                self.crash(name, 0);
+                self.empty_disk(name);
             }
             None => {}
         }
--- a/crates/faults/src/cluster/host.rs
+++ b/crates/faults/src/cluster/host.rs
@@ -3,49 +3,55 @@
 use base::{Incarnation, InstanceName, Time};
 use replog::{Index, Replica, ReplicaId};
 
-use super::carry::Event;
+use super::drive::Event;
 use crate::{FakeDisk, history::Digest};
 
 #[derive(Debug)]
 pub(super) struct Host {
     pub(super) disk: FakeDisk,
-    pub(super) life: Incarnation,
+    pub(super) incarnation: Incarnation,
     pub(super) running: Option<Running>,
-    /// Events that wait while the process is frozen.
-    pub(super) held: Option<Vec<Event>>,
+    /// Events that arrived while the process is paused; `None` while it is not.
+    pub(super) paused: Option<Vec<Event>>,
+    /// Whether the disk is full.
     pub(super) full: bool,
-    /// Whether syncs take for ever.
+    /// Whether syncs never finish.
     pub(super) stalled: bool,
-    pub(super) skew: i64,
+    /// Clock drift, in parts per thousand.
+    pub(super) drift: i64,
+    /// Local time at the real time zero, in microseconds.
     pub(super) offset: u64,
 }
 
 #[derive(Debug)]
 pub(super) struct Running {
     pub(super) replica: Replica,
+    /// Number of this process start.
     pub(super) boot: u64,
+    /// Real time of the latest wake-up asked for, in microseconds; earlier ones are ignored.
     pub(super) wake: u64,
+    /// Last applied index.
     pub(super) last: Index,
     pub(super) commit: Index,
     pub(super) state: Digest,
 }
 
 impl Host {
-    /// Returns the process's own clock at the real time `now`.
-    pub(super) fn local(&self, now: u64) -> Time {
-        let skewed = now * (1_000 + self.skew) as u64 / 1_000;
-        Time(skewed + self.offset)
+    /// Returns the process's clock at the real time `now`, in microseconds.
+    pub(super) fn local_time(&self, now: u64) -> Time {
+        let drifted = now * (1_000 + self.drift) as u64 / 1_000;
+        Time(drifted + self.offset)
     }
 
-    /// Returns the first real time at which its own clock shows `at`.
-    pub(super) fn global(&self, at: Time) -> u64 {
-        let skewed = at.0.saturating_sub(self.offset) * 1_000;
-        skewed.div_ceil((1_000 + self.skew) as u64) + 1
+    /// Returns the first real time at which the process's clock shows `at`.
+    pub(super) fn real_time(&self, at: Time) -> u64 {
+        let drifted = at.0.saturating_sub(self.offset) * 1_000;
+        drifted.div_ceil((1_000 + self.drift) as u64) + 1
     }
 
     pub(super) fn leads(&self, now: u64) -> bool {
         let running = self.running.as_ref();
-        running.is_some_and(|running| running.replica.leads(self.local(now)))
+        running.is_some_and(|running| running.replica.leads(self.local_time(now)))
     }
 }
 
--- a/crates/scenarios/src/world/audit.rs
+++ b/crates/scenarios/src/world/audit.rs
@@ -1,4 +1,4 @@
-//! What is looked at over and over, and at the end.
+//! Invariants checked during a run, and convergence at its end.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,9 +7,9 @@
 use super::{Proc, World};
 
 impl World {
-    /// Looks for two instances that believe to be in charge of one engine,
-    /// each by its own clock; a frozen one counts as well.
-    pub(crate) fn audit(&mut self) {
+    /// Checks that no two instances have full ownership of one engine, each by its own
+    /// clock; a paused instance counts too, as it may resume at any moment.
+    pub(crate) fn check_owners(&mut self) {
         let mut full: BTreeMap<String, Vec<String>> = BTreeMap::new();
         for (name, node) in &self.nodes {
             let Proc::Entry(entry) = &node.proc else {
@@ -17,7 +17,7 @@
             };
             let now = self.local(name);
             for target in entry.engines.iter().filter(|_| node.up) {
-                if matches!(entry.holder.ownership(now, target), Ownership::Full { .. }) {
+                if matches!(entry.lessee.ownership(now, target), Ownership::Full { .. }) {
                     full.entry(target.to_string())
                         .or_default()
                         .push(name.clone());
@@ -30,25 +30,26 @@
         }
     }
 
-    /// Returns who is in charge of an engine, as the instances see it.
+    /// Returns the instance that has full ownership of an engine by its own clock.
     pub(crate) fn owner_of(&self, target: &str) -> Option<String> {
         let target = target.parse().unwrap();
         let owner = self.nodes.iter().find(|(name, node)| match &node.proc {
             Proc::Entry(entry) if node.up => {
                 let now = self.local(name);
-                matches!(entry.holder.ownership(now, &target), Ownership::Full { .. })
+                matches!(entry.lessee.ownership(now, &target), Ownership::Full { .. })
             }
             _ => false,
         });
         owner.map(|(name, _)| name.clone())
     }
 
-    pub(crate) fn own(&self, name: &str, target: &str) -> String {
+    /// Returns the ownership that an instance has of an engine, as scripts name it.
+    pub(crate) fn ownership_name(&self, name: &str, target: &str) -> String {
         let Proc::Entry(entry) = &self.nodes[name].proc else {
             return "none".to_owned();
         };
         let target = target.parse().unwrap();
-        let own = match entry.holder.ownership(self.local(name), &target) {
+        let own = match entry.lessee.ownership(self.local(name), &target) {
             Ownership::Full { .. } => "full",
             Ownership::Restricted { .. } => "restricted",
             Ownership::None => "none",
@@ -56,7 +57,8 @@
         own.to_owned()
     }
 
-    /// Checks that everybody agrees again, after faults are over.
+    /// Checks that every engine has an owner and all instances have the newest text, once
+    /// faults are over.
     pub(crate) fn converged(&mut self) -> Result<(), String> {
         let engines = self.names(|p| matches!(p, Proc::Engine(_)));
         let zones = self.names(World::is_entry).into_iter();
@@ -66,14 +68,17 @@
                 return Err(format!("{engine} has no owner"));
             }
         }
-        let keepers = self.names(|p| matches!(p, Proc::Keeper(_)));
+        let control_nodes = self.names(|p| matches!(p, Proc::Control(_)));
         let mut histories = Vec::new();
-        for name in &keepers {
-            let keeper = self.keeper(name).unwrap();
-            let history = keeper.control.history(base::TextVersion(0)).into_iter();
+        for name in &control_nodes {
+            let control_node = self.control_node(name).unwrap();
+            let history = control_node
+                .control
+                .history(base::TextVersion(0))
+                .into_iter();
             let history: BTreeMap<_, _> =
                 history.map(|e| (e.version, e.change.to_string())).collect();
-            histories.push((keeper.control.state().texts().version(), history));
+            histories.push((control_node.control.state().texts().version(), history));
         }
         let newest = histories
             .iter()
--- a/crates/standin/src/engine/admin.rs
+++ b/crates/standin/src/engine/admin.rs
@@ -1,4 +1,4 @@
-//! Faults on demand.
+//! Injects faults on `POST /admin/...`.
 
 use std::{sync::Arc, time::Duration};
 
@@ -7,30 +7,30 @@
 use web::{Incoming, Request, Response, StatusCode, body::Body};
 
 use super::state::Engine;
-use crate::site::{self, Refused};
+use crate::server::{self, Refused};
 
-/// How many times a fault happens.
+/// Number of times that a fault happens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Count {
-    /// Times; one when left out.
+    /// Number of times; one by default.
     #[serde(default = "once")]
     pub count: u32,
 }
 
-/// For how long a fault lasts.
+/// Duration of a fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Millis {
-    /// Milliseconds.
+    /// Duration in milliseconds.
     pub ms: u64,
 }
 
-/// Which streams are cut, and where.
+/// Number of streams to cut, and where.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Cut {
-    /// Streams; one when left out.
+    /// Number of streams; one by default.
     #[serde(default = "once")]
     pub count: u32,
-    /// After how many tokens of its own; the last may be lost with the
+    /// Number of tokens after which a stream is cut; the last one may be lost with the
     /// connection.
     pub after: usize,
 }
@@ -41,43 +41,43 @@
 
 pub(crate) async fn answer(engine: Arc<Engine>, req: Request<Incoming>) -> Response<Body> {
     let path = req.uri().path().to_owned();
-    match set(&engine, &path, req).await {
-        Ok(()) => site::done(),
+    match inject(&engine, &path, req).await {
+        Ok(()) => server::done(),
         Err(refused) => refused.answer(),
     }
 }
 
-async fn set(engine: &Engine, path: &str, req: Request<Incoming>) -> Result<(), Refused> {
+async fn inject(engine: &Engine, path: &str, req: Request<Incoming>) -> Result<(), Refused> {
     match path {
         "/admin/restart-empty" => engine.restart_empty(),
         "/admin/fail-loads" => {
-            let Count { count } = site::body(req).await?;
+            let Count { count } = server::body(req).await?;
             engine.state().faults.fail_loads = count;
         }
         "/admin/stall" => {
-            let Millis { ms } = site::body(req).await?;
-            engine.state().faults.stall = Some(Instant::now() + Duration::from_millis(ms));
+            let Millis { ms } = server::body(req).await?;
+            engine.state().faults.stalled_until = Some(Instant::now() + Duration::from_millis(ms));
         }
         "/admin/late" => {
-            let Millis { ms } = site::body(req).await?;
-            engine.state().faults.late = Duration::from_millis(ms);
+            let Millis { ms } = server::body(req).await?;
+            engine.state().faults.delay = Duration::from_millis(ms);
         }
         "/admin/cut-stream" => {
-            let Cut { count, after } = site::body(req).await?;
+            let Cut { count, after } = server::body(req).await?;
             let mut state = engine.state();
             (state.faults.cuts, state.faults.cut_after) = (count, after);
         }
         "/admin/wrong-adapter" => {
-            let Count { count } = site::body(req).await?;
-            engine.state().faults.wrong = count;
+            let Count { count } = server::body(req).await?;
+            engine.state().faults.wrong_adapter = count;
         }
         "/admin/freeze-connections" => {
-            if !engine.freeze() {
-                let why = "the engine was not started freezable";
+            if !engine.freeze_connections() {
+                let why = "the engine was started without --freezable";
                 return Err(Refused::new(StatusCode::CONFLICT, why));
             }
         }
-        _ => return Err(Refused::new(StatusCode::NOT_FOUND, "no such fault")),
+        _ => return Err(Refused::new(StatusCode::NOT_FOUND, "unknown fault")),
     }
     Ok(())
 }
--- a/crates/standin/src/engine/batch.rs
+++ b/crates/standin/src/engine/batch.rs
@@ -1,4 +1,4 @@
-//! The batch: a bounded number of requests run, the most urgent first.
+//! The batch of an engine: a bounded number of requests run, those of highest priority first.
 
 use std::{
     collections::BTreeMap,
@@ -7,7 +7,7 @@
 
 use tokio::sync::watch;
 
-/// Urgency first (smaller is sooner), then arrival.
+/// Priority (the smallest runs first), then number of arrival.
 type Rank = (i64, u64);
 
 #[derive(Debug)]
@@ -31,23 +31,23 @@
         }
     }
 
-    /// Joins; the place runs whenever it is among the most urgent.
-    pub(crate) fn join(self: &Arc<Self>, priority: i64) -> Place {
+    /// Adds a request, which runs while it is among the `size` requests of lowest rank.
+    pub(crate) fn join(self: &Arc<Self>, priority: i64) -> BatchEntry {
         let (tx, turn) = watch::channel(false);
         let mut state = self.lock();
         state.arrivals += 1;
         let rank = (priority, state.arrivals);
         state.entries.insert(rank, tx);
-        state.share(self.size);
+        state.assign_slots(self.size);
         drop(state);
-        Place {
+        BatchEntry {
             batch: Arc::clone(self),
             rank,
             turn,
         }
     }
 
-    /// Returns how many are present, and how many of them run.
+    /// Returns how many requests are present, and how many of them run.
     pub(crate) fn counts(&self) -> (u64, u64) {
         let present = self.lock().entries.len();
         (present as u64, present.min(self.size) as u64)
@@ -63,7 +63,7 @@
 }
 
 impl State {
-    fn share(&mut self, size: usize) {
+    fn assign_slots(&mut self, size: usize) {
         for (i, turn) in self.entries.values().enumerate() {
             let runs = i < size;
             let ran = turn.send_replace(runs);
@@ -72,26 +72,26 @@
     }
 }
 
-/// A place in the batch; dropping it frees it.
+/// A request in the batch; dropping it removes the request.
 #[derive(Debug)]
-pub(crate) struct Place {
+pub(crate) struct BatchEntry {
     batch: Arc<Batch>,
     rank: Rank,
     turn: watch::Receiver<bool>,
 }
 
-impl Place {
-    /// Waits until the place runs.
+impl BatchEntry {
+    /// Waits until the request runs.
     pub(crate) async fn turn(&mut self) {
-        // The sender lives as long as the place.
+        // The sender is dropped only with this entry, so the wait can't fail.
         let _ = self.turn.wait_for(|runs| *runs).await;
     }
 }
 
-impl Drop for Place {
+impl Drop for BatchEntry {
     fn drop(&mut self) {
         let mut state = self.batch.lock();
         state.entries.remove(&self.rank);
-        state.share(self.batch.size);
+        state.assign_slots(self.batch.size);
     }
 }
--- a/crates/standin/src/engine/orders.rs
+++ b/crates/standin/src/engine/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to load and unload, in the shapes that vLLM publishes.
+//! Orders to load and unload adapters, with the requests and answers that vLLM has.
 
 use std::{str::FromStr, sync::Arc};
 
@@ -15,20 +15,20 @@
     header,
 };
 
-use super::state::{Engine, Order, Use};
-use crate::site::{self, Refused};
+use super::state::{AdapterUse, Engine, Order};
+use crate::server::{self, Refused};
 
-/// Largest answer of the store that is read, in bytes.
+/// Upper limit on an answer of the weight store, in bytes.
 const WEIGHTS_MAX: usize = 1 << 20;
 
 pub(crate) async fn load(engine: Arc<Engine>, req: Request<Incoming>) -> Response<Body> {
     let fence = fence_of(req.headers());
-    let order: Load = match site::body(req).await {
+    let order: Load = match server::body(req).await {
         Ok(order) => order,
         Err(refused) => return refused.answer(),
     };
     let resp = load_checked(&engine, &order, fence).await;
-    engine.note("load", order.lora_name, fence, &resp);
+    engine.record_order("load", order.lora_name, fence, &resp);
     resp
 }
 
@@ -37,23 +37,32 @@
         Ok(resident) => resident,
         Err(refused) => return refused.answer(),
     };
-    let life = engine.state().life.clone();
-    let mut place = Loading(engine, true);
+    let ending = engine.state().ending.clone();
+    let mut reservation = SlotReservation(engine, true);
     let fetched = fetch(engine, &order.lora_path).await;
     let mut state = engine.state();
     state.loading -= 1;
-    place.1 = false;
-    if life.is_cancelled() {
-        return refused(StatusCode::INTERNAL_SERVER_ERROR, "the engine restarted");
+    reservation.1 = false;
+    if ending.is_cancelled() {
+        return refused(
+            StatusCode::INTERNAL_SERVER_ERROR,
+            "the engine restarted during the load",
+        );
     }
     if state.faults.fail_loads > 0 {
         state.faults.fail_loads -= 1;
-        return refused(StatusCode::INTERNAL_SERVER_ERROR, "the load failed");
+        return refused(
+            StatusCode::INTERNAL_SERVER_ERROR,
+            "the load failed by an injected fault",
+        );
     }
     if !fetched {
-        return refused(StatusCode::INTERNAL_SERVER_ERROR, "the store failed");
+        return refused(
+            StatusCode::INTERNAL_SERVER_ERROR,
+            "fetching the weights from the store failed",
+        );
     }
-    state.resident.insert(resident, Use::default());
+    state.resident.insert(resident, AdapterUse::default());
     let text = format!(
         "Success: LoRA adapter '{}' added successfully.",
         order.lora_name
@@ -63,19 +72,19 @@
 
 pub(crate) async fn unload(engine: Arc<Engine>, req: Request<Incoming>) -> Response<Body> {
     let fence = fence_of(req.headers());
-    let order: Unload = match site::body(req).await {
+    let order: Unload = match server::body(req).await {
         Ok(order) => order,
         Err(refused) => return refused.answer(),
     };
     let resp = engine.unload_checked(&order, fence);
-    engine.note("unload", order.lora_name, fence, &resp);
+    engine.record_order("unload", order.lora_name, fence, &resp);
     resp
 }
 
-/// Gives the place of a load back when its caller leaves amid it.
-struct Loading<'a>(&'a Engine, bool);
+/// Releases the slot that a load reserved if the caller disconnects during the load.
+struct SlotReservation<'a>(&'a Engine, bool);
 
-impl Drop for Loading<'_> {
+impl Drop for SlotReservation<'_> {
     fn drop(&mut self) {
         if self.1 {
             self.0.state().loading -= 1;
@@ -87,7 +96,10 @@
     fn admit_load(&self, order: &Load, fence: Option<Fence>) -> Result<Resident, Refused> {
         self.check_fence(fence)?;
         let Ok(resident) = Resident::from_str(&order.lora_name) else {
-            return Err(Refused::new(StatusCode::BAD_REQUEST, "no adapter@version"));
+            return Err(Refused::new(
+                StatusCode::BAD_REQUEST,
+                "lora_name must have the form adapter@version",
+            ));
         };
         let mut state = self.state();
         if state.resident.contains_key(&resident) {
@@ -109,7 +121,10 @@
             return refused.answer();
         }
         let Ok(resident) = Resident::from_str(&order.lora_name) else {
-            return refused(StatusCode::BAD_REQUEST, "no adapter@version");
+            return refused(
+                StatusCode::BAD_REQUEST,
+                "lora_name must have the form adapter@version",
+            );
         };
         let mut state = self.state();
         let Some(held) = state.resident.remove(&resident) else {
@@ -117,7 +132,7 @@
         };
         if held.running > 0 {
             state.stats.unloads_in_use += 1;
-            held.gone.cancel();
+            held.unloaded.cancel();
         }
         let text = format!(
             "Success: LoRA adapter '{}' removed successfully.",
@@ -132,14 +147,20 @@
         }
         let mut state = self.state();
         if fence < state.fence {
-            let why = "the fencing number is old";
+            let why = "the fencing number is outdated";
             return Err(Refused::new(StatusCode::PRECONDITION_FAILED, why));
         }
         state.fence = fence;
         Ok(())
     }
 
-    fn note(&self, kind: &str, adapter: String, fence: Option<Fence>, resp: &Response<Body>) {
+    fn record_order(
+        &self,
+        kind: &str,
+        adapter: String,
+        fence: Option<Fence>,
+        resp: &Response<Body>,
+    ) {
         self.state().stats.orders.push(Order {
             kind: kind.to_owned(),
             adapter,
@@ -154,7 +175,7 @@
 }
 
 fn refused(status: StatusCode, why: &str) -> Response<Body> {
-    site::refuse(status, why)
+    server::refuse(status, why)
 }
 
 async fn fetch(engine: &Engine, path: &str) -> bool {
--- a/crates/standin/src/engine/report.rs
+++ b/crates/standin/src/engine/report.rs
@@ -1,4 +1,4 @@
-//! The engine's account of itself, with its lag and gaps.
+//! Reports of the engine's state, which may be delayed and dropped.
 
 use std::{
     collections::VecDeque,
@@ -11,12 +11,12 @@
 use wire::engine::{Held, Report};
 
 use super::state::Engine;
-use crate::site;
+use crate::server;
 
-/// How often a lagging report takes its figures.
-const EVERY: Duration = Duration::from_millis(20);
+/// Interval at which reports are taken if they are delayed.
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Reports taken and not yet old enough to be shown.
+/// The report that is shown, and newer ones that are not old enough yet.
 #[derive(Debug, Default)]
 pub(crate) struct Reports {
     serial: u64,
@@ -24,8 +24,8 @@
     shown: Option<(Instant, Report)>,
 }
 
-/// Takes reports for as long as the engine lives, where they lag.
-pub(crate) fn keep(engine: &Arc<Engine>) {
+/// Spawns a task that takes reports until the engine is dropped, if reports are delayed.
+pub(crate) fn spawn_sampler(engine: &Arc<Engine>) {
     if engine.config.report_lag.is_zero() {
         return;
     }
@@ -34,7 +34,7 @@
         while let Some(engine) = engine.upgrade() {
             engine.take_report();
             drop(engine);
-            sleep(EVERY).await;
+            sleep(SAMPLE_INTERVAL).await;
         }
     });
 }
@@ -55,11 +55,14 @@
         reports.shown = Some((at, report));
     }
     let Some((at, report)) = &reports.shown else {
-        return site::refuse(web::StatusCode::SERVICE_UNAVAILABLE, "no report yet");
+        return server::refuse(
+            web::StatusCode::SERVICE_UNAVAILABLE,
+            "no report is available yet",
+        );
     };
     let mut report = report.clone();
     report.age_ms = u64::try_from(at.elapsed().as_millis()).unwrap_or(u64::MAX);
-    site::show(&report)
+    server::show(&report)
 }
 
 impl Engine {
--- a/crates/standin/src/gate.rs
+++ b/crates/standin/src/gate.rs
@@ -1,5 +1,5 @@
-//! A gate between two ends that forgets connections: those of now go silent
-//! without being closed, while new ones pass.
+//! A TCP proxy that loses connections as a stateful middlebox does: present connections go
+//! silent without being closed, while new ones pass.
 
 use std::{
     net::SocketAddr,
@@ -23,27 +23,28 @@
 use tokio_util::sync::CancellationToken;
 use web::{Incoming, Method, Request, Response, StatusCode, body::Body};
 
-use crate::site::{self, Running};
+use crate::server::{self, Running};
 
-/// Bytes read at once.
+/// Size of the read buffer, in bytes.
 const CHUNK: usize = 16 << 10;
 
-/// Time for the answer to an order that came through the gate itself.
-const ANSWER_TIME: Duration = Duration::from_millis(50);
+/// Delay before connections go silent, so that the answer to a request that came through
+/// the gate itself can pass.
+const SILENCE_DELAY: Duration = Duration::from_millis(50);
 
-/// What a gate counted. `GET /admin/stats`.
+/// Statistics of a gate, as `GET /admin/stats` returns them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Stats {
-    /// Connections that came.
+    /// Accepted connections.
     pub connections: u64,
-    /// Connections that are open now, silent ones included.
+    /// Connections open now, including silent ones.
     pub open: u64,
 }
 
-/// An open gate; dropping it cuts all its connections.
+/// A running gate; dropping it closes all its connections.
 #[derive(Debug)]
 pub struct Gate {
-    /// Where it listens.
+    /// Address that the gate listens on.
     pub addr: SocketAddr,
     core: Arc<Core>,
 }
@@ -51,20 +52,20 @@
 #[derive(Debug)]
 struct Core {
     target: SocketAddr,
-    /// Connections up to this number are silent.
+    /// Connections up to this number are silent; they are numbered from one.
     silent: watch::Sender<u64>,
-    /// Replaced when all are cut.
+    /// Connections up to this number are closed.
     cut: watch::Sender<u64>,
     connections: AtomicU64,
     open: AtomicU64,
     stop: CancellationToken,
 }
 
-/// Opens a gate from `listener` to `target`.
+/// Starts a gate that forwards connections from `listener` to `target`.
 ///
 /// # Errors
 ///
-/// Fails when the listener has no address.
+/// Returns an error if the listener has no address.
 pub fn open(listener: TcpListener, target: SocketAddr) -> Result<Gate> {
     let addr = listener.local_addr()?;
     let core = Arc::new(Core {
@@ -83,49 +84,49 @@
     Ok(Gate { addr, core })
 }
 
-/// Starts a listener by which a gate is told what to do.
+/// Serves the admin interface of a gate on `listener`.
 ///
 /// # Errors
 ///
-/// Fails when the listener has no address.
-pub fn control(listener: TcpListener, gate: &Gate) -> Result<Running> {
+/// Returns an error if the listener has no address.
+pub fn serve_admin(listener: TcpListener, gate: &Gate) -> Result<Running> {
     let core = Arc::clone(&gate.core);
-    site::run(listener, move |req| order(Arc::clone(&core), req))
+    server::run(listener, move |req| order(Arc::clone(&core), req))
 }
 
 async fn order(core: Arc<Core>, req: Request<Incoming>) -> Response<Body> {
     match (req.method() == Method::GET, req.uri().path()) {
-        (true, "/admin/stats") => return site::show(&core.stats()),
+        (true, "/admin/stats") => return server::show(&core.stats()),
         (false, "/admin/silence") => core.silence(),
         (false, "/admin/cut") => core.cut(),
-        _ => return site::refuse(StatusCode::NOT_FOUND, "no such path"),
+        _ => return server::refuse(StatusCode::NOT_FOUND, "no such path"),
     }
-    site::done()
+    server::done()
 }
 
 impl Gate {
-    /// Makes the connections of now silent for good; new ones pass.
+    /// Makes the present connections silent permanently; new ones pass.
     pub fn silence(&self) {
         self.core.silence();
     }
 
-    /// Makes the connections of now silent a moment later, so that an order to
-    /// do so can be answered on one of them.
+    /// Makes the present connections silent after [`SILENCE_DELAY`], so that the request to do
+    /// so can be answered on one of them.
     pub(crate) fn silence_soon(&self) {
         let core = Arc::clone(&self.core);
         let all = core.connections.load(Ordering::SeqCst);
         tokio::spawn(async move {
-            tokio::time::sleep(ANSWER_TIME).await;
+            tokio::time::sleep(SILENCE_DELAY).await;
             core.silent.send_replace(all);
         });
     }
 
-    /// Closes the connections of now, silent ones included.
+    /// Closes the present connections, including silent ones.
     pub fn cut(&self) {
         self.core.cut();
     }
 
-    /// Returns what it counted.
+    /// Returns the statistics.
     #[must_use]
     pub fn stats(&self) -> Stats {
         self.core.stats()
@@ -168,7 +169,7 @@
                 core.open.fetch_add(1, Ordering::SeqCst);
                 let mut cut = core.cut.subscribe();
                 tokio::select! {
-                    _ = core.pass(near, id) => {}
+                    _ = core.forward(near, id) => {}
                     _ = cut.wait_for(|&cut| cut >= id) => {}
                     () = core.stop.cancelled() => {}
                 }
@@ -177,20 +178,20 @@
         }
     }
 
-    async fn pass(&self, near: TcpStream, id: u64) -> Result<()> {
+    async fn forward(&self, near: TcpStream, id: u64) -> Result<()> {
         let far = TcpStream::connect(self.target).await?;
         near.set_nodelay(true)?;
         far.set_nodelay(true)?;
         let (near_read, near_write) = near.into_split();
         let (far_read, far_write) = far.into_split();
         tokio::try_join!(
-            self.pump(near_read, far_write, id),
-            self.pump(far_read, near_write, id),
+            self.copy(near_read, far_write, id),
+            self.copy(far_read, near_write, id),
         )?;
         Ok(())
     }
 
-    async fn pump(&self, mut from: OwnedReadHalf, mut to: OwnedWriteHalf, id: u64) -> Result<()> {
+    async fn copy(&self, mut from: OwnedReadHalf, mut to: OwnedWriteHalf, id: u64) -> Result<()> {
         let mut silent = self.silent.subscribe();
         let mut chunk = vec![0; CHUNK];
         loop {
@@ -200,7 +201,7 @@
                 n = from.read(&mut chunk) => Some(n?),
             };
             let Some(n) = n else {
-                // Both sockets stay open, and nothing passes any more.
+                // Both sockets stay open, but no data is forwarded any more.
                 return std::future::pending().await;
             };
             if n == 0 {
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's list of instances and targets, which lags.
+//! A stand-in for the platform: its list of instances and targets, shown with a delay.
 
 use std::{
     collections::VecDeque,
@@ -12,17 +12,17 @@
 use web::{Incoming, Request, Response, StatusCode, body::Body};
 use wire::platform::{Instance, List, Target};
 
-use crate::site::{self, Running};
+use crate::server::{self, Running};
 
-/// A change of the list. `POST /admin` takes it as JSON.
+/// A change of the list, the JSON body of `POST /admin`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Change {
-    /// Replaces all but the serial.
+    /// Replaces the list except for its serial number.
     List(List),
-    /// Adds or replaces an instance by name.
+    /// Adds an instance, or replaces the one of its name.
     Instance(Instance),
-    /// Adds or replaces a target by name.
+    /// Adds a target, or replaces the one of its name.
     Target(Target),
     /// Removes the instance or target of this name.
     Remove(String),
@@ -30,47 +30,50 @@
 
 #[derive(Debug)]
 struct Platform {
+    /// Delay until a change is shown.
     lag: Duration,
-    /// The list of now, and those not yet old enough to be shown.
     state: Mutex<State>,
 }
 
 #[derive(Debug)]
 struct State {
+    /// The list with all changes.
     newest: List,
-    coming: VecDeque<(Instant, List)>,
+    /// Lists that are not old enough to be shown, with the time of their change.
+    pending: VecDeque<(Instant, List)>,
+    /// The list as it is shown.
     shown: List,
 }
 
-/// Starts the platform. `GET /v1/list` shows changes after `lag`.
+/// Starts the platform, whose `GET /v1/list` shows a change after `lag`.
 ///
 /// # Errors
 ///
-/// Fails when the listener has no address.
+/// Returns an error if the listener has no address.
 pub fn start(listener: TcpListener, list: List, lag: Duration) -> Result<Running> {
     let state = State {
         newest: list.clone(),
-        coming: VecDeque::new(),
+        pending: VecDeque::new(),
         shown: list,
     };
     let platform = Arc::new(Platform {
         lag,
         state: Mutex::new(state),
     });
-    site::run(listener, move |req| handle(Arc::clone(&platform), req))
+    server::run(listener, move |req| handle(Arc::clone(&platform), req))
 }
 
 async fn handle(platform: Arc<Platform>, req: Request<Incoming>) -> Response<Body> {
     match req.uri().path() {
-        "/v1/list" => site::show(&platform.shown()),
-        "/admin" => match site::body(req).await {
+        "/v1/list" => server::show(&platform.shown()),
+        "/admin" => match server::body(req).await {
             Ok(change) => {
                 platform.change(change);
-                site::done()
+                server::done()
             }
             Err(refused) => refused.answer(),
         },
-        _ => site::refuse(StatusCode::NOT_FOUND, "no such path"),
+        _ => server::refuse(StatusCode::NOT_FOUND, "no such path"),
     }
 }
 
@@ -81,9 +84,9 @@
 
     fn shown(&self) -> List {
         let mut state = self.lock();
-        let ripe = |at: &Instant| at.elapsed() >= self.lag;
-        while state.coming.front().is_some_and(|(at, _)| ripe(at)) {
-            if let Some((_, list)) = state.coming.pop_front() {
+        let due = |at: &Instant| at.elapsed() >= self.lag;
+        while state.pending.front().is_some_and(|(at, _)| due(at)) {
+            if let Some((_, list)) = state.pending.pop_front() {
                 state.shown = list;
             }
         }
@@ -95,7 +98,7 @@
         let serial = state.newest.serial + 1;
         let list = &mut state.newest;
         match change {
-            Change::List(whole) => *list = whole,
+            Change::List(new) => *list = new,
             Change::Instance(new) => {
                 list.instances.retain(|old| old.name != new.name);
                 list.instances.push(new);
@@ -111,6 +114,6 @@
         }
         list.serial = serial;
         let entry = (Instant::now(), list.clone());
-        state.coming.push_back(entry);
+        state.pending.push_back(entry);
     }
 }
--- a/crates/standin/tests/engine.rs
+++ b/crates/standin/tests/engine.rs
@@ -55,22 +55,25 @@
         "messages": [{"role": "user", "content": "hello"}]})
 }
 
-/// Reads a stream to its end; the text, and whether it was whole.
+/// Reads a stream to its end; returns the text and whether the stream was complete.
 async fn read(mut answer: Answer) -> (String, bool) {
     let (mut parser, mut events) = (sse::Parser::default(), Vec::new());
-    let mut whole = true;
+    let mut complete = true;
     while let Some(piece) = answer.next().await {
         match piece {
             Ok(piece) => parser.push(&piece, &mut events).unwrap(),
-            Err(_) => whole = false,
+            Err(_) => complete = false,
         }
     }
-    (events.iter().filter_map(sse::Event::token).collect(), whole)
+    (
+        events.iter().filter_map(sse::Event::token).collect(),
+        complete,
+    )
 }
 
 #[gtest]
 #[tokio::test]
-async fn streams_and_whole_answers_carry_the_same_tokens() {
+async fn streamed_and_full_answers_carry_the_same_tokens() {
     let engine = start(config()).await;
     let text = engine::tokens(MODEL, "hello", 7);
     let answer = post(
@@ -105,16 +108,16 @@
     post(engine.addr, "/admin/cut-stream", json!({"after": 3}), &[]).await;
     let chat = chat(MODEL, 8, true);
     let first = post(engine.addr, "/v1/chat/completions", chat.clone(), &[]).await;
-    let (head, whole) = read(first).await;
-    expect_that!(whole, eq(false));
-    // The piece before the cut may be lost with the connection.
+    let (head, complete) = read(first).await;
+    expect_that!(complete, eq(false));
+    // The last token before the cut may be lost with the connection.
     let got = head.split_whitespace().count();
     expect_that!(got, le(3));
     let got = got.to_string();
     let from = [(wire::header::RESUME_FROM, got.as_str())];
     let rest = post(engine.addr, "/v1/chat/completions", chat, &from).await;
-    let (tail, whole) = read(rest).await;
-    assert_that!(whole, eq(true));
+    let (tail, complete) = read(rest).await;
+    assert_that!(complete, eq(true));
     assert_that!(head + &tail, eq(&engine::tokens(MODEL, "hello", 8)));
 }
 
@@ -134,7 +137,7 @@
     assert_that!(stats(engine.addr).await.started, eq(0));
 }
 
-/// Orders in turn: what each asks, its fencing number, and the status.
+/// Sends orders one after another: kind, adapter, fencing number, expected status.
 #[gtest]
 #[tokio::test]
 async fn orders_obey_slots_and_fencing_numbers() {
@@ -163,8 +166,8 @@
     assert_that!(stats(engine.addr).await.unloads_in_use, eq(0));
 }
 
-/// A caller closes its stream halfway. Its place must come free at once, or
-/// the engine goes on generating for nobody while others wait.
+/// A caller disconnects in the middle of its stream. Its place in the batch must be freed
+/// at once, or the engine generates tokens for a closed connection while others wait.
 #[gtest]
 #[tokio::test]
 async fn leaving_frees_the_place() {
