--- a/crates/faults/src/script.rs
+++ b/crates/faults/src/script.rs
@@ -10,10 +10,12 @@
 //! | `applied(x)`, `term(x)`, `halted(x)`, `voters(x)` | returns the state of an instance |
 //! | `kill(x)`, `tear(x, bytes)` | crashes a process, with a torn write of `bytes` |
 //! | `start(x)`, `freeze(x)`, `thaw(x)` | starts, pauses, resumes a process |
-//! | `empty(x)`, `damage(x, at)`, `fail_sync(x)`, `fill(x, full)`, `stall(x)` | faults of its disk |
+//! | `empty(x)`, `damage(x, at)`, `fail_sync(x)` | empties, corrupts the disk; fails a sync |
+//! | `fill(x, full)`, `stall(x)` | makes the disk full or frees it; stalls its syncs |
 //! | `cut(x, y)`, `mend(x, y)`, `isolate(x)`, `heal()`, `loss(permille)` | partitions and message loss |
 //! | `hand_over(x)`, `remove(leader, x)` | leadership transfer and removal of a replica |
-//! | `expect(condition, text)`, `covers(mark)` | fails the scenario; requires that a coverage mark is reached |
+//! | `expect(condition, text)` | fails the scenario with `text` if the condition is false |
+//! | `covers(mark)` | requires that a coverage mark is reached |
 
 use std::sync::{Arc, Mutex, MutexGuard};
 
@@ -124,9 +126,9 @@
     engine.register_fn("leads", move |x: &str| {
         with_cluster(&shared, |c| c.leads(&name(x)))
     });
-    let mut count = |function: &str, ask: fn(&Cluster) -> usize| {
+    let mut count = |function: &str, query: fn(&Cluster) -> usize| {
         let shared = Arc::clone(scenario);
-        engine.register_fn(function, move || with_cluster(&shared, |c| ask(c) as i64));
+        engine.register_fn(function, move || with_cluster(&shared, |c| query(c) as i64));
     };
     count("accepted", |c| c.history.accepted());
     count("refused", |c| c.history.refused());
@@ -135,15 +137,15 @@
     engine.register_fn("applied", move |x: &str| {
         with_cluster(&shared, |c| c.applied(&name(x)).get() as i64)
     });
-    let mut ask = |function: &str, ask: fn(&Replica) -> i64| {
+    let mut query = |function: &str, query: fn(&Replica) -> i64| {
         let shared = Arc::clone(scenario);
         engine.register_fn(function, move |x: &str| {
-            with_cluster(&shared, |c| c.replica(&name(x)).map_or(-1, ask))
+            with_cluster(&shared, |c| c.replica(&name(x)).map_or(-1, query))
         });
     };
-    ask("term", |replica| replica.term().get() as i64);
-    ask("halted", |replica| i64::from(replica.halted().is_some()));
-    ask("voters", |replica| {
+    query("term", |replica| replica.term().get() as i64);
+    query("halted", |replica| i64::from(replica.halted().is_some()));
+    query("voters", |replica| {
         replica.members().map_or(0, |m| m.voters.len() as i64)
     });
 }
--- a/crates/scenarios/src/entry.rs
+++ b/crates/scenarios/src/entry.rs
@@ -48,7 +48,7 @@
     /// Number of the last heartbeat.
     pub(crate) serial: u64,
     /// Whether the next heartbeat lists the engines.
-    pub(crate) tell: bool,
+    pub(crate) list_engines: bool,
     pub(crate) marked: BTreeMap<u64, Marked>,
     pub(crate) attempts: u64,
     pub(crate) slots: usize,
@@ -68,7 +68,7 @@
             text: TextVersion(0),
             leader: None,
             serial: 0,
-            tell: true,
+            list_engines: true,
             marked: BTreeMap::new(),
             attempts: 0,
             slots: 0,
@@ -77,7 +77,7 @@
 
     pub(crate) fn heartbeat(&mut self) -> Beat {
         self.serial += 1;
-        let tell = std::mem::take(&mut self.tell);
+        let list_engines = std::mem::take(&mut self.list_engines);
         Beat {
             instance: self.name.parse().unwrap(),
             zone: self.zone.parse().unwrap(),
@@ -88,7 +88,7 @@
             serial: self.serial,
             heard: self.lessee.heard(),
             roster: self.lessee.roster(),
-            engines: tell.then(|| self.engines.clone()),
+            engines: list_engines.then(|| self.engines.clone()),
             busy: self.lessee.busy(),
             shares: Vec::new(),
             loads: 1,
--- a/crates/scenarios/src/script.rs
+++ b/crates/scenarios/src/script.rs
@@ -80,9 +80,9 @@
     });
     function!(engine, world, "heal", |w| w.heal());
     function!(engine, world, "freeze", |w, name: &str, ms: i64| {
-        w.freeze(name, u64::try_from(ms).unwrap());
+        w.pause(name, u64::try_from(ms).unwrap());
     });
-    function!(engine, world, "thaw", |w| w.thaw_all());
+    function!(engine, world, "thaw", |w| w.resume_all());
     function!(engine, world, "kill", |w, name: &str| w.kill(name));
     function!(engine, world, "restart", |w, name: &str| w.restart(name));
     function!(engine, world, "unlist", |w, name: &str| {
--- a/crates/scenarios/src/world.rs
+++ b/crates/scenarios/src/world.rs
@@ -103,7 +103,7 @@
     pub(crate) incarnation: u64,
     pub(crate) up: bool,
     /// The node is paused until this time.
-    pub(crate) frozen: Time,
+    pub(crate) paused_until: Time,
     /// Number of the latest wake-up; earlier ones are ignored.
     wake: u64,
     /// Local microseconds that pass in a real millisecond.
@@ -226,7 +226,7 @@
             zone: zone.to_owned(),
             incarnation,
             up: true,
-            frozen: Time::ZERO,
+            paused_until: Time::ZERO,
             wake: 0,
             drift,
             offset,
@@ -361,8 +361,8 @@
             return;
         }
         // A paused process takes the event once it resumes.
-        if node.frozen > self.now {
-            let at = node.frozen;
+        if node.paused_until > self.now {
+            let at = node.paused_until;
             self.schedule(at, &to, event);
             return;
         }
--- a/crates/scenarios/src/world/deliver.rs
+++ b/crates/scenarios/src/world/deliver.rs
@@ -192,7 +192,7 @@
         let Some(entry) = self.entry(name) else {
             return;
         };
-        entry.tell |= reply.tell;
+        entry.list_engines |= reply.tell;
         let have = entry.text;
         let newer = reply.text > have;
         entry.leader.clone_from(&from);
--- a/crates/scenarios/src/world/faults.rs
+++ b/crates/scenarios/src/world/faults.rs
@@ -36,17 +36,17 @@
         self.cuts.clear();
     }
 
-    pub(crate) fn freeze(&mut self, name: &str, ms: u64) {
+    pub(crate) fn pause(&mut self, name: &str, ms: u64) {
         self.log(|| format!("freeze {name} for {ms} ms"));
         let until = self.now + Duration::from_millis(ms);
         if let Some(node) = self.nodes.get_mut(name) {
-            node.frozen = until;
+            node.paused_until = until;
         }
     }
 
-    pub(crate) fn thaw_all(&mut self) {
+    pub(crate) fn resume_all(&mut self) {
         for node in self.nodes.values_mut() {
-            node.frozen = Time::ZERO;
+            node.paused_until = Time::ZERO;
         }
     }
 
--- a/crates/standin/src/engine/chat.rs
+++ b/crates/standin/src/engine/chat.rs
@@ -257,8 +257,8 @@
 impl Engine {
     /// Returns the adapter version that the answer names: the one that it ran on, or the next
     /// one if the fault `wrong-adapter` is set.
-    fn named_resident(&self, truth: &Resident) -> Resident {
-        let mut named = truth.clone();
+    fn named_resident(&self, actual: &Resident) -> Resident {
+        let mut named = actual.clone();
         let mut state = self.state();
         if state.faults.wrong_adapter > 0 {
             state.faults.wrong_adapter -= 1;
--- a/crates/standin/tests/others.rs
+++ b/crates/standin/tests/others.rs
@@ -30,14 +30,14 @@
     send
 }
 
-async fn tell(addr: SocketAddr, path: &str, body: Value) -> Answer {
+async fn post_json(addr: SocketAddr, path: &str, body: Value) -> Answer {
     Client::default()
         .send(post(addr, path, &body))
         .await
         .unwrap()
 }
 
-async fn ask<T: DeserializeOwned>(addr: SocketAddr, path: &str) -> T {
+async fn get_json<T: DeserializeOwned>(addr: SocketAddr, path: &str) -> T {
     let answer = Client::default()
         .send(Send::new(addr, Method::GET, path))
         .await
@@ -71,7 +71,7 @@
     });
     let done = futures::future::join_all(loads).await;
     expect_that!(done, each(eq(&true)));
-    let stats: store::Stats = ask(store.addr, "/admin/stats").await;
+    let stats: store::Stats = get_json(store.addr, "/admin/stats").await;
     expect_that!(
         (stats.started, stats.finished, stats.active),
         eq((10, 10, 0))
@@ -91,16 +91,16 @@
         ("mute", json!({"mute": 1}), Some(Verdict::MayHaveRun), 1),
     ];
     for (key, faults, verdict, ran) in rows {
-        tell(service.addr, "/admin/faults", faults).await;
+        post_json(service.addr, "/admin/faults", faults).await;
         let got = call(service.addr, key).await;
         expect_that!(got.err().map(|broken| broken.verdict), eq(verdict), "{key}");
-        let stats: service::Stats = ask(service.addr, "/admin/stats").await;
+        let stats: service::Stats = get_json(service.addr, "/admin/stats").await;
         expect_that!(stats.executions.get(key), eq(Some(&ran)), "{key}");
     }
-    tell(service.addr, "/admin/faults", json!({"refuse": 1})).await;
-    let refused = tell(service.addr, "/apply", json!({})).await;
+    post_json(service.addr, "/admin/faults", json!({"refuse": 1})).await;
+    let refused = post_json(service.addr, "/apply", json!({})).await;
     expect_that!(refused.refused(), eq(true));
-    let stats: service::Stats = ask(service.addr, "/admin/stats").await;
+    let stats: service::Stats = get_json(service.addr, "/admin/stats").await;
     assert_that!((stats.executed, stats.refused), eq((3, 1)));
 }
 
@@ -117,19 +117,19 @@
     let platform = platform::start(listener, empty, lag).unwrap();
     let target = json!({"name": "e1", "pool": "p", "zone": "blato",
         "address": "127.0.0.1:1", "state": "live"});
-    tell(platform.addr, "/admin", json!({"target": target})).await;
-    let now: List = ask(platform.addr, "/v1/list").await;
+    post_json(platform.addr, "/admin", json!({"target": target})).await;
+    let now: List = get_json(platform.addr, "/v1/list").await;
     expect_that!((now.serial, now.targets.len()), eq((7, 0)));
     loop {
-        let list: List = ask(platform.addr, "/v1/list").await;
+        let list: List = get_json(platform.addr, "/v1/list").await;
         if list.serial == 8 {
             expect_that!(list.targets.len(), eq(1));
             break;
         }
         tokio::time::sleep(lag / 10).await;
     }
-    tell(platform.addr, "/admin", json!({"remove": "e1"})).await;
-    let bad = tell(platform.addr, "/admin", json!({"target": {"name": "E 1"}})).await;
+    post_json(platform.addr, "/admin", json!({"remove": "e1"})).await;
+    let bad = post_json(platform.addr, "/admin", json!({"target": {"name": "E 1"}})).await;
     assert_that!(bad.status.as_u16(), eq(400));
 }
 
@@ -161,11 +161,11 @@
         }
     };
     expect_that!(broken.cause, eq(&web::client::Cause::Idle));
-    let stats: engine::Stats = ask(gate.addr, "/admin/stats").await;
+    let stats: engine::Stats = get_json(gate.addr, "/admin/stats").await;
     expect_that!(stats.running, eq(1));
     gate.cut();
     loop {
-        let stats: engine::Stats = ask(gate.addr, "/admin/stats").await;
+        let stats: engine::Stats = get_json(gate.addr, "/admin/stats").await;
         if (stats.running, stats.cancelled) == (0, 1) {
             break;
         }
@@ -197,7 +197,7 @@
         } else {
             "/admin/stats"
         };
-        let _stats: Value = ask(line.parse().unwrap(), path).await;
+        let _stats: Value = get_json(line.parse().unwrap(), path).await;
     }
     let public = Command::new(env!("CARGO_BIN_EXE_standin"))
         .args(["store", "--listen", "0.0.0.0:0"])
