--- a/crates/faults/src/cluster/fault.rs
+++ b/crates/faults/src/cluster/fault.rs
@@ -21,7 +21,7 @@
         host.running = None;
         host.paused = None;
         host.disk.crash(torn);
-        self.note(name, "crashed");
+        self.note(name, "killed");
     }
 
     /// Empties the disk of a stopped process, which starts as a new incarnation.
@@ -59,13 +59,13 @@
     /// Pauses a process without ending it.
     pub fn pause(&mut self, name: &InstanceName) {
         self.host(name).paused.get_or_insert_default();
-        self.note(name, "paused");
+        self.note(name, "frozen");
     }
 
     /// Resumes a paused process; events that arrived meanwhile are delivered at once.
     pub fn resume(&mut self, name: &InstanceName) {
         let paused = self.host(name).paused.take().unwrap_or_default();
-        self.note(name, "resumed");
+        self.note(name, "thawed");
         for event in paused {
             self.deliver(event);
             self.check_leases();
